--- a/Makefile
+++ b/Makefile
@@ -7,6 +7,8 @@
 PROTOC_GEN_GO_VERSION := v1.36.12
 PROTOC_GEN_CONNECT_GO_VERSION := v1.21.1
 STATICCHECK_VERSION := v0.8.2
+# The newest gopls that builds with this project's Go version; `gopls rename` renames across packages.
+GOPLS_VERSION := v0.23.0
 
 .PHONY: build test soak bench demo simulate lint generate tools clean
 
@@ -63,8 +65,11 @@
 $(TOOLS)/staticcheck: Makefile
 	GOBIN=$(TOOLS) $(GO) install honnef.co/go/tools/cmd/staticcheck@$(STATICCHECK_VERSION)
 	touch $@
+$(TOOLS)/gopls: Makefile
+	GOBIN=$(TOOLS) $(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	touch $@
 
-tools: $(TOOLS)/buf $(TOOLS)/protoc-gen-go $(TOOLS)/protoc-gen-connect-go $(TOOLS)/staticcheck
+tools: $(TOOLS)/buf $(TOOLS)/protoc-gen-go $(TOOLS)/protoc-gen-connect-go $(TOOLS)/staticcheck $(TOOLS)/gopls
 
 clean:
 	rm -rf bin .tools
