--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,82 +1,81 @@
-// Package admission decides whether a request may be passed on to a service that may have more
-// requests than it can serve in time. It is pure: the caller tells it what was seen of the service,
-// with the current time, and asks.
+// Package admission decides whether to admit requests to services that may be overloaded. It does no
+// I/O and reads no clock: the caller passes in the current time and what it observed of each service.
 package admission
 
 import "time"
 
-// Ask is a request that asks to be passed on.
-type Ask struct {
+// Request describes a request to be admitted.
+type Request struct {
 	Service string
-	// Tenant and Zone are the caller's, "" where they are not known.
+	// Tenant and Zone identify the caller; either may be empty if unknown.
 	Tenant, Zone string
-	// Priority is the request's rank, 0 for the most urgent.
+	// Priority is 0 for the most urgent requests.
 	Priority int
-	// Returning is set on a request that was refused before, as far as that can be told.
-	Returning bool
-	// Target is the time within which an answer has its full worth, and Remaining how long the
-	// caller still waits.
+	// IsRetry is set if the request is known to have been refused before.
+	IsRetry bool
+	// Target is the latency target of a response, and Remaining the time until the caller's deadline.
 	Target, Remaining time.Duration
 }
 
 // Reason says why a request was not admitted.
 type Reason string
 
-// The reasons.
+// Reasons for not admitting a request.
 const (
-	// BeyondShare: its tenant or zone has used up its share of a service that is full.
-	BeyondShare Reason = "beyond_share"
-	// LessUrgent: more urgent requests take what room there is.
-	LessUrgent Reason = "less_urgent"
-	// TooLate: the request's time is over before it could be served.
+	// ShareExceeded: the tenant or zone has exceeded its fair share of an overloaded service.
+	ShareExceeded Reason = "beyond_share"
+	// LowPriority: requests of higher priority, or first attempts, use the capacity.
+	LowPriority Reason = "less_urgent"
+	// TooLate: the request cannot be answered before its deadline.
 	TooLate Reason = "too_late"
 )
 
-// Decision is what becomes of a request.
+// Decision is the result of an admission check.
 type Decision struct {
 	Admitted bool
-	// Reason is set on a request that was not admitted.
+	// Reason is empty if the request was admitted.
 	Reason Reason
-	// RetryAfter is when there will probably be room for it, 0 if nothing is known.
+	// RetryAfter is when the caller should retry, 0 if unknown.
 	RetryAfter time.Duration
-	// Service is the one that is limited, Part the part of the caller's requests of this priority
-	// that it admits, and Delay how much longer than usual its answers take. They are set on a
-	// request that was not admitted.
-	Service string
-	Part    float64
-	Delay   time.Duration
+	// Service is the limited service, AdmittedFraction the fraction of this caller's requests of this
+	// priority that is admitted, and QueueDelay how far its answers exceed the baseline latency. They
+	// are set only if the request was not admitted.
+	Service          string
+	AdmittedFraction float64
+	QueueDelay       time.Duration
 }
 
-// Observation is what one attempt at a backend has shown of its service.
+// Observation is the outcome of one attempt at a backend.
 type Observation struct {
 	Service, Backend string
-	// Answered is set if the backend ran the request to its end, and Refused if it had no room.
+	// Answered is set if the backend completed the request, and Refused if it had no capacity.
 	Answered, Refused bool
-	// Took is the time from the send to the end.
-	Took time.Duration
-	// Waiting and Slots are what the backend told of its queue; Slots is 0 if it told nothing.
+	// Latency is the time from sending the request to the end of the attempt.
+	Latency time.Duration
+	// Waiting and Slots are the queue length and the slots that the backend reported; Slots is 0 if it
+	// reported no load.
 	Waiting, Slots int
 }
 
-// Limiter decides about requests. Its methods may be called concurrently.
+// Limiter admits or refuses requests. Its methods may be called concurrently.
 type Limiter interface {
-	// Admit decides whether the request may be passed on now.
-	Admit(now time.Time, ask Ask) Decision
-	// Note takes in what an attempt has shown.
-	Note(now time.Time, seen Observation)
-	// IsLimiting tells whether the service has more requests than it can serve in time, so that
-	// nothing is sent twice.
+	// Admit decides whether the request may be forwarded now.
+	Admit(now time.Time, request Request) Decision
+	// Observe records the outcome of an attempt.
+	Observe(now time.Time, observation Observation)
+	// IsLimiting reports whether the service is overloaded, so that requests must not be hedged or
+	// sent again.
 	IsLimiting(now time.Time, service string) bool
 }
 
-// Open admits every request.
-type Open struct{}
+// AdmitAll is a Limiter that admits every request.
+type AdmitAll struct{}
 
-// Admit admits the request.
-func (Open) Admit(time.Time, Ask) Decision { return Decision{Admitted: true} }
+// Admit implements Limiter.
+func (AdmitAll) Admit(time.Time, Request) Decision { return Decision{Admitted: true} }
 
-// Note takes nothing in.
-func (Open) Note(time.Time, Observation) {}
+// Observe implements Limiter.
+func (AdmitAll) Observe(time.Time, Observation) {}
 
-// IsLimiting returns false.
-func (Open) IsLimiting(time.Time, string) bool { return false }
+// IsLimiting implements Limiter.
+func (AdmitAll) IsLimiting(time.Time, string) bool { return false }
--- a/admission/local.go
+++ b/admission/local.go
@@ -6,121 +6,120 @@
 	"time"
 )
 
-// Local is a Limiter that learns from what its own process sees, and tells no other one. All
-// processes see the same backends, so that what they learn agrees.
-type Local struct {
+// LocalLimiter is a Limiter that uses only what its own process observes. All processes observe the
+// same backends, so their limits converge without coordination.
+type LocalLimiter struct {
 	mutex    sync.Mutex
 	random   *rand.Rand
 	services map[string]*service
 }
 
-// NewLocal returns a limiter that admits everything until a service shows that it has more
-// requests than it can serve in time.
-func NewLocal(random *rand.Rand) *Local {
-	return &Local{random: random, services: map[string]*service{}}
+// NewLocalLimiter returns a limiter that admits everything until a service is overloaded.
+func NewLocalLimiter(random *rand.Rand) *LocalLimiter {
+	return &LocalLimiter{random: random, services: map[string]*service{}}
 }
 
 // Admit implements Limiter.
-func (l *Local) Admit(now time.Time, ask Ask) Decision {
+func (l *LocalLimiter) Admit(now time.Time, request Request) Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	s := l.service(ask.Service)
-	s.noteTarget(ask.Target)
-	s.arrive(now)
-	s.advance(now)
+	s := l.service(request.Service)
+	s.lowerTarget(request.Target)
+	s.recordArrival(now)
+	s.update(now)
 	if !s.limiting {
 		s.admitted++
 		return Decision{Admitted: true}
 	}
-	decision := s.decide(now, ask, l.random.Float64())
+	decision := s.decide(now, request, l.random.Float64())
 	if !decision.Admitted {
-		decision.RetryAfter = RetryAfter(ask.Remaining, l.random.Float64())
+		decision.RetryAfter = RetryAfter(request.Remaining, l.random.Float64())
 	}
 	return decision
 }
 
-// Note implements Limiter.
-func (l *Local) Note(now time.Time, seen Observation) {
-	if !seen.Answered && !seen.Refused {
+// Observe implements Limiter.
+func (l *LocalLimiter) Observe(now time.Time, observation Observation) {
+	if !observation.Answered && !observation.Refused {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.service(seen.Service).note(now, seen)
+	l.service(observation.Service).observe(now, observation)
 }
 
 // IsLimiting implements Limiter.
-func (l *Local) IsLimiting(now time.Time, service string) bool {
+func (l *LocalLimiter) IsLimiting(now time.Time, service string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	s := l.services[service]
 	if s == nil {
 		return false
 	}
-	s.advance(now)
+	s.update(now)
 	return s.limiting
 }
 
-func (l *Local) service(name string) *service {
+func (l *LocalLimiter) service(name string) *service {
 	s := l.services[name]
 	if s == nil {
-		s = &service{share: 1}
+		s = &service{admittedFraction: 1}
 		l.services[name] = s
 	}
 	return s
 }
 
-// Forget drops the services that are not kept, except those that are limited.
-func (l *Local) Forget(isKept func(service string) bool) {
+// Prune drops the state of services that are neither kept nor limited.
+func (l *LocalLimiter) Prune(keep func(service string) bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for name := range l.services {
-		if !isKept(name) && !l.services[name].limiting {
+		if !keep(name) && !l.services[name].limiting {
 			delete(l.services, name)
 		}
 	}
 }
 
-// Standing is how a service stands with its limit.
-type Standing struct {
+// Status is the state of a service's limit.
+type Status struct {
 	Service  string
 	Limiting bool
-	// Share is the part of the requests that is admitted.
-	Share float64
-	// Usual is the time of an answer without a queue, and Delay how much longer answers take now.
-	Usual, Delay time.Duration
-	// Admitted and Refused count requests since the start.
+	// AdmittedFraction is the fraction of requests that is admitted.
+	AdmittedFraction float64
+	// BaselineLatency is the latency without queuing, and QueueDelay how far answers exceed it now.
+	BaselineLatency, QueueDelay time.Duration
+	// Admitted and Refused count requests since the process started.
 	Admitted uint64
 	Refused  map[Reason]uint64
 }
 
-// Standings returns how each service stands, in no order.
-func (l *Local) Standings(now time.Time) []Standing {
+// Statuses returns the status of each service, in no particular order.
+func (l *LocalLimiter) Statuses(now time.Time) []Status {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	standings := make([]Standing, 0, len(l.services))
+	statuses := make([]Status, 0, len(l.services))
 	for name, s := range l.services {
-		s.advance(now)
-		delay, _ := s.delay(now)
-		standings = append(standings, Standing{
-			Service: name, Limiting: s.limiting, Share: s.share, Usual: s.usual, Delay: delay, Admitted: s.admitted,
-			Refused: map[Reason]uint64{BeyondShare: s.beyondShare, LessUrgent: s.lessUrgent, TooLate: s.tooLate},
+		s.update(now)
+		delay, _ := s.queueDelay(now)
+		statuses = append(statuses, Status{
+			Service: name, Limiting: s.limiting, AdmittedFraction: s.admittedFraction, BaselineLatency: s.baseline, QueueDelay: delay, Admitted: s.admitted,
+			Refused: map[Reason]uint64{ShareExceeded: s.shareExceeded, LowPriority: s.lowPriority, TooLate: s.tooLate},
 		})
 	}
-	return standings
+	return statuses
 }
 
 const (
-	// mostOfRemaining is the part of its remaining time that a caller is asked to wait at most: it
-	// must have time to be served after that, and callers heed no longer wait.
-	mostOfRemaining = 1.0 / 3
-	// leastOfWait is the shortest wait as a part of the longest. Waits are spread between the two,
-	// so that those refused at one moment come back at many.
-	leastOfWait = 0.25
+	// maxWaitFraction is the largest fraction of the remaining time that a caller is asked to wait:
+	// the retry needs time to be served, and callers ignore longer waits.
+	maxWaitFraction = 1.0 / 3
+	// minWaitFraction is the shortest wait as a fraction of the longest. Waits are drawn from the
+	// range between them, so that callers refused at the same time do not retry at the same time.
+	minWaitFraction = 0.25
 )
 
-// RetryAfter returns when a caller that was refused should come back, by a number from 0 to 1.
+// RetryAfter returns how long a refused caller should wait, for a random draw from [0, 1).
 func RetryAfter(remaining time.Duration, draw float64) time.Duration {
-	longest := mostOfRemaining * float64(max(remaining, 0))
-	return time.Duration(longest * (leastOfWait + (1-leastOfWait)*draw)).Truncate(time.Millisecond)
+	maxWait := maxWaitFraction * float64(max(remaining, 0))
+	return time.Duration(maxWait * (minWaitFraction + (1-minWaitFraction)*draw)).Truncate(time.Millisecond)
 }
--- a/admission/local_test.go
+++ b/admission/local_test.go
@@ -12,309 +12,308 @@
 	_ "github.com/dillchute/dillchute/internal/fixedseed"
 )
 
-// usualTook is an answer's time without a queue, and queuedTook that of one from a long queue.
+// baselineLatency is the latency without queuing, and queuedLatency that behind a long queue.
 const (
-	usualTook  = 25 * time.Millisecond
-	queuedTook = 120 * time.Millisecond
+	baselineLatency = 25 * time.Millisecond
+	queuedLatency   = 120 * time.Millisecond
 )
 
-func newTestLocal() *Local { return NewLocal(rand.New(rand.NewPCG(3, 4))) }
+func newTestLimiter() *LocalLimiter { return NewLocalLimiter(rand.New(rand.NewPCG(3, 4))) }
 
-func answered(backend int, took time.Duration) Observation {
-	return Observation{Service: "s", Backend: fmt.Sprint(backend), Answered: true, Took: took}
+func answered(backend int, latency time.Duration) Observation {
+	return Observation{Service: "s", Backend: fmt.Sprint(backend), Answered: true, Latency: latency}
 }
 
-func refusedBy(backend int) Observation {
+func refused(backend int) Observation {
 	return Observation{Service: "s", Backend: fmt.Sprint(backend), Refused: true}
 }
 
-// admitted asks that many times within a second from now on, and counts those admitted. Answers
-// of the time come in between from four backends.
-func admitted(l *Local, now time.Time, times int, took time.Duration, ask Ask) int {
-	sum := 0
-	for position := range times {
-		at := now.Add(time.Duration(position) * time.Second / time.Duration(times))
-		l.Note(at, answered(position%4, took))
-		if l.Admit(at, ask).Admitted {
-			sum++
+// countAdmitted spreads the requests over the second after now and returns how many are admitted.
+// Before each of them one of four backends answers with the latency.
+func countAdmitted(l *LocalLimiter, now time.Time, requests int, latency time.Duration, request Request) int {
+	count := 0
+	for position := range requests {
+		at := now.Add(time.Duration(position) * time.Second / time.Duration(requests))
+		l.Observe(at, answered(position%4, latency))
+		if l.Admit(at, request).Admitted {
+			count++
 		}
 	}
-	return sum
+	return count
 }
 
-// learnUsual has the limiter learn the usual time, in a second up to now.
-func learnUsual(l *Local, now time.Time) {
-	admitted(l, now.Add(-time.Second), 40, usualTook, request())
+// learnBaseline sets the baseline latency from the answers of the second before now.
+func learnBaseline(l *LocalLimiter, now time.Time) {
+	countAdmitted(l, now.Add(-time.Second), 40, baselineLatency, newRequest())
 }
 
-func request() Ask {
-	return Ask{Service: "s", Target: modelTarget, Remaining: modelDeadline}
+func newRequest() Request {
+	return Request{Service: "s", Target: modelTarget, Remaining: modelDeadline}
 }
 
-func noteSlow(l *Local, now time.Time) {
-	for backend := range keptSamples {
-		l.Note(now, answered(backend%4, queuedTook))
+func observeSlowAnswers(l *LocalLimiter, now time.Time) {
+	for backend := range maxSamples {
+		l.Observe(now, answered(backend%4, queuedLatency))
 	}
 }
 
-// limitAll has a limit begin now, with backends that refuse.
-func limitAll(l *Local, now time.Time) {
-	learnUsual(l, now)
-	noteSlow(l, now)
+// startLimit starts a limit with slow answers and refusals by all backends.
+func startLimit(l *LocalLimiter, now time.Time) {
+	learnBaseline(l, now)
+	observeSlowAnswers(l, now)
 	for backend := range 4 {
-		l.Note(now, refusedBy(backend))
+		l.Observe(now, refused(backend))
 	}
 }
 
-// TestFourSlowAnswersBeginALimit: answers from long queues at all backends are overload, and the
-// share falls as long as they come.
-func TestFourSlowAnswersBeginALimit(t *testing.T) {
-	l, now := newTestLocal(), modelEpoch
-	learnUsual(l, now)
+// TestSlowAnswersStartLimit checks that slow answers of all backends start a limit, and that the
+// admitted fraction falls while they continue.
+func TestSlowAnswersStartLimit(t *testing.T) {
+	l, now := newTestLimiter(), modelEpoch
+	learnBaseline(l, now)
 	require.False(t, l.IsLimiting(now, "s"))
-	noteSlow(l, now)
+	observeSlowAnswers(l, now)
 	require.True(t, l.IsLimiting(now, "s"))
-	require.Less(t, admitted(l, now, 200, queuedTook, request()), 180)
+	require.Less(t, countAdmitted(l, now, 200, queuedLatency, newRequest()), 180)
 }
 
-// TestOneSlowBackendIsNoOverload: of four backends one takes long for each request.
-func TestOneSlowBackendIsNoOverload(t *testing.T) {
-	l, now := newTestLocal(), modelEpoch
-	learnUsual(l, now)
+// TestOneSlowBackendDoesNotStartLimit checks one slow backend of four.
+func TestOneSlowBackendDoesNotStartLimit(t *testing.T) {
+	l, now := newTestLimiter(), modelEpoch
+	learnBaseline(l, now)
 	for position := range 400 {
 		now = now.Add(5 * time.Millisecond)
-		took := usualTook
+		latency := baselineLatency
 		if position%4 == 0 {
-			took = 4 * queuedTook
+			latency = 4 * queuedLatency
 		}
-		l.Note(now, answered(position%4, took))
-		require.True(t, l.Admit(now, request()).Admitted, "request %d", position)
+		l.Observe(now, answered(position%4, latency))
+		require.True(t, l.Admit(now, newRequest()).Admitted, "request %d", position)
 	}
 }
 
-// TestOneRefusingBackendIsNoOverload: of four backends one refuses whatever comes.
-func TestOneRefusingBackendIsNoOverload(t *testing.T) {
-	l, now := newTestLocal(), modelEpoch
-	learnUsual(l, now)
+// TestOneRefusingBackendDoesNotStartLimit checks one backend of four that refuses every request.
+func TestOneRefusingBackendDoesNotStartLimit(t *testing.T) {
+	l, now := newTestLimiter(), modelEpoch
+	learnBaseline(l, now)
 	for position := range 400 {
 		now = now.Add(5 * time.Millisecond)
 		if position%4 == 0 {
-			l.Note(now, refusedBy(0))
+			l.Observe(now, refused(0))
 		} else {
-			l.Note(now, answered(position%4, usualTook))
+			l.Observe(now, answered(position%4, baselineLatency))
 		}
-		require.True(t, l.Admit(now, request()).Admitted, "request %d", position)
+		require.True(t, l.Admit(now, newRequest()).Admitted, "request %d", position)
 	}
 }
 
-// TestRefusalsOfMostBackendsBeginALimit: backends without a queue refuse at once when they are full.
-func TestRefusalsOfMostBackendsBeginALimit(t *testing.T) {
-	l, now := newTestLocal(), modelEpoch
-	learnUsual(l, now)
+// TestRefusalsByMostBackendsStartLimit covers backends without a queue, which refuse when they are
+// full.
+func TestRefusalsByMostBackendsStartLimit(t *testing.T) {
+	l, now := newTestLimiter(), modelEpoch
+	learnBaseline(l, now)
 	for backend := range 4 {
-		l.Note(now, refusedBy(backend))
+		l.Observe(now, refused(backend))
 	}
 	require.True(t, l.IsLimiting(now, "s"))
 }
 
-// TestSlowerWorkIsUnlearned: work that takes four times as long as before, and no backend
-// refuses anything. After two seconds all is admitted.
-func TestSlowerWorkIsUnlearned(t *testing.T) {
-	l, now := newTestLocal(), modelEpoch
-	learnUsual(l, now)
-	slower := 4 * usualTook
-	require.Less(t, admitted(l, now, 200, slower, request()), 200)
-	admitted(l, now.Add(time.Second), 200, slower, request())
-	require.Equal(t, 200, admitted(l, now.Add(2*time.Second), 200, slower, request()))
+// TestSlowerWorkRaisesBaseline checks that everything is admitted two seconds after requests have
+// begun to take four times as long, if no backend refuses any.
+func TestSlowerWorkRaisesBaseline(t *testing.T) {
+	l, now := newTestLimiter(), modelEpoch
+	learnBaseline(l, now)
+	slowLatency := 4 * baselineLatency
+	require.Less(t, countAdmitted(l, now, 200, slowLatency, newRequest()), 200)
+	countAdmitted(l, now.Add(time.Second), 200, slowLatency, newRequest())
+	require.Equal(t, 200, countAdmitted(l, now.Add(2*time.Second), 200, slowLatency, newRequest()))
 	require.False(t, l.IsLimiting(now.Add(3*time.Second), "s"))
 }
 
-// TestLongWorkIsNoOverload: work that takes most of the target, by its nature.
-func TestLongWorkIsNoOverload(t *testing.T) {
-	l, now, random := newTestLocal(), modelEpoch, rand.New(rand.NewPCG(5, 6))
-	refused := 0
+// TestLongWorkDoesNotStartLimit covers requests whose work itself takes most of the latency target.
+func TestLongWorkDoesNotStartLimit(t *testing.T) {
+	l, now, random := newTestLimiter(), modelEpoch, rand.New(rand.NewPCG(5, 6))
+	refusals := 0
 	for position := range 4000 {
 		now = now.Add(5 * time.Millisecond)
-		took := time.Duration(float64(modelTarget) * (0.4 + 0.6*random.Float64()))
-		l.Note(now, answered(position%4, took))
-		if !l.Admit(now, request()).Admitted {
-			refused++
+		latency := time.Duration(float64(modelTarget) * (0.4 + 0.6*random.Float64()))
+		l.Observe(now, answered(position%4, latency))
+		if !l.Admit(now, newRequest()).Admitted {
+			refusals++
 		}
 	}
-	require.Zero(t, refused)
+	require.Zero(t, refusals)
 }
 
-// TestBackToNormal: a second after the last slow answer everything is admitted, whether or not
-// answers have come since.
-func TestBackToNormal(t *testing.T) {
-	for _, answers := range []bool{false, true} {
-		l, now := newTestLocal(), modelEpoch
-		limitAll(l, now)
-		admitted(l, now, 400, queuedTook, request())
+// TestLimitEndsAfterOverload checks that everything is admitted soon after the last slow answer, with
+// and without further answers.
+func TestLimitEndsAfterOverload(t *testing.T) {
+	for _, hasAnswers := range []bool{false, true} {
+		l, now := newTestLimiter(), modelEpoch
+		startLimit(l, now)
+		countAdmitted(l, now, 400, queuedLatency, newRequest())
 		now = now.Add(time.Second)
-		if answers {
-			admitted(l, now, 100, usualTook, request())
+		if hasAnswers {
+			countAdmitted(l, now, 100, baselineLatency, newRequest())
 		}
 		now = now.Add(time.Second)
-		require.Equal(t, 20, admitted(l, now, 20, usualTook, request()), "answers %v", answers)
+		require.Equal(t, 20, countAdmitted(l, now, 20, baselineLatency, newRequest()), "answers %v", hasAnswers)
 	}
 }
 
-// TestUrgentRequestsFirst: under a limit urgent requests are admitted before less urgent ones,
-// which keep a quarter of their part.
-func TestUrgentRequestsFirst(t *testing.T) {
-	l, now := newTestLocal(), modelEpoch
-	limitAll(l, now)
-	var got [2]int
+// TestUrgentRequestsAreAdmittedFirst checks that a limit prefers the higher priority without starving
+// the lower one.
+func TestUrgentRequestsAreAdmittedFirst(t *testing.T) {
+	l, now := newTestLimiter(), modelEpoch
+	startLimit(l, now)
+	var admitted [2]int
 	for position := range 4000 {
 		now = now.Add(2 * time.Millisecond)
 		if position%2 == 0 {
-			l.Note(now, answered(position%4, 90*time.Millisecond))
+			l.Observe(now, answered(position%4, 90*time.Millisecond))
 		}
-		ask := request()
-		ask.Priority = position % 2
-		if l.Admit(now, ask).Admitted {
-			got[ask.Priority]++
+		request := newRequest()
+		request.Priority = position % 2
+		if l.Admit(now, request).Admitted {
+			admitted[request.Priority]++
 		}
 	}
-	require.Greater(t, got[0], got[1])
-	require.Greater(t, got[1], got[0]/6)
+	require.Greater(t, admitted[0], admitted[1])
+	require.Greater(t, admitted[1], admitted[0]/6)
 }
 
-// TestRetryAfterIsSpread: those refused come back at many moments, none after a third of the time
-// that remains for it.
+// TestRetryAfterIsSpread checks that waits differ and stay within a third of the remaining time.
 func TestRetryAfterIsSpread(t *testing.T) {
-	seen := map[time.Duration]bool{}
+	distinct := map[time.Duration]bool{}
 	for position := range 100 {
-		after := RetryAfter(900*time.Millisecond, float64(position)/100)
-		require.LessOrEqual(t, after, 300*time.Millisecond)
-		require.Greater(t, after, time.Duration(0))
-		seen[after] = true
+		retryAfter := RetryAfter(900*time.Millisecond, float64(position)/100)
+		require.LessOrEqual(t, retryAfter, 300*time.Millisecond)
+		require.Greater(t, retryAfter, time.Duration(0))
+		distinct[retryAfter] = true
 	}
-	require.Greater(t, len(seen), 90)
+	require.Greater(t, len(distinct), 90)
 	require.Zero(t, RetryAfter(-time.Second, 0.5))
 }
 
-// TestTooLate: a request whose time is over before it could be served is refused.
+// TestTooLate checks that a request that cannot be answered before its deadline is refused.
 func TestTooLate(t *testing.T) {
-	l, now := newTestLocal(), modelEpoch
-	limitAll(l, now)
-	ask := request()
-	ask.Remaining = 50 * time.Millisecond
-	decision := l.Admit(now, ask)
+	l, now := newTestLimiter(), modelEpoch
+	startLimit(l, now)
+	request := newRequest()
+	request.Remaining = 50 * time.Millisecond
+	decision := l.Admit(now, request)
 	require.False(t, decision.Admitted)
 	require.Equal(t, TooLate, decision.Reason)
 }
 
-// TestToldLoadCounts: backends that tell a long queue are overloaded, however quick the answers
-// that tell it were; with an empty one they are not, however slow.
-func TestToldLoadCounts(t *testing.T) {
+// TestReportedLoadDeterminesDelay checks that a queue length reported by backends overrides the
+// latency of their answers.
+func TestReportedLoadDeterminesDelay(t *testing.T) {
 	for _, test := range []struct {
-		waiting int
-		took    time.Duration
-		limits  bool
-	}{{waiting: 24, took: usualTook, limits: true}, {waiting: 0, took: queuedTook, limits: false}} {
-		l, now := newTestLocal(), modelEpoch
-		learnUsual(l, now)
-		for backend := range keptSamples {
-			seen := answered(backend%4, test.took)
-			seen.Waiting, seen.Slots = test.waiting, 6
-			l.Note(now, seen)
+		waiting   int
+		latency   time.Duration
+		wantLimit bool
+	}{{waiting: 24, latency: baselineLatency, wantLimit: true}, {waiting: 0, latency: queuedLatency, wantLimit: false}} {
+		l, now := newTestLimiter(), modelEpoch
+		learnBaseline(l, now)
+		for backend := range maxSamples {
+			observation := answered(backend%4, test.latency)
+			observation.Waiting, observation.Slots = test.waiting, 6
+			l.Observe(now, observation)
 		}
-		require.Equal(t, test.limits, l.IsLimiting(now, "s"), "%d waiting", test.waiting)
+		require.Equal(t, test.wantLimit, l.IsLimiting(now, "s"), "%d waiting", test.waiting)
 	}
 }
 
-// TestForget drops services that are not limited.
-func TestForget(t *testing.T) {
-	l := newTestLocal()
-	learnUsual(l, modelEpoch)
-	l.Forget(func(string) bool { return false })
-	require.Empty(t, l.Standings(modelEpoch))
+// TestPrune checks that services without a limit are dropped.
+func TestPrune(t *testing.T) {
+	l := newTestLimiter()
+	learnBaseline(l, modelEpoch)
+	l.Prune(func(string) bool { return false })
+	require.Empty(t, l.Statuses(modelEpoch))
 }
 
-// TestShares checks what holds for each division: no more is admitted than the share, hardly less,
-// a caller that asks for less than another has no smaller a part, a more urgent class none smaller
-// than a less urgent one, and none is left without anything.
-func TestShares(t *testing.T) {
+// TestFairShares checks each division: the total matches the admitted fraction, lower priorities and
+// larger callers never get a larger fraction, and no caller gets nothing.
+func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		share := rapid.Float64Range(leastAdmitted, 1).Draw(t, "share")
+		admittedFraction := rapid.Float64Range(minAdmittedFraction, 1).Draw(t, "share")
 		callers := rapid.IntRange(1, 40).Draw(t, "callers")
-		var s shares
+		var s fairShares
 		now := modelEpoch
 		for position := range callers {
-			ask := Ask{
-				Tenant: fmt.Sprint(position), Priority: rapid.IntRange(0, ranks-1).Draw(t, "priority"),
-				Returning: rapid.Bool().Draw(t, "returning"),
+			request := Request{
+				Tenant: fmt.Sprint(position), Priority: rapid.IntRange(0, priorityLevels-1).Draw(t, "priority"),
+				IsRetry: rapid.Bool().Draw(t, "returning"),
 			}
 			for range rapid.IntRange(1, 60).Draw(t, "requests") {
-				s.ask(now, ask, share)
+				s.recordRequest(now, request, admittedFraction)
 			}
 		}
-		now = now.Add(divideTime)
-		s.divide(now, share)
-		total, taken := 0.0, 0.0
-		parts := map[*count]float64{}
+		now = now.Add(divideInterval)
+		s.divide(now, admittedFraction)
+		total, admitted := 0.0, 0.0
+		fractions := map[*counter]float64{}
 		for _, c := range s.active {
-			parts[c] = min(s.levels[c.class]/certain(c.number), 1)
-			total, taken = total+c.number, taken+c.number*parts[c]
-			require.Positive(t, parts[c])
+			fractions[c] = min(s.limits[c.class]/lowerEstimate(c.value), 1)
+			total, admitted = total+c.value, admitted+c.value*fractions[c]
+			require.Positive(t, fractions[c])
 		}
-		require.InDelta(t, share*total, taken, 0.01*total)
-		for class := 2; class < classes; class++ {
-			require.LessOrEqual(t, s.parts[class], s.parts[class-2])
+		require.InDelta(t, admittedFraction*total, admitted, 0.01*total)
+		for class := 2; class < classCount; class++ {
+			require.LessOrEqual(t, s.fractions[class], s.fractions[class-2])
 		}
-		for c, part := range parts {
-			for other, otherPart := range parts {
-				if c.class == other.class && c.number <= other.number {
-					require.GreaterOrEqual(t, part, otherPart)
+		for c, fraction := range fractions {
+			for other, otherFraction := range fractions {
+				if c.class == other.class && c.value <= other.value {
+					require.GreaterOrEqual(t, fraction, otherFraction)
 				}
 			}
 		}
 	})
 }
 
-// TestStateIsBounded: however many tenants there are, few are counted.
-func TestStateIsBounded(t *testing.T) {
+// TestCountersAreBounded checks that the number of counters is bounded for any number of tenants.
+func TestCountersAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now := newTestLocal(), modelEpoch
-		limitAll(l, now)
-		ask := request()
+		l, now := newTestLimiter(), modelEpoch
+		startLimit(l, now)
+		request := newRequest()
 		for position := range rapid.IntRange(1, 3000).Draw(t, "requests") {
-			ask.Tenant = fmt.Sprint(position)
-			ask.Priority = position % 5
+			request.Tenant = fmt.Sprint(position)
+			request.Priority = position % 5
 			now = now.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "gap")) * time.Millisecond)
-			l.Admit(now, ask)
+			l.Admit(now, request)
 		}
 		s := l.services["s"]
-		require.LessOrEqual(t, len(s.shares.callers), mostCallers)
-		require.LessOrEqual(t, len(s.shares.active), mostCallers+classes*sharedCounts)
+		require.LessOrEqual(t, len(s.fairShares.counters), maxCallers)
+		require.LessOrEqual(t, len(s.fairShares.active), maxCallers+classCount*sharedCounters)
 	})
 }
 
-// TestShareStaysInRange: whatever is seen, some requests are admitted, and after two quiet seconds
-// all are.
-func TestShareStaysInRange(t *testing.T) {
+// TestAdmittedFractionStaysInRange checks that the fraction stays within its bounds for any
+// observations, and that everything is admitted after two seconds without any.
+func TestAdmittedFractionStaysInRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now := newTestLocal(), modelEpoch
+		l, now := newTestLimiter(), modelEpoch
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond)
 			backend := rapid.IntRange(0, 5).Draw(t, "backend")
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				l.Note(now, refusedBy(backend))
+				l.Observe(now, refused(backend))
 			case 1:
-				l.Note(now, answered(backend, time.Duration(rapid.IntRange(0, 2000).Draw(t, "took"))*time.Millisecond))
+				l.Observe(now, answered(backend, time.Duration(rapid.IntRange(0, 2000).Draw(t, "took"))*time.Millisecond))
 			default:
-				l.Admit(now, request())
+				l.Admit(now, newRequest())
 			}
 			if s := l.services["s"]; s != nil {
-				require.GreaterOrEqual(t, s.share, leastAdmitted)
-				require.LessOrEqual(t, s.share, 1.0)
+				require.GreaterOrEqual(t, s.admittedFraction, minAdmittedFraction)
+				require.LessOrEqual(t, s.admittedFraction, 1.0)
 			}
 		}
 		now = now.Add(2 * time.Second)
-		l.Admit(now, request())
-		require.True(t, l.Admit(now.Add(stepTime), request()).Admitted)
+		l.Admit(now, newRequest())
+		require.True(t, l.Admit(now.Add(updateInterval), newRequest()).Admitted)
 	})
 }
--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -9,477 +9,477 @@
 	"time"
 )
 
-// load is what a model of gateways, backends and callers is run with.
-type load struct {
-	gateways, backends, slots, queue int
-	// factor is the rate of first tries in the surge as a multiple of what all backends serve, and
-	// before how much of it comes before and after.
-	factor, before float64
-	// down backends are away during the surge.
-	down  int
-	surge time.Duration
-	// tenants is the number of tenants, of which the first has as many requests as all others; 0
-	// for none.
+// scenario configures a simulation of callers, gateways and backends.
+type scenario struct {
+	gateways, backends, slots, queueLength int
+	// surgeLoad and baseLoad are the rates of first attempts during the surge and outside of it, as
+	// multiples of the capacity of all backends.
+	surgeLoad, baseLoad float64
+	// downBackends is the number of backends that are down during the surge.
+	downBackends  int
+	surgeDuration time.Duration
+	// tenants is the number of tenants, 0 for none. The first one sends half of the requests.
 	tenants int
-	// speeds multiply the work of the first backends.
-	speeds []float64
-	// urgent is the part of requests with priority 0; the others have 1.
-	urgent float64
-	// tells is set if backends tell their load.
-	tells bool
-	// floods is set if gateways hedge and send a second time as long as nothing limits.
-	floods bool
-	seed   uint64
-	limit  func(random *rand.Rand) Limiter
-	// returnAfter is the time after which callers come back that are told nothing.
-	returnAfter time.Duration
+	// workFactors multiply the work time of the first backends.
+	workFactors []float64
+	// urgentFraction is the fraction of requests with priority 0; the others have priority 1.
+	urgentFraction float64
+	// reportsLoad is set if backends report their load.
+	reportsLoad bool
+	// hedges is set if gateways hedge requests while there is no limit.
+	hedges     bool
+	seed       uint64
+	newLimiter func(random *rand.Rand) Limiter
+	// defaultRetryAfter is the wait of callers that were refused without a RetryAfter.
+	defaultRetryAfter time.Duration
 }
 
 const (
-	modelTarget   = 150 * time.Millisecond
-	modelDeadline = 800 * time.Millisecond
-	modelWork     = 25 * time.Millisecond
-	clientLeg     = 3 * time.Millisecond
-	backendLeg    = 800 * time.Microsecond
-	calm          = 3 * time.Second
+	modelTarget    = 150 * time.Millisecond
+	modelDeadline  = 800 * time.Millisecond
+	modelWorkTime  = 25 * time.Millisecond
+	clientLatency  = 3 * time.Millisecond
+	backendLatency = 800 * time.Microsecond
+	calmDuration   = 3 * time.Second
 )
 
-func (l load) capacity(backends int) float64 {
-	return float64(backends*l.slots) / modelWork.Seconds()
+func (s scenario) capacity(backends int) float64 {
+	return float64(backends*s.slots) / modelWorkTime.Seconds()
 }
 
-// tally counts requests by what their callers got.
-type tally struct {
-	owed, inAim, inAimSecond, late, refusedTwice, refusedOnce, failed, sends int
-	byTenant                                                                 map[int]*[2]int
-	byPriority                                                               [2][2]int
-	// before and after count refusals outside of the surge.
+// results counts requests of the surge by outcome.
+type results struct {
+	offered, inTarget, retriedInTarget, late, refusedTwice, refusedOnce, failed, attempts int
+	byTenant                                                                              map[int]*[2]int
+	byPriority                                                                            [2][2]int
+	// refusedBefore and refusedAfter count refusals outside of the surge.
 	refusedBefore, refusedAfter int
-	worth                       float64
-	limited                     int
-	// idleRefusals came while fewer than half of the places were taken.
-	idleRefusals int
-	lastRefused  time.Duration
-}
-
-type modelCall struct {
-	began, sentAt  time.Duration
-	tenant         int
-	priority       int
-	again          bool
-	gateway        int
-	inSurge        bool
-	done           bool
-	pending, tried int
-	unreached      int
-	// triedAt has a bit for each backend.
-	triedAt uint64
-}
-
-type modelJob struct {
-	call    *modelCall
-	gateway int
-	backend int
-	began   time.Duration
+	reward                      float64
+	notAdmitted                 int
+	// idleRefusals counts refusals while fewer than half of the slots were in use.
+	idleRefusals  int
+	lastRefusedAt time.Duration
+}
+
+type modelRequest struct {
+	startedAt, sentAt time.Duration
+	tenant            int
+	priority          int
+	isRetry           bool
+	gateway           int
+	inSurge           bool
+	done              bool
+	pending, attempts int
+	unreached         int
+	// triedBackends is a bit set of backend indexes.
+	triedBackends uint64
+}
+
+type modelAttempt struct {
+	request   *modelRequest
+	gateway   int
+	backend   int
+	startedAt time.Duration
 }
 
 type modelBackend struct {
-	running int
-	waiting []*modelJob
-	down    bool
-	speed   float64
+	running    int
+	waiting    []*modelAttempt
+	down       bool
+	workFactor float64
 }
 
-type modelView struct {
-	latency  float64
-	inFlight int
-	avoided  time.Duration
+type backendView struct {
+	latency      float64
+	inFlight     int
+	avoidedUntil time.Duration
 }
 
 type modelGateway struct {
 	limiter Limiter
-	views   []modelView
+	views   []backendView
 }
 
 type modelEvent struct {
-	at     time.Duration
-	number int
-	do     func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-type modelQueue []modelEvent
+type eventQueue []modelEvent
 
-func (q modelQueue) Len() int { return len(q) }
-func (q modelQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
-func (q modelQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *modelQueue) Push(x any)   { *q = append(*q, x.(modelEvent)) }
-func (q *modelQueue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(modelEvent)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return last
 }
 
-// model runs a load in virtual time.
+// model simulates a scenario in virtual time.
 type model struct {
-	load
-	tally
-	random  *rand.Rand
-	now     time.Duration
-	count   int
-	events  modelQueue
-	gates   []*modelGateway
-	servers []*modelBackend
+	scenario
+	results
+	random          *rand.Rand
+	now             time.Duration
+	scheduledEvents int
+	events          eventQueue
+	gatewayStates   []*modelGateway
+	backendStates   []*modelBackend
 }
 
 var modelEpoch = time.Unix(1_000_000, 0)
 
-func (m *model) at(delay time.Duration, do func()) {
-	m.count++
-	heap.Push(&m.events, modelEvent{m.now + delay, m.count, do})
+func (m *model) schedule(delay time.Duration, run func()) {
+	m.scheduledEvents++
+	heap.Push(&m.events, modelEvent{m.now + delay, m.scheduledEvents, run})
 }
 
-func (m *model) clock() time.Time { return modelEpoch.Add(m.now) }
+func (m *model) currentTime() time.Time { return modelEpoch.Add(m.now) }
 
-// run plays calm, surge and calm, and returns the tally of those that came in the surge.
-func (l load) run() *model {
-	m := &model{load: l, random: rand.New(rand.NewPCG(l.seed, 1))}
+// run simulates a calm period, the surge and another calm period.
+func (s scenario) run() *model {
+	m := &model{scenario: s, random: rand.New(rand.NewPCG(s.seed, 1))}
 	m.byTenant = map[int]*[2]int{}
-	for position := range l.gateways {
-		m.gates = append(m.gates, &modelGateway{
-			limiter: l.limit(rand.New(rand.NewPCG(l.seed, uint64(position)+2))), views: make([]modelView, l.backends),
+	for position := range s.gateways {
+		m.gatewayStates = append(m.gatewayStates, &modelGateway{
+			limiter: s.newLimiter(rand.New(rand.NewPCG(s.seed, uint64(position)+2))), views: make([]backendView, s.backends),
 		})
 	}
-	for position := range l.backends {
-		speed := 1.0
-		if position < len(l.speeds) {
-			speed = l.speeds[position]
+	for position := range s.backends {
+		workFactor := 1.0
+		if position < len(s.workFactors) {
+			workFactor = s.workFactors[position]
 		}
-		m.servers = append(m.servers, &modelBackend{speed: speed})
+		m.backendStates = append(m.backendStates, &modelBackend{workFactor: workFactor})
 	}
-	m.arrive()
-	m.at(calm, func() { m.setDown(true) })
-	m.at(calm+l.surge, func() { m.setDown(false) })
+	m.scheduleArrival()
+	m.schedule(calmDuration, func() { m.setDown(true) })
+	m.schedule(calmDuration+s.surgeDuration, func() { m.setDown(false) })
 	for len(m.events) > 0 {
 		next := heap.Pop(&m.events).(modelEvent)
 		m.now = next.at
-		next.do()
+		next.run()
 	}
 	return m
 }
 
 func (m *model) setDown(down bool) {
-	for _, backend := range m.servers[:m.down] {
+	for _, backend := range m.backendStates[:m.downBackends] {
 		backend.down = down
-		for _, job := range backend.waiting {
-			m.end(job, false)
+		for _, attempt := range backend.waiting {
+			m.failAttempt(attempt, false)
 		}
 		backend.waiting = nil
 	}
 }
 
-func (m *model) inSurge() bool { return m.now >= calm && m.now < calm+m.surge }
+func (m *model) inSurge() bool { return m.now >= calmDuration && m.now < calmDuration+m.surgeDuration }
 
-// arrive lets the next first try come.
-func (m *model) arrive() {
-	if m.now >= 2*calm+m.surge {
+// scheduleArrival schedules the next first attempt.
+func (m *model) scheduleArrival() {
+	if m.now >= 2*calmDuration+m.surgeDuration {
 		return
 	}
-	rate := m.before * m.capacity(m.backends)
+	rate := m.baseLoad * m.capacity(m.backends)
 	if m.inSurge() {
-		rate = m.factor * m.capacity(m.backends)
+		rate = m.surgeLoad * m.capacity(m.backends)
 	}
-	// Gaps are short enough that the surge begins and ends in time.
+	// A gap ends at the start of the surge, when the rate changes.
 	gap := time.Duration(m.random.ExpFloat64() / rate * float64(time.Second))
-	if edge := calm - m.now; edge > 0 && gap > edge {
-		m.at(edge, m.arrive)
+	if edge := calmDuration - m.now; edge > 0 && gap > edge {
+		m.schedule(edge, m.scheduleArrival)
 		return
 	}
-	m.at(gap, func() {
-		call := &modelCall{began: m.now, inSurge: m.inSurge(), priority: 1}
+	m.schedule(gap, func() {
+		request := &modelRequest{startedAt: m.now, inSurge: m.inSurge(), priority: 1}
 		if m.tenants > 0 && m.random.Float64() < 0.5 {
-			call.tenant = 1 + m.random.IntN(m.tenants-1)
+			request.tenant = 1 + m.random.IntN(m.tenants-1)
 		}
-		if m.random.Float64() < m.urgent {
-			call.priority = 0
+		if m.random.Float64() < m.urgentFraction {
+			request.priority = 0
 		}
-		if call.inSurge {
-			m.owed++
-			m.tenant(call)[0]++
-			m.byPriority[call.priority][0]++
+		if request.inSurge {
+			m.offered++
+			m.tenantCounts(request)[0]++
+			m.byPriority[request.priority][0]++
 		}
-		m.at(clientLeg, func() { m.enter(call) })
-		m.arrive()
+		m.schedule(clientLatency, func() { m.receive(request) })
+		m.scheduleArrival()
 	})
 }
 
-func (m *model) tenant(call *modelCall) *[2]int {
-	t := m.byTenant[call.tenant]
-	if t == nil {
-		t = &[2]int{}
-		m.byTenant[call.tenant] = t
+func (m *model) tenantCounts(request *modelRequest) *[2]int {
+	counts := m.byTenant[request.tenant]
+	if counts == nil {
+		counts = &[2]int{}
+		m.byTenant[request.tenant] = counts
 	}
-	return t
+	return counts
 }
 
-// enter is a try that reaches a gateway.
-func (m *model) enter(call *modelCall) {
-	call.gateway = m.random.IntN(m.gateways)
-	call.sentAt, call.done, call.tried, call.unreached, call.pending, call.triedAt = m.now, false, 0, 0, 0, 0
-	gate := m.gates[call.gateway]
-	ask := Ask{
-		Service: "s", Priority: call.priority, Returning: call.again, Target: modelTarget,
-		Remaining: modelDeadline - (m.now - call.began),
+// receive handles an attempt of a caller at a gateway.
+func (m *model) receive(request *modelRequest) {
+	request.gateway = m.random.IntN(m.gateways)
+	request.sentAt, request.done, request.attempts, request.unreached, request.pending, request.triedBackends = m.now, false, 0, 0, 0, 0
+	gateway := m.gatewayStates[request.gateway]
+	admissionRequest := Request{
+		Service: "s", Priority: request.priority, IsRetry: request.isRetry, Target: modelTarget,
+		Remaining: modelDeadline - (m.now - request.startedAt),
 	}
 	if m.tenants > 0 {
-		ask.Tenant = strconv.Itoa(call.tenant)
+		admissionRequest.Tenant = strconv.Itoa(request.tenant)
 	}
-	decision := gate.limiter.Admit(m.clock(), ask)
+	decision := gateway.limiter.Admit(m.currentTime(), admissionRequest)
 	if !decision.Admitted {
-		m.limited++
-		m.noteIdle()
-		m.refused(call, decision.RetryAfter)
+		m.notAdmitted++
+		m.countIdleRefusal()
+		m.refuse(request, decision.RetryAfter)
 		return
 	}
-	m.send(call)
-	m.hedge(call)
+	m.send(request)
+	m.hedge(request)
 }
 
-// noteIdle counts a refusal while there was room.
-func (m *model) noteIdle() {
-	taken, places, waiting := 0, 0, 0
-	for _, backend := range m.servers {
+// countIdleRefusal counts a refusal while backends had free capacity.
+func (m *model) countIdleRefusal() {
+	running, slots, waiting := 0, 0, 0
+	for _, backend := range m.backendStates {
 		if !backend.down {
-			taken += backend.running
-			places += m.slots
+			running += backend.running
+			slots += m.slots
 			waiting += len(backend.waiting)
 		}
 	}
-	if taken*2 < places && waiting == 0 {
+	if running*2 < slots && waiting == 0 {
 		m.idleRefusals++
 	}
 }
 
-func (m *model) hedge(call *modelCall) {
+func (m *model) hedge(request *modelRequest) {
 	sent := m.now
-	m.at(modelTarget/2, func() {
-		if m.floods && !call.done && call.sentAt == sent && !m.gates[call.gateway].limiter.IsLimiting(m.clock(), "s") {
-			m.send(call)
-			m.hedge(call)
+	m.schedule(modelTarget/2, func() {
+		if m.hedges && !request.done && request.sentAt == sent && !m.gatewayStates[request.gateway].limiter.IsLimiting(m.currentTime(), "s") {
+			m.send(request)
+			m.hedge(request)
 		}
 	})
 }
 
-// send asks the backend that seems quickest.
-func (m *model) send(call *modelCall) bool {
-	if call.tried >= 2 {
+// send sends the request to the backend with the lowest estimated cost.
+func (m *model) send(request *modelRequest) bool {
+	if request.attempts >= 2 {
 		return false
 	}
-	gate := m.gates[call.gateway]
-	best, cost := -1, 0.0
-	for position := range m.servers {
-		view := &gate.views[position]
-		if call.triedAt&(1<<position) != 0 {
+	gateway := m.gatewayStates[request.gateway]
+	best, bestCost := -1, 0.0
+	for position := range m.backendStates {
+		view := &gateway.views[position]
+		if request.triedBackends&(1<<position) != 0 {
 			continue
 		}
-		rated := max(view.latency, 10) * float64(view.inFlight+1) * (1 + 0.2*m.random.Float64())
-		if m.now < view.avoided {
-			rated += 1e6
+		cost := max(view.latency, 10) * float64(view.inFlight+1) * (1 + 0.2*m.random.Float64())
+		if m.now < view.avoidedUntil {
+			cost += 1e6
 		}
-		if best < 0 || rated < cost {
-			best, cost = position, rated
+		if best < 0 || cost < bestCost {
+			best, bestCost = position, cost
 		}
 	}
 	if best < 0 {
 		return false
 	}
-	call.tried++
-	call.triedAt |= 1 << best
-	call.pending++
-	gate.views[best].inFlight++
-	if call.inSurge {
-		m.sends++
+	request.attempts++
+	request.triedBackends |= 1 << best
+	request.pending++
+	gateway.views[best].inFlight++
+	if request.inSurge {
+		m.attempts++
 	}
-	job := &modelJob{call: call, gateway: call.gateway, backend: best, began: m.now}
-	m.at(backendLeg, func() { m.reach(job) })
+	attempt := &modelAttempt{request: request, gateway: request.gateway, backend: best, startedAt: m.now}
+	m.schedule(backendLatency, func() { m.deliver(attempt) })
 	return true
 }
 
-func (m *model) reach(job *modelJob) {
-	backend := m.servers[job.backend]
+func (m *model) deliver(attempt *modelAttempt) {
+	backend := m.backendStates[attempt.backend]
 	switch {
 	case backend.down:
-		m.at(backendLeg, func() { m.end(job, false) })
+		m.schedule(backendLatency, func() { m.failAttempt(attempt, false) })
 	case backend.running < m.slots:
-		m.work(job)
-	case len(backend.waiting) < m.queue:
-		backend.waiting = append(backend.waiting, job)
+		m.execute(attempt)
+	case len(backend.waiting) < m.queueLength:
+		backend.waiting = append(backend.waiting, attempt)
 	default:
-		m.at(backendLeg, func() { m.end(job, true) })
+		m.schedule(backendLatency, func() { m.failAttempt(attempt, true) })
 	}
 }
 
-func (m *model) work(job *modelJob) {
-	backend := m.servers[job.backend]
+func (m *model) execute(attempt *modelAttempt) {
+	backend := m.backendStates[attempt.backend]
 	backend.running++
 	const spread = 0.47
-	work := modelWork.Seconds() * 0.96 * math.Exp(m.random.NormFloat64()*spread-spread*spread/2) * backend.speed
+	workTime := modelWorkTime.Seconds() * 0.96 * math.Exp(m.random.NormFloat64()*spread-spread*spread/2) * backend.workFactor
 	if m.random.Float64() < 0.01 {
-		work *= 5
+		workTime *= 5
 	}
-	m.at(time.Duration(work*float64(time.Second)), func() {
+	m.schedule(time.Duration(workTime*float64(time.Second)), func() {
 		backend.running--
-		m.next(backend)
-		observed := Observation{Service: "s", Backend: strconv.Itoa(job.backend), Answered: true}
-		if m.tells {
+		m.executeNext(backend)
+		observed := Observation{Service: "s", Backend: strconv.Itoa(attempt.backend), Answered: true}
+		if m.reportsLoad {
 			observed.Waiting, observed.Slots = len(backend.waiting), m.slots
 		}
-		m.at(backendLeg, func() { m.answer(job, observed) })
+		m.schedule(backendLatency, func() { m.completeAttempt(attempt, observed) })
 	})
 }
 
-func (m *model) next(backend *modelBackend) {
+func (m *model) executeNext(backend *modelBackend) {
 	for len(backend.waiting) > 0 {
-		job := backend.waiting[0]
+		attempt := backend.waiting[0]
 		backend.waiting = backend.waiting[1:]
-		if !job.call.done {
-			m.work(job)
+		if !attempt.request.done {
+			m.execute(attempt)
 			return
 		}
 	}
 }
 
-func (m *model) answer(job *modelJob, observed Observation) {
-	gate, call := m.gates[job.gateway], job.call
-	view := &gate.views[job.backend]
+func (m *model) completeAttempt(attempt *modelAttempt, observed Observation) {
+	gateway, request := m.gatewayStates[attempt.gateway], attempt.request
+	view := &gateway.views[attempt.backend]
 	view.inFlight--
-	took := m.now - job.began
-	view.latency += 0.2 * (took.Seconds()*1000 - view.latency)
-	view.avoided = 0
-	if call.done {
+	latency := m.now - attempt.startedAt
+	view.latency += 0.2 * (latency.Seconds()*1000 - view.latency)
+	view.avoidedUntil = 0
+	if request.done {
 		return
 	}
-	observed.Took = took
-	gate.limiter.Note(m.clock(), observed)
-	call.done = true
-	m.at(clientLeg, func() { m.served(call) })
+	observed.Latency = latency
+	gateway.limiter.Observe(m.currentTime(), observed)
+	request.done = true
+	m.schedule(clientLatency, func() { m.recordAnswer(request) })
 }
 
-// end is an attempt without an answer.
-func (m *model) end(job *modelJob, refused bool) {
-	gate, call := m.gates[job.gateway], job.call
-	view := &gate.views[job.backend]
+// failAttempt ends an attempt without an answer.
+func (m *model) failAttempt(attempt *modelAttempt, refused bool) {
+	gateway, request := m.gatewayStates[attempt.gateway], attempt.request
+	view := &gateway.views[attempt.backend]
 	view.inFlight--
-	call.pending--
-	if !refused && call.unreached < 3 {
-		// It was not sent, and does not count.
-		call.unreached++
-		call.tried--
-	}
-	view.avoided = m.now + 1500*time.Millisecond
-	limits := false
+	request.pending--
+	if !refused && request.unreached < 3 {
+		// The backend was not reached, so the attempt does not count.
+		request.unreached++
+		request.attempts--
+	}
+	view.avoidedUntil = m.now + 1500*time.Millisecond
+	isLimiting := false
 	if refused {
-		view.avoided = m.now + 50*time.Millisecond
-		gate.limiter.Note(m.clock(), Observation{Service: "s", Backend: strconv.Itoa(job.backend), Refused: true})
-		limits = gate.limiter.IsLimiting(m.clock(), "s")
+		view.avoidedUntil = m.now + 50*time.Millisecond
+		gateway.limiter.Observe(m.currentTime(), Observation{Service: "s", Backend: strconv.Itoa(attempt.backend), Refused: true})
+		isLimiting = gateway.limiter.IsLimiting(m.currentTime(), "s")
 	}
-	if call.done || !limits && m.send(call) || call.pending > 0 {
+	if request.done || !isLimiting && m.send(request) || request.pending > 0 {
 		return
 	}
-	call.done = true
-	m.refused(call, 0)
+	request.done = true
+	m.refuse(request, 0)
 }
 
-// refused is a refusal on its way to the caller.
-func (m *model) refused(call *modelCall, after time.Duration) {
-	if after == 0 {
-		after = m.returnAfter
+// refuse returns a refusal to the caller, which retries once.
+func (m *model) refuse(request *modelRequest, retryAfter time.Duration) {
+	if retryAfter == 0 {
+		retryAfter = m.defaultRetryAfter
 	}
-	if !call.inSurge {
-		if m.now < calm {
+	if !request.inSurge {
+		if m.now < calmDuration {
 			m.refusedBefore++
 		} else {
 			m.refusedAfter++
 		}
 	}
-	m.lastRefused = max(m.lastRefused, m.now)
-	if call.again {
-		if call.inSurge {
+	m.lastRefusedAt = max(m.lastRefusedAt, m.now)
+	if request.isRetry {
+		if request.inSurge {
 			m.refusedTwice++
-			m.worth -= 0.06
+			m.reward -= 0.06
 		}
 		return
 	}
-	if call.inSurge {
+	if request.inSurge {
 		m.refusedOnce++
 	}
-	call.again = true
-	// The caller opens a connection before it sends.
-	m.at(clientLeg+after+3*clientLeg, func() { m.enter(call) })
+	request.isRetry = true
+	// The caller opens a connection before it sends the retry.
+	m.schedule(clientLatency+retryAfter+3*clientLatency, func() { m.receive(request) })
 }
 
-func (m *model) served(call *modelCall) {
-	if !call.inSurge {
+func (m *model) recordAnswer(request *modelRequest) {
+	if !request.inSurge {
 		return
 	}
-	m.tenant(call)[1]++
-	m.byPriority[call.priority][1]++
-	took, since := m.now-call.began, m.now-call.sentAt+clientLeg
+	m.tenantCounts(request)[1]++
+	m.byPriority[request.priority][1]++
+	latency, attemptLatency := m.now-request.startedAt, m.now-request.sentAt+clientLatency
 	switch {
-	case took > modelDeadline:
+	case latency > modelDeadline:
 		m.failed++
 		return
-	case took <= modelTarget:
-		m.inAim++
-		m.worth += 0.2
-	case call.again && since <= modelTarget:
-		m.inAimSecond++
-		m.worth += 0.125
+	case latency <= modelTarget:
+		m.inTarget++
+		m.reward += 0.2
+	case request.isRetry && attemptLatency <= modelTarget:
+		m.retriedInTarget++
+		m.reward += 0.125
 	default:
 		m.late++
-		m.worth += 0.05
+		m.reward += 0.05
 	}
 }
 
-// possible is what the backends could have run in the surge.
-func (m *model) possible() float64 {
-	return min(float64(m.owed), m.capacity(m.backends-m.down)*m.surge.Seconds())
+// servable returns the number of requests that the backends could have served in the surge.
+func (m *model) servable() float64 {
+	return min(float64(m.offered), m.capacity(m.backends-m.downBackends)*m.surgeDuration.Seconds())
 }
 
-// fairLevel returns the most that a tenant gets if all that were served are shared by max-min.
+// fairLevel returns the largest number of answers per tenant under max-min fairness.
 func (m *model) fairLevel() float64 {
-	owed, rest := []int{}, 0.0
+	offered, remaining := []int{}, 0.0
 	for _, t := range m.byTenant {
-		owed, rest = append(owed, t[0]), rest+float64(t[1])
+		offered, remaining = append(offered, t[0]), remaining+float64(t[1])
 	}
-	slices.Sort(owed)
-	for position, number := range owed {
-		if equal := rest / float64(len(owed)-position); float64(number) >= equal {
-			return equal
+	slices.Sort(offered)
+	for position, count := range offered {
+		if equalShare := remaining / float64(len(offered)-position); float64(count) >= equalShare {
+			return equalShare
 		}
-		rest -= float64(number)
+		remaining -= float64(count)
 	}
 	return math.Inf(1)
 }
 
-// leastFairness returns the least part of its share that a tenant got.
-func (m *model) leastFairness() float64 {
-	level, least := m.fairLevel(), 1.0
+// minFairness returns the smallest fraction of its fair share that any tenant got.
+func (m *model) minFairness() float64 {
+	fairLevel, fairness := m.fairLevel(), 1.0
 	for _, t := range m.byTenant {
-		least = min(least, float64(t[1])/min(float64(t[0]), level))
+		fairness = min(fairness, float64(t[1])/min(float64(t[0]), fairLevel))
 	}
-	return least
+	return fairness
 }
 
-// fairnessOfSmall returns the part of their shares that all tenants but the large one got.
-func (m *model) fairnessOfSmall() float64 {
-	level, fair, got := m.fairLevel(), 0.0, 0.0
+// smallTenantFairness returns the fraction of their fair shares that all tenants but the large one
+// got.
+func (m *model) smallTenantFairness() float64 {
+	fairLevel, fair, served := m.fairLevel(), 0.0, 0.0
 	for name, t := range m.byTenant {
 		if name > 0 {
-			fair, got = fair+min(float64(t[0]), level), got+float64(t[1])
+			fair, served = fair+min(float64(t[0]), fairLevel), served+float64(t[1])
 		}
 	}
-	return got / max(fair, 1)
+	return served / max(fair, 1)
 }
--- a/admission/service.go
+++ b/admission/service.go
@@ -8,217 +8,219 @@
 )
 
 const (
-	// keptSamples is the number of newest attempts by which a service is judged.
-	keptSamples = 8
-	// newestAnswers of them tell the delay.
-	newestAnswers = 5
-	// fewSamples are needed before a limit begins: one or two slow answers are no overload.
-	fewSamples = 4
-	// sampleLife is how long an attempt counts, as long as there is no limit.
-	sampleLife = 2 * time.Second
-	// leastSilence and mostSilence bound how long after the newest attempt a share begins to grow by
-	// itself; between them it is silentGaps times the usual gap between two that are admitted.
-	leastSilence = 400 * time.Millisecond
-	mostSilence  = 1500 * time.Millisecond
-	silentGaps   = 3
-
-	// queueShare of what the target leaves beyond the usual time may be spent in queues. Of the
-	// rest, half is for work that takes longer than usual, and half for what the share overshoots.
-	queueShare = 0.35
-	// beginFactor is how much more than that a limit begins at: a queue comes and goes below the
-	// capacity too.
-	beginFactor = 1.3
-
-	// deviations of the work's time from the usual one are no queue.
-	deviations = 3
-
-	// stepTime is the time between two changes of a share.
-	stepTime = 25 * time.Millisecond
-	// longestStep bounds what one change makes up for.
-	longestStep = 250 * time.Millisecond
-	// proportional and integral are the gains of the share's logarithm: for a change of the delay
-	// by what may be spent in queues, and for such a delay too much in a second.
-	proportional = 0.5
-	integral     = 0.5
-	// emptyBelow is the delay, as its part too much, below which there is hardly a queue.
-	emptyBelow = -0.5
-	// growth is the rate a second at which the share grows while there is hardly a queue.
-	growth = 3.0
-	// silentGrowth is the rate while nothing is heard: nobody asks any more, or backends are away.
+	// maxSamples is the number of recent attempts kept for each service.
+	maxSamples = 8
+	// delaySamples is the number of recent answers from which the queue delay is computed.
+	delaySamples = 5
+	// minSamples answers are needed to start a limit, so that one or two slow ones do not.
+	minSamples = 4
+	// sampleTTL is how long a sample is used while there is no limit.
+	sampleTTL = 2 * time.Second
+	// minSilence and maxSilence bound the time without samples after which the admitted fraction
+	// grows. Between them it is silenceGaps times the mean time between admitted requests.
+	minSilence  = 400 * time.Millisecond
+	maxSilence  = 1500 * time.Millisecond
+	silenceGaps = 3
+
+	// queueBudgetFraction is the part of the time between the baseline latency and the target that
+	// queuing may use. The rest allows for variation of the work and for overshoot of the control
+	// loop.
+	queueBudgetFraction = 0.35
+	// limitStartFactor times the queue delay budget starts a limit: short queues also form below
+	// capacity.
+	limitStartFactor = 1.3
+
+	// toleratedDeviations is the multiple of the latency deviation that does not count as queuing.
+	toleratedDeviations = 3
+
+	// updateInterval is the shortest time between two updates of the admitted fraction.
+	updateInterval = 25 * time.Millisecond
+	// maxUpdateStep bounds the time that one update accounts for.
+	maxUpdateStep = 250 * time.Millisecond
+	// proportionalGain and integralGain are the gains of the controller of the fraction's logarithm.
+	// The error is the queue delay relative to its budget; integralGain applies per second.
+	proportionalGain = 0.5
+	integralGain     = 0.5
+	// emptyQueueError is the error below which queues count as empty.
+	emptyQueueError = -0.5
+	// emptyQueueGrowth is the growth rate per second of the fraction while queues are empty.
+	emptyQueueGrowth = 3.0
+	// silentGrowth is the growth rate per second while there are no answers.
 	silentGrowth = 10.0
-	// leak is the rate a second at which the share's logarithm goes back to 0, by leakBound at
-	// most: all processes come to much the same share, whatever each has met.
-	leak      = 0.2
-	leakBound = 1.0
-	// refusalCut is the part of the share that a backend's refusal takes.
-	refusalCut = 0.25
-	// leastAdmitted keeps some requests going, which show when there is room again.
-	leastAdmitted = 0.02
-	// calmTime is how long everything must have been admitted before the limit ends.
-	calmTime = 300 * time.Millisecond
-	// unlearnTime is how long answers may be late under a limit before they count as usual, as long
-	// as no backend has refused anything: that work has become slower is likelier then.
-	unlearnTime = time.Second
-	// mostUnlearnt is the part of the target up to which the usual time is raised so. Beyond it a
-	// limit does good in any case.
-	mostUnlearnt = 0.5
-	// usualWeight is that of an answer in the usual time, and limitedWeight that of one which is
-	// quicker under a limit.
-	usualWeight   = 0.05
-	limitedWeight = 0.25
-	// arrivalsLife, answersLife and allowedLife are the times by which the rates of requests, of
-	// answers and of those admitted under a limit are smoothed.
-	arrivalsLife = 200 * time.Millisecond
-	answersLife  = 500 * time.Millisecond
-	allowedLife  = 2 * time.Second
-	// overPart of the rate that was admitted under a limit is well below what can be served: when
-	// fewer requests than that come, the surge is over.
-	overPart = 0.7
-	// quietGaps is how many times the usual gap between two requests is no chance.
-	quietGaps = 8
+	// leakRate is the rate per second at which the fraction's logarithm returns to 0, and maxLeakInput
+	// bounds the logarithm it applies to. The leak makes the fractions of all processes converge.
+	leakRate     = 0.2
+	maxLeakInput = 1.0
+	// refusalDecrease is the relative decrease of the fraction for a backend's refusal.
+	refusalDecrease = 0.25
+	// minAdmittedFraction keeps some requests going to detect recovery.
+	minAdmittedFraction = 0.02
+	// limitEndDelay is how long everything must be admitted before the limit ends.
+	limitEndDelay = 300 * time.Millisecond
+	// baselineRaiseDelay is how long answers must be slow under a limit before the baseline is raised,
+	// if no backend has refused requests: without refusals the work itself has probably become slower.
+	baselineRaiseDelay = time.Second
+	// maxRaisedBaseline is the largest fraction of the target to which the baseline is raised.
+	maxRaisedBaseline = 0.5
+	// baselineWeight is the weight of an answer in the moving average of the baseline, and
+	// limitedBaselineWeight that of a faster answer under a limit.
+	baselineWeight        = 0.05
+	limitedBaselineWeight = 0.25
+	// Time constants of the smoothed rates of arrivals, of answers and of requests admitted under a
+	// limit.
+	arrivalTimeConstant  = 200 * time.Millisecond
+	answerTimeConstant   = 500 * time.Millisecond
+	admittedTimeConstant = 2 * time.Second
+	// surgeEndFraction of the rate admitted under a limit is well below capacity: at a lower rate of
+	// arrivals the surge has ended.
+	surgeEndFraction = 0.7
+	// surgeEndGaps is the multiple of the mean time between arrivals that counts as the end of a
+	// surge.
+	surgeEndGaps = 8
 )
 
-// sample is what an attempt has shown.
+// sample is the outcome of one attempt.
 type sample struct {
 	at      time.Time
 	backend uint64
-	took    time.Duration
+	latency time.Duration
 	refused bool
 }
 
-// service is what is known of a service.
+// service is the state of one service: its latency baseline, recent samples and limit.
 type service struct {
 	target time.Duration
-	// usual is the time of an answer without a queue, and deviation how far answers are from it.
-	usual, deviation time.Duration
-	learnt           int
-	samples          [keptSamples]sample
-	next             int
+	// baseline is the latency without queuing, and deviation the mean deviation from it.
+	baseline, deviation time.Duration
+	baselineSamples     int
+	samples             [maxSamples]sample
+	nextSample          int
 
 	limiting bool
-	// share is the part of the requests that is admitted.
-	share float64
-	// movedAt is when the share was last changed.
-	movedAt   time.Time
+	// admittedFraction is the fraction of requests that is admitted.
+	admittedFraction float64
+	// updatedAt is the time of the last update of the fraction.
+	updatedAt time.Time
 	lastError float64
-	// openAt is since when everything is admitted, and slowAt since when answers are late.
-	openAt, slowAt time.Time
+	// unlimitedSince is the time since which everything is admitted, and slowSince the time since
+	// which answers are slow.
+	unlimitedSince, slowSince time.Time
 	// wasFull is set once a backend's refusal under the limit has shown that the service is full.
-	wasFull bool
-	shares  shares
-	// arrivals, answers and allowed are the rates of requests, of answers, and of requests that
-	// were admitted under a limit.
-	arrivals, answers, allowed rate
+	wasFull    bool
+	fairShares fairShares
+	// admittedRate is the rate of requests admitted under a limit.
+	arrivalRate, answerRate, admittedRate rate
 
-	admitted, beyondShare, lessUrgent, tooLate uint64
+	admitted, shareExceeded, lowPriority, tooLate uint64
 }
 
-// noteTarget keeps the shortest target of the service's requests.
-func (s *service) noteTarget(target time.Duration) {
+// lowerTarget keeps the shortest target of the service's requests.
+func (s *service) lowerTarget(target time.Duration) {
 	if target > 0 && (s.target == 0 || target < s.target) {
 		s.target = target
 	}
 }
 
-// allowance returns how much longer than usual answers may take because of queues.
-func (s *service) allowance() time.Duration {
-	return max(time.Duration(queueShare*float64(s.target-s.usual)), deviations*s.deviation)
+// queueDelayBudget returns the acceptable queue delay.
+func (s *service) queueDelayBudget() time.Duration {
+	return max(time.Duration(queueBudgetFraction*float64(s.target-s.baseline)), toleratedDeviations*s.deviation)
 }
 
-var seed = maphash.MakeSeed()
+var hashSeed = maphash.MakeSeed()
 
-// note takes in an attempt.
-func (s *service) note(now time.Time, seen Observation) {
-	took := seen.Took
-	if seen.Answered && seen.Slots > 0 {
-		// What is waiting now tells more than what this answer has waited.
-		took = s.usual + s.usual*time.Duration(seen.Waiting)/time.Duration(seen.Slots)
+// observe records the outcome of an attempt.
+func (s *service) observe(now time.Time, observation Observation) {
+	latency := observation.Latency
+	if observation.Answered && observation.Slots > 0 {
+		// The reported queue is more recent than the one that this request waited in.
+		latency = s.baseline + s.baseline*time.Duration(observation.Waiting)/time.Duration(observation.Slots)
 	}
-	s.samples[s.next] = sample{at: now, backend: maphash.String(seed, seen.Backend), took: took, refused: seen.Refused}
-	s.next = (s.next + 1) % keptSamples
-	if seen.Answered {
-		s.learn(seen.Took)
-		s.answers.add(now, answersLife)
+	s.samples[s.nextSample] = sample{at: now, backend: maphash.String(hashSeed, observation.Backend), latency: latency, refused: observation.Refused}
+	s.nextSample = (s.nextSample + 1) % maxSamples
+	if observation.Answered {
+		s.updateBaseline(observation.Latency)
+		s.answerRate.add(now, answerTimeConstant)
 	}
-	if seen.Refused && s.target > 0 && s.isFull(now) {
-		s.begin(now)
+	if observation.Refused && s.target > 0 && s.isFull(now) {
+		s.startLimit(now)
 		s.wasFull = true
-		s.cut(now)
+		s.decreaseForRefusal(now)
 	}
-	s.advance(now)
+	s.update(now)
 }
 
-// learn takes an answer's time into the usual one, unless it comes from a queue.
-func (s *service) learn(took time.Duration) {
+// updateBaseline adds a latency to the baseline unless it includes queuing.
+func (s *service) updateBaseline(latency time.Duration) {
 	switch {
-	case s.usual == 0 || s.learnt < fewSamples && took < s.usual:
-		// The quickest of the first ones: a surge may have begun with them.
-		s.usual, s.deviation = took, took/4
-	case s.limiting && took < s.usual:
-		// A queue makes answers slower only.
-		s.usual += time.Duration(limitedWeight * float64(took-s.usual))
-		s.deviation = min(s.deviation, s.usual/4)
-	case s.learnt >= fewSamples && !s.limiting && took < s.usual+s.allowance():
-		s.usual += time.Duration(usualWeight * float64(took-s.usual))
-		s.deviation += time.Duration(usualWeight * float64((took-s.usual).Abs()-s.deviation))
+	case s.baseline == 0 || s.baselineSamples < minSamples && latency < s.baseline:
+		// Keeps the fastest of the first answers, since the others may have queued.
+		s.baseline, s.deviation = latency, latency/4
+	case s.limiting && latency < s.baseline:
+		// Queuing only adds latency, so a faster answer lowers the baseline.
+		s.baseline += time.Duration(limitedBaselineWeight * float64(latency-s.baseline))
+		s.deviation = min(s.deviation, s.baseline/4)
+	case s.baselineSamples >= minSamples && !s.limiting && latency < s.baseline+s.queueDelayBudget():
+		s.baseline += time.Duration(baselineWeight * float64(latency-s.baseline))
+		s.deviation += time.Duration(baselineWeight * float64((latency-s.baseline).Abs()-s.deviation))
 	}
-	s.learnt = min(s.learnt+1, fewSamples)
+	s.baselineSamples = min(s.baselineSamples+1, minSamples)
 }
 
-// delay returns how much longer than usual the service's answers take: the lower median, since a
-// few slow backends are no overload. It is not known without fresh answers.
-func (s *service) delay(now time.Time) (delay time.Duration, answers int) {
-	life := sampleLife
+// queueDelay returns how far recent answers exceed the baseline, and how many there are. It uses the
+// lower median, so that a few slow backends do not count as overload.
+func (s *service) queueDelay(now time.Time) (delay time.Duration, answers int) {
+	maxAge := sampleTTL
 	if s.limiting {
-		life = s.silence()
+		maxAge = s.silenceTimeout()
 	}
-	var fresh [newestAnswers]time.Duration
-	for back := 1; back <= keptSamples && answers < newestAnswers; back++ {
-		sample := &s.samples[(s.next+keptSamples-back)%keptSamples]
-		if !sample.refused && !sample.at.IsZero() && now.Sub(sample.at) < life {
-			fresh[answers] = sample.took
+	var latencies [delaySamples]time.Duration
+	for age := 1; age <= maxSamples && answers < delaySamples; age++ {
+		sample := &s.samples[(s.nextSample+maxSamples-age)%maxSamples]
+		if !sample.refused && !sample.at.IsZero() && now.Sub(sample.at) < maxAge {
+			latencies[answers] = sample.latency
 			answers++
 		}
 	}
 	if answers == 0 {
 		return 0, 0
 	}
-	slices.Sort(fresh[:answers])
-	return max(fresh[(answers-1)/2]-s.usual, 0), answers
+	slices.Sort(latencies[:answers])
+	return max(latencies[(answers-1)/2]-s.baseline, 0), answers
 }
 
-// cut takes a part of the share for a backend's refusal, though not below what is answered.
-func (s *service) cut(now time.Time) {
-	answered := s.answers.now(now, answersLife) / max(s.arrivals.now(now, arrivalsLife), 1)
-	s.share = max(s.share*(1-refusalCut), min(s.share, answered), leastAdmitted)
+// decreaseForRefusal decreases the fraction after a backend's refusal, but not below the fraction that
+// is answered.
+func (s *service) decreaseForRefusal(now time.Time) {
+	answeredFraction := s.answerRate.current(now, answerTimeConstant) / max(s.arrivalRate.current(now, arrivalTimeConstant), 1)
+	s.admittedFraction = max(s.admittedFraction*(1-refusalDecrease), min(s.admittedFraction, answeredFraction), minAdmittedFraction)
 }
 
-// isFull tells whether a backend's refusal shows that the service is full.
+// isFull reports whether a backend's refusal shows that the service is full.
 func (s *service) isFull(now time.Time) bool {
-	delay, answers := s.delay(now)
-	return answers > 0 && s.limiting && delay > s.allowance()/2 || s.isRefusing(now)
+	delay, answers := s.queueDelay(now)
+	return answers > 0 && s.limiting && delay > s.queueDelayBudget()/2 || s.isRefusing(now)
 }
 
-// isRefusing tells whether most of the backends that were asked of late have refused: one that
-// does is no overload.
+// isRefusing reports whether most of the recently tried backends have refused a request: a single one
+// that does is not overload of the service.
 func (s *service) isRefusing(now time.Time) bool {
-	asked, refused := 0, 0
-	for position, newest := range s.samples {
-		if newest.at.IsZero() || now.Sub(newest.at) >= sampleLife || s.hasEarlier(position, now) {
+	tried, refused := 0, 0
+	for position, candidate := range s.samples {
+		if candidate.at.IsZero() || now.Sub(candidate.at) >= sampleTTL || s.hasEarlierSample(position, now) {
 			continue
 		}
-		asked++
-		if s.hasRefused(newest.backend, now) {
+		tried++
+		if s.hasRefused(candidate.backend, now) {
 			refused++
 		}
 	}
-	return refused*2 > asked && refused > 1
+	return refused*2 > tried && refused > 1
 }
 
-// hasEarlier tells whether a fresh sample before the position is of the same backend.
-func (s *service) hasEarlier(position int, now time.Time) bool {
+// hasEarlierSample reports whether a recent sample before the position is of the same backend.
+func (s *service) hasEarlierSample(position int, now time.Time) bool {
 	for _, other := range s.samples[:position] {
-		if other.backend == s.samples[position].backend && now.Sub(other.at) < sampleLife {
+		if other.backend == s.samples[position].backend && now.Sub(other.at) < sampleTTL {
 			return true
 		}
 	}
@@ -227,146 +229,146 @@
 
 func (s *service) hasRefused(backend uint64, now time.Time) bool {
 	for _, other := range s.samples {
-		if other.refused && other.backend == backend && now.Sub(other.at) < sampleLife {
+		if other.refused && other.backend == backend && now.Sub(other.at) < sampleTTL {
 			return true
 		}
 	}
 	return false
 }
 
-// silence returns after which time without an answer the share begins to grow by itself.
-func (s *service) silence() time.Duration {
-	gap := float64(time.Second) / max(s.allowed.number, 1)
-	return min(max(leastSilence, time.Duration(silentGaps*gap)), mostSilence)
+// silenceTimeout returns the time without answers after which the fraction grows.
+func (s *service) silenceTimeout() time.Duration {
+	gap := float64(time.Second) / max(s.admittedRate.perSecond, 1)
+	return min(max(minSilence, time.Duration(silenceGaps*gap)), maxSilence)
 }
 
-func (s *service) newestAt() time.Time {
-	return s.samples[(s.next+keptSamples-1)%keptSamples].at
+func (s *service) newestSampleTime() time.Time {
+	return s.samples[(s.nextSample+maxSamples-1)%maxSamples].at
 }
 
-// begin begins a limit.
-func (s *service) begin(now time.Time) {
+// startLimit starts a limit unless there is one.
+func (s *service) startLimit(now time.Time) {
 	if s.limiting {
 		return
 	}
-	s.limiting, s.share, s.movedAt, s.lastError = true, 1, now, 0
-	s.openAt, s.slowAt, s.wasFull = now, now, false
-	s.shares.clear()
+	s.limiting, s.admittedFraction, s.updatedAt, s.lastError = true, 1, now, 0
+	s.unlimitedSince, s.slowSince, s.wasFull = now, now, false
+	s.fairShares.clear()
 }
 
-// arrive counts a request. After a gap that no surge has, everything is admitted again.
-func (s *service) arrive(now time.Time) {
-	gap := now.Sub(s.arrivals.at).Seconds()
-	if s.limiting && gap*s.arrivals.number > quietGaps && s.isOver(now) {
-		s.share = 1
+// recordArrival counts a request. After a gap too long for a surge, everything is admitted again.
+func (s *service) recordArrival(now time.Time) {
+	gap := now.Sub(s.arrivalRate.at).Seconds()
+	if s.limiting && gap*s.arrivalRate.perSecond > surgeEndGaps && s.isSurgeOver(now) {
+		s.admittedFraction = 1
 	}
-	s.arrivals.add(now, arrivalsLife)
+	s.arrivalRate.add(now, arrivalTimeConstant)
 }
 
-// isOver tells whether far fewer requests come than were admitted under the limit.
-func (s *service) isOver(now time.Time) bool {
-	return s.arrivals.now(now, arrivalsLife) < overPart*s.allowed.now(now, allowedLife)
+// isSurgeOver reports whether the arrival rate is well below the rate admitted under the limit.
+func (s *service) isSurgeOver(now time.Time) bool {
+	return s.arrivalRate.current(now, arrivalTimeConstant) < surgeEndFraction*s.admittedRate.current(now, admittedTimeConstant)
 }
 
-// advance brings the share up to now.
-func (s *service) advance(now time.Time) {
+// update starts, adjusts or ends the limit as of now.
+func (s *service) update(now time.Time) {
 	if !s.limiting {
-		if delay, answers := s.delay(now); answers >= fewSamples && s.target > 0 && float64(delay) > beginFactor*float64(s.allowance()) {
-			s.begin(now)
+		if delay, answers := s.queueDelay(now); answers >= minSamples && s.target > 0 && float64(delay) > limitStartFactor*float64(s.queueDelayBudget()) {
+			s.startLimit(now)
 		}
 		return
 	}
-	step := now.Sub(s.movedAt)
-	if step < stepTime {
+	step := now.Sub(s.updatedAt)
+	if step < updateInterval {
 		return
 	}
-	s.movedAt = now
-	s.move(now, step)
-	s.unlearn(now)
-	s.shares.divide(now, s.share)
-	if s.share < 1 {
-		s.openAt = now
-	} else if now.Sub(s.openAt) >= calmTime {
+	s.updatedAt = now
+	s.updateFraction(now, step)
+	s.raiseBaseline(now)
+	s.fairShares.divide(now, s.admittedFraction)
+	if s.admittedFraction < 1 {
+		s.unlimitedSince = now
+	} else if now.Sub(s.unlimitedSince) >= limitEndDelay {
 		s.limiting = false
 	}
 }
 
-// move changes the share by what the answers show.
-func (s *service) move(now time.Time, step time.Duration) {
-	if s.isOver(now) {
-		s.share = 1
+// updateFraction adjusts the fraction to the current queue delay.
+func (s *service) updateFraction(now time.Time, step time.Duration) {
+	if s.isSurgeOver(now) {
+		s.admittedFraction = 1
 		return
 	}
-	delay, answers := s.delay(now)
+	delay, answers := s.queueDelay(now)
 	if answers == 0 {
-		s.grow(min(step, now.Sub(s.newestAt())-s.silence()))
+		s.growFraction(min(step, now.Sub(s.newestSampleTime())-s.silenceTimeout()))
 		return
 	}
-	seconds := min(step, longestStep).Seconds()
-	beyond := float64(delay-s.allowance()) / float64(s.allowance())
-	change := -(integral*beyond+leak*max(math.Log(s.share), -leakBound))*seconds - proportional*(beyond-s.lastError)
-	s.lastError = beyond
-	if beyond < emptyBelow {
-		change = max(change, growth*seconds)
+	seconds := min(step, maxUpdateStep).Seconds()
+	queueError := float64(delay-s.queueDelayBudget()) / float64(s.queueDelayBudget())
+	change := -(integralGain*queueError+leakRate*max(math.Log(s.admittedFraction), -maxLeakInput))*seconds - proportionalGain*(queueError-s.lastError)
+	s.lastError = queueError
+	if queueError < emptyQueueError {
+		change = max(change, emptyQueueGrowth*seconds)
 	}
-	s.share = min(max(s.share*math.Exp(change), leastAdmitted), 1)
+	s.admittedFraction = min(max(s.admittedFraction*math.Exp(change), minAdmittedFraction), 1)
 }
 
-// grow lets the share grow for a time without a queue.
-func (s *service) grow(step time.Duration) {
-	s.share = min(s.share*math.Exp(silentGrowth*max(step, 0).Seconds()), 1)
+// growFraction grows the fraction for a time without answers.
+func (s *service) growFraction(step time.Duration) {
+	s.admittedFraction = min(s.admittedFraction*math.Exp(silentGrowth*max(step, 0).Seconds()), 1)
 }
 
-// unlearn takes late answers for usual that show no queue but by their time.
-func (s *service) unlearn(now time.Time) {
-	delay, _ := s.delay(now)
-	if delay < s.allowance() {
-		s.slowAt = now
+// raiseBaseline raises the baseline if answers stay slow under the limit without refusals.
+func (s *service) raiseBaseline(now time.Time) {
+	delay, _ := s.queueDelay(now)
+	if delay < s.queueDelayBudget() {
+		s.slowSince = now
 	}
-	if now.Sub(s.slowAt) < unlearnTime || s.wasFull {
+	if now.Sub(s.slowSince) < baselineRaiseDelay || s.wasFull {
 		return
 	}
-	s.slowAt, s.share = now, 1
-	s.usual = max(s.usual, min(s.usual+delay, time.Duration(mostUnlearnt*float64(s.target))))
+	s.slowSince, s.admittedFraction = now, 1
+	s.baseline = max(s.baseline, min(s.baseline+delay, time.Duration(maxRaisedBaseline*float64(s.target))))
 }
 
-// decide decides about a request under a limit, by a number from 0 to 1.
-func (s *service) decide(now time.Time, ask Ask, draw float64) Decision {
-	delay, _ := s.delay(now)
-	decision := Decision{Service: ask.Service, Delay: delay}
-	if ask.Remaining > 0 && ask.Remaining < s.usual+delay {
+// decide admits or refuses a request under a limit, for a random draw from [0, 1).
+func (s *service) decide(now time.Time, request Request, draw float64) Decision {
+	delay, _ := s.queueDelay(now)
+	decision := Decision{Service: request.Service, QueueDelay: delay}
+	if request.Remaining > 0 && request.Remaining < s.baseline+delay {
 		s.tooLate++
 		decision.Reason = TooLate
 		return decision
 	}
-	part, isNext := s.shares.ask(now, ask, s.share)
-	if s.share >= 1 || draw < part {
+	fraction, moreUrgentAdmitted := s.fairShares.recordRequest(now, request, s.admittedFraction)
+	if s.admittedFraction >= 1 || draw < fraction {
 		s.admitted++
-		s.allowed.add(now, allowedLife)
+		s.admittedRate.add(now, admittedTimeConstant)
 		return Decision{Admitted: true}
 	}
-	decision.Part, decision.Reason = part, BeyondShare
-	if isNext {
-		s.beyondShare++
+	decision.AdmittedFraction, decision.Reason = fraction, ShareExceeded
+	if moreUrgentAdmitted {
+		s.shareExceeded++
 		return decision
 	}
-	s.lessUrgent++
-	decision.Reason = LessUrgent
+	s.lowPriority++
+	decision.Reason = LowPriority
 	return decision
 }
 
-// rate is a smoothed number of events a second.
+// rate is an exponentially smoothed event rate.
 type rate struct {
-	number float64
-	at     time.Time
+	perSecond float64
+	at        time.Time
 }
 
-// add counts an event; life is the time by which the rate is smoothed.
-func (r *rate) add(now time.Time, life time.Duration) {
-	r.number = r.now(now, life) + 1/life.Seconds()
+// add counts an event.
+func (r *rate) add(now time.Time, timeConstant time.Duration) {
+	r.perSecond = r.current(now, timeConstant) + 1/timeConstant.Seconds()
 	r.at = now
 }
 
-func (r *rate) now(now time.Time, life time.Duration) float64 {
-	return r.number * math.Exp(-now.Sub(r.at).Seconds()/life.Seconds())
+func (r *rate) current(now time.Time, timeConstant time.Duration) float64 {
+	return r.perSecond * math.Exp(-now.Sub(r.at).Seconds()/timeConstant.Seconds())
 }
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -9,143 +9,144 @@
 )
 
 const (
-	// countLife is the time in which an arrival's weight falls to a third. It is long enough that a
-	// tenant of one request in some seconds has a share, and short beside a surge.
-	countLife = 6 * time.Second
-	// leastCertain is the least part of a number that is taken for no chance.
-	leastCertain = 0.25
-	// mostCallers bounds the callers that are counted each by itself; the others share one of
-	// sharedCounts counts by their name's hash.
-	mostCallers  = 256
-	sharedCounts = 16
-	// forgotten is the count below which a caller is not active.
-	forgotten = 0.05
-	// ranks is the number of priorities that are told apart, and each has two classes: first tries
-	// and those that come back.
-	ranks   = 4
-	classes = 2 * ranks
-	// leastUrgentPart and leastReturningPart of what the next more urgent class gets is what a
-	// priority, and those that come back, get at least. The latter is only for callers that are
-	// taken for such by mistake: a first try that is admitted instead is served sooner.
-	leastUrgentPart    = 0.25
-	leastReturningPart = 0.05
-	// bisections halve the range of a level; the last is finer than any count.
-	bisections = 24
-	// divideTime is the time between two divisions of the share.
-	divideTime = 50 * time.Millisecond
+	// countTimeConstant is the time constant of the decay of counters. It covers tenants that send a
+	// request every few seconds, and is short compared with a surge.
+	countTimeConstant = 6 * time.Second
+	// minEstimateFraction bounds lowerEstimate from below, as a fraction of the count.
+	minEstimateFraction = 0.25
+	// maxCallers bounds the callers with a counter of their own. Others share sharedCounters counters
+	// per class, by hash.
+	maxCallers     = 256
+	sharedCounters = 16
+	// minActiveCount is the count below which a caller is not active.
+	minActiveCount = 0.05
+	// priorityLevels is the number of distinct priorities. Each has two classes: first attempts and
+	// retries.
+	priorityLevels = 4
+	classCount     = 2 * priorityLevels
+	// Each priority gets at least minLowerPriorityFraction of the fraction of the next higher one, and
+	// retries get at least minRetryFraction of that of first attempts. The latter is for first
+	// attempts that are wrongly classified as retries.
+	minLowerPriorityFraction = 0.25
+	minRetryFraction         = 0.05
+	// bisectionSteps bounds the search for the level; its precision is finer than any count.
+	bisectionSteps = 24
+	// divideInterval is the shortest time between two divisions.
+	divideInterval = 50 * time.Millisecond
 )
 
-// caller is a tenant's or a zone's requests of one class.
-type caller struct {
+// callerKey identifies the requests of one class from a tenant or a zone.
+type callerKey struct {
 	tenant, zone string
 	class        uint8
 }
 
-// count is a decayed number of arrivals.
-type count struct {
-	class  uint8
-	number float64
-	at     time.Time
+// counter is an exponentially decayed number of arrivals.
+type counter struct {
+	class uint8
+	value float64
+	at    time.Time
 }
 
-func (c *count) decay(now time.Time) {
-	c.number *= math.Exp(-now.Sub(c.at).Seconds() / countLife.Seconds())
+func (c *counter) decay(now time.Time) {
+	c.value *= math.Exp(-now.Sub(c.at).Seconds() / countTimeConstant.Seconds())
 	c.at = now
 }
 
-// shares divides what is admitted of a service's requests among their callers: by priority, and
-// among equals so that each gets as much as it asks for or as much as any other.
-type shares struct {
-	callers   map[caller]*count
-	shared    [classes][sharedCounts]count
+// fairShares divides the admitted fraction of a service's requests among callers: by priority, and
+// within a class by max-min fairness.
+type fairShares struct {
+	counters  map[callerKey]*counter
+	shared    [classCount][sharedCounters]counter
 	dividedAt time.Time
-	// parts of the classes are admitted, and levels are the most of a class that each caller gets.
-	parts, levels [classes]float64
-	// active is used by each division anew.
-	active []*count
+	// fractions are the admitted fractions of the classes, and limits the largest number of requests
+	// that each caller of a class may have admitted.
+	fractions, limits [classCount]float64
+	// active is a buffer reused by each division.
+	active []*counter
 }
 
-func (s *shares) clear() {
-	clear(s.callers)
-	*s = shares{callers: s.callers, active: s.active}
+func (s *fairShares) clear() {
+	clear(s.counters)
+	*s = fairShares{counters: s.counters, active: s.active}
 }
 
-// classOf returns a request's class. First tries go before those that come back.
-func classOf(ask Ask) uint8 {
-	class := 2 * uint8(min(max(ask.Priority, 0), ranks-1))
-	if ask.Returning {
+// classOf returns the class of a request. Retries come after first attempts of the same priority.
+func classOf(request Request) uint8 {
+	class := 2 * uint8(min(max(request.Priority, 0), priorityLevels-1))
+	if request.IsRetry {
 		class++
 	}
 	return class
 }
 
-// ask counts a request and returns the part of its like that is admitted, and whether more urgent
-// ones are admitted whole.
-func (s *shares) ask(now time.Time, ask Ask, share float64) (part float64, isNext bool) {
-	class := classOf(ask)
-	c := s.count(now, ask, class)
+// recordRequest counts a request. It returns the admitted fraction of requests like it, and whether
+// the next more urgent class is admitted in full.
+func (s *fairShares) recordRequest(now time.Time, request Request, admittedFraction float64) (fraction float64, moreUrgentAdmitted bool) {
+	class := classOf(request)
+	c := s.counterFor(now, request, class)
 	c.decay(now)
-	// Half of the request counts: it sees the others' counts as often before as after theirs.
-	number := c.number + 0.5
-	c.number++
+	// Counts the request itself by half, the average over its order among concurrent requests.
+	value := c.value + 0.5
+	c.value++
 	if s.dividedAt.IsZero() {
-		return share, true
+		return admittedFraction, true
 	}
-	return min(s.levels[class]/certain(number), 1), class == 0 || s.parts[class-1] >= 1
+	return min(s.limits[class]/lowerEstimate(value), 1), class == 0 || s.fractions[class-1] >= 1
 }
 
-func (s *shares) count(now time.Time, ask Ask, class uint8) *count {
-	key := caller{tenant: ask.Tenant, class: class}
-	if ask.Tenant == "" {
-		key.zone = ask.Zone
+func (s *fairShares) counterFor(now time.Time, request Request, class uint8) *counter {
+	key := callerKey{tenant: request.Tenant, class: class}
+	if request.Tenant == "" {
+		key.zone = request.Zone
 	}
-	if c := s.callers[key]; c != nil {
+	if c := s.counters[key]; c != nil {
 		return c
 	}
-	if len(s.callers) >= mostCallers {
-		return &s.shared[class][maphash.Comparable(seed, key)%sharedCounts]
+	if len(s.counters) >= maxCallers {
+		return &s.shared[class][maphash.Comparable(hashSeed, key)%sharedCounters]
 	}
-	if s.callers == nil {
-		s.callers = make(map[caller]*count, mostCallers)
+	if s.counters == nil {
+		s.counters = make(map[callerKey]*counter, maxCallers)
 	}
-	c := &count{class: class, at: now}
-	s.callers[key] = c
+	c := &counter{class: class, at: now}
+	s.counters[key] = c
 	return c
 }
 
-// divide sets the level of each class so that the share of all requests is admitted.
-func (s *shares) divide(now time.Time, share float64) {
-	if now.Sub(s.dividedAt) < divideTime {
+// divide sets the limits of all classes so that the given fraction of all requests is admitted.
+func (s *fairShares) divide(now time.Time, admittedFraction float64) {
+	if now.Sub(s.dividedAt) < divideInterval {
 		return
 	}
 	s.dividedAt = now
-	s.collect(now)
-	slices.SortFunc(s.active, func(a, b *count) int {
-		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.number, b.number))
+	s.collectActive(now)
+	slices.SortFunc(s.active, func(a, b *counter) int {
+		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.value, b.value))
 	})
-	var numbers [classes]float64
+	var totals [classCount]float64
 	for _, c := range s.active {
-		numbers[c.class] += c.number
+		totals[c.class] += c.value
 	}
-	s.parts = classParts(numbers, share)
-	s.levels = [classes]float64{}
+	s.fractions = classFractions(totals, admittedFraction)
+	s.limits = [classCount]float64{}
 	for rest := s.active; len(rest) > 0; {
 		class, size := rest[0].class, 1
 		for size < len(rest) && rest[size].class == class {
 			size++
 		}
-		s.levels[class] = level(rest[:size], s.parts[class]*numbers[class])
+		s.limits[class] = callerLimit(rest[:size], s.fractions[class]*totals[class])
 		rest = rest[size:]
 	}
 }
 
-// collect lists the active counts, and drops the callers that have left.
-func (s *shares) collect(now time.Time) {
+// collectActive lists the active counters and removes those of inactive callers.
+func (s *fairShares) collectActive(now time.Time) {
 	s.active = s.active[:0]
-	for key, c := range s.callers {
+	for key, c := range s.counters {
 		c.decay(now)
-		if c.number < forgotten {
-			delete(s.callers, key)
+		if c.value < minActiveCount {
+			delete(s.counters, key)
 			continue
 		}
 		s.active = append(s.active, c)
@@ -154,68 +155,69 @@
 		for position := range s.shared[class] {
 			c := &s.shared[class][position]
 			c.class = uint8(class)
-			if c.decay(now); c.number >= forgotten {
+			if c.decay(now); c.value >= minActiveCount {
 				s.active = append(s.active, c)
 			}
 		}
 	}
 }
 
-// certain returns how much of a decayed number is no chance: few requests tell little of a caller,
-// and it isn't to be cut for having sent two instead of one.
-func certain(number float64) float64 {
-	return max(number-math.Sqrt(number), leastCertain*number)
+// lowerEstimate returns the count less one standard deviation, so that callers with few requests are
+// not limited for random variation.
+func lowerEstimate(value float64) float64 {
+	return max(value-math.Sqrt(value), minEstimateFraction*value)
 }
 
-// level returns the certain number up to which requests are admitted if all of the counts, which
-// are sorted, get the budget together.
-func level(counts []*count, budget float64) float64 {
-	beyond := 0.0
-	for _, c := range counts {
-		beyond += c.number / certain(c.number)
+// callerLimit returns the limit on lowerEstimate per caller with which the counters, sorted by value,
+// use the budget.
+func callerLimit(counters []*counter, budget float64) float64 {
+	weight := 0.0
+	for _, c := range counters {
+		weight += c.value / lowerEstimate(c.value)
 	}
-	for _, c := range counts {
-		if level := budget / beyond; certain(c.number) >= level {
-			return level
+	for _, c := range counters {
+		if limit := budget / weight; lowerEstimate(c.value) >= limit {
+			return limit
 		}
-		budget -= c.number
-		beyond -= c.number / certain(c.number)
+		budget -= c.value
+		weight -= c.value / lowerEstimate(c.value)
 	}
 	return math.Inf(1)
 }
 
-// classParts returns the part of each class that is admitted if the share of all is.
-func classParts(numbers [classes]float64, share float64) (parts [classes]float64) {
+// classFractions returns the admitted fraction of each class for a given fraction of all requests.
+func classFractions(totals [classCount]float64, admittedFraction float64) (fractions [classCount]float64) {
 	total := 0.0
-	for _, number := range numbers {
-		total += number
-	}
-	low, high := 0.0, float64(classes)
-	for range bisections {
-		middle, taken := (low+high)/2, 0.0
-		parts = partsAt(middle)
-		for class, number := range numbers {
-			taken += parts[class] * number
+	for _, value := range totals {
+		total += value
+	}
+	low, high := 0.0, float64(classCount)
+	for range bisectionSteps {
+		middle, admitted := (low+high)/2, 0.0
+		fractions = fractionsAtLevel(middle)
+		for class, value := range totals {
+			admitted += fractions[class] * value
 		}
-		if taken > share*total {
+		if admitted > admittedFraction*total {
 			high = middle
 		} else {
 			low = middle
 		}
 	}
-	return partsAt(high)
+	return fractionsAtLevel(high)
 }
 
-// partsAt returns the parts at a level: a class of each whole number below it is admitted whole.
-func partsAt(level float64) (parts [classes]float64) {
-	for class := range parts {
-		parts[class] = min(max(level-float64(class), 0), 1)
+// fractionsAtLevel returns the fractions at a level, which is the number of classes admitted in full,
+// from the most urgent one, and a fraction of the next one.
+func fractionsAtLevel(level float64) (fractions [classCount]float64) {
+	for class := range fractions {
+		fractions[class] = min(max(level-float64(class), 0), 1)
 		switch {
 		case class%2 == 1:
-			parts[class] = max(parts[class], leastReturningPart*parts[class-1])
+			fractions[class] = max(fractions[class], minRetryFraction*fractions[class-1])
 		case class > 0:
-			parts[class] = max(parts[class], leastUrgentPart*parts[class-2])
+			fractions[class] = max(fractions[class], minLowerPriorityFraction*fractions[class-2])
 		}
 	}
-	return parts
+	return fractions
 }
--- a/admission/ways_test.go
+++ b/admission/ways_test.go
@@ -7,129 +7,130 @@
 	"time"
 )
 
-// overload is the load by which ways are compared: gateways that saw few requests before a surge.
-func overload(factor float64) load {
-	return load{
-		gateways: 54, backends: 4, slots: 6, queue: 24, factor: factor, before: 0.0125, surge: 8 * time.Second,
-		floods: true, seed: 7, returnAfter: 100 * time.Millisecond, limit: local,
+// overloadScenario is the scenario in which limiters are compared; gateways see few requests before
+// the surge.
+func overloadScenario(factor float64) scenario {
+	return scenario{
+		gateways: 54, backends: 4, slots: 6, queueLength: 24, surgeLoad: factor, baseLoad: 0.0125, surgeDuration: 8 * time.Second,
+		hedges: true, seed: 7, defaultRetryAfter: 100 * time.Millisecond, newLimiter: newLocal,
 	}
 }
 
-func local(random *rand.Rand) Limiter { return NewLocal(random) }
+func newLocal(random *rand.Rand) Limiter { return NewLocalLimiter(random) }
 
-func open(*rand.Rand) Limiter { return Open{} }
+func newAdmitAll(*rand.Rand) Limiter { return AdmitAll{} }
 
-// alike is Local without an order between first tries and those that come back.
-type alike struct{ *Local }
+// equalRetries is a LocalLimiter that treats retries like first attempts.
+type equalRetries struct{ *LocalLimiter }
 
-func (a alike) Admit(now time.Time, ask Ask) Decision {
-	ask.Returning = false
-	return a.Local.Admit(now, ask)
+func (e equalRetries) Admit(now time.Time, request Request) Decision {
+	request.IsRetry = false
+	return e.LocalLimiter.Admit(now, request)
 }
 
-// returningFirst is Local with those that come back before first tries.
-type returningFirst struct{ *Local }
+// retriesFirst is a LocalLimiter that prefers retries to first attempts.
+type retriesFirst struct{ *LocalLimiter }
 
-func (r returningFirst) Admit(now time.Time, ask Ask) Decision {
-	ask.Returning = !ask.Returning
-	return r.Local.Admit(now, ask)
+func (r retriesFirst) Admit(now time.Time, request Request) Decision {
+	request.IsRetry = !request.IsRetry
+	return r.LocalLimiter.Admit(now, request)
 }
 
-// throttle admits as large a part as backends have accepted of late, and a little more, as the
-// throttling by clients of large fleets does. It sees refusals only.
-type throttle struct {
+// adaptiveThrottle is client-side adaptive throttling: it admits slightly more than the fraction that
+// backends have accepted recently, and ignores latency.
+type adaptiveThrottle struct {
 	random             *rand.Rand
 	requests, accepted rate
 }
 
 const (
-	throttleLife = 2 * time.Second
-	throttleMore = 1.1
+	throttleTimeConstant = 2 * time.Second
+	throttleMultiplier   = 1.1
 )
 
-func (t *throttle) Admit(now time.Time, _ Ask) Decision {
-	requests, accepted := t.requests.now(now, throttleLife), t.accepted.now(now, throttleLife)
-	t.requests.add(now, throttleLife)
-	if t.random.Float64() < (requests-throttleMore*accepted)/(requests+1) {
+func (t *adaptiveThrottle) Admit(now time.Time, _ Request) Decision {
+	requests, accepted := t.requests.current(now, throttleTimeConstant), t.accepted.current(now, throttleTimeConstant)
+	t.requests.add(now, throttleTimeConstant)
+	if t.random.Float64() < (requests-throttleMultiplier*accepted)/(requests+1) {
 		return Decision{RetryAfter: RetryAfter(modelDeadline, t.random.Float64())}
 	}
 	return Decision{Admitted: true}
 }
 
-func (t *throttle) Note(now time.Time, seen Observation) {
-	if seen.Answered {
-		t.accepted.add(now, throttleLife)
+func (t *adaptiveThrottle) Observe(now time.Time, observation Observation) {
+	if observation.Answered {
+		t.accepted.add(now, throttleTimeConstant)
 	}
 }
 
-func (t *throttle) IsLimiting(now time.Time, _ string) bool {
-	return t.requests.now(now, throttleLife) > throttleMore*t.accepted.now(now, throttleLife)+1
+func (t *adaptiveThrottle) IsLimiting(now time.Time, _ string) bool {
+	return t.requests.current(now, throttleTimeConstant) > throttleMultiplier*t.accepted.current(now, throttleTimeConstant)+1
 }
 
-// grantor grants rates to gateways by the first tries that came in the last period. It knows the
-// capacity, which a real one would have to learn: no grantor does better.
-type grantor struct {
-	period   time.Duration
-	capacity float64
-	from     time.Time
-	// asked counts the requests of this period and granted is the part of the last one's.
-	asked, granted float64
+// allocator divides the capacity among gateways by the first attempts of the last period. Unlike a
+// real allocator it knows the capacity, so it is an upper bound.
+type allocator struct {
+	period      time.Duration
+	capacity    float64
+	periodStart time.Time
+	// requests counts the requests of this period, and admittedFraction applies to them.
+	requests, admittedFraction float64
 }
 
-func (g *grantor) ask(now time.Time) float64 {
-	if now.Sub(g.from) >= g.period {
-		g.granted = min(g.capacity*g.period.Seconds()/max(g.asked, 1), 1)
-		g.from, g.asked = now, 0
+func (a *allocator) recordRequest(now time.Time) float64 {
+	if now.Sub(a.periodStart) >= a.period {
+		a.admittedFraction = min(a.capacity*a.period.Seconds()/max(a.requests, 1), 1)
+		a.periodStart, a.requests = now, 0
 	}
-	g.asked++
-	return g.granted
+	a.requests++
+	return a.admittedFraction
 }
 
-// granted is a gateway that admits by its grantor.
-type granted struct {
-	*grantor
+// allocatedLimiter admits the fraction set by the allocator.
+type allocatedLimiter struct {
+	*allocator
 	random *rand.Rand
 }
 
-func (g granted) Admit(now time.Time, ask Ask) Decision {
-	if ask.Returning && g.granted < 1 || g.random.Float64() >= g.ask(now) {
-		return Decision{RetryAfter: RetryAfter(ask.Remaining, g.random.Float64())}
+func (a allocatedLimiter) Admit(now time.Time, request Request) Decision {
+	if request.IsRetry && a.admittedFraction < 1 || a.random.Float64() >= a.recordRequest(now) {
+		return Decision{RetryAfter: RetryAfter(request.Remaining, a.random.Float64())}
 	}
 	return Decision{Admitted: true}
 }
 
-func (granted) Note(time.Time, Observation) {}
+func (allocatedLimiter) Observe(time.Time, Observation) {}
 
-func (g granted) IsLimiting(time.Time, string) bool { return g.granted < 1 }
+func (a allocatedLimiter) IsLimiting(time.Time, string) bool { return a.admittedFraction < 1 }
 
-// ways are the ones that were weighed.
-func ways(capacity float64) map[string]func(*rand.Rand) Limiter {
-	shared := &grantor{period: 200 * time.Millisecond, capacity: capacity, granted: 1}
+// limiterConstructors returns the limiters to compare, by name.
+func limiterConstructors(capacity float64) map[string]func(*rand.Rand) Limiter {
+	shared := &allocator{period: 200 * time.Millisecond, capacity: capacity, admittedFraction: 1}
 	return map[string]func(*rand.Rand) Limiter{
-		"none": open, "local": local,
-		"local, alike":           func(random *rand.Rand) Limiter { return alike{NewLocal(random)} },
-		"local, returning first": func(random *rand.Rand) Limiter { return returningFirst{NewLocal(random)} },
-		"throttling by refusals": func(random *rand.Rand) Limiter { return &throttle{random: random} },
-		"credits":                func(random *rand.Rand) Limiter { return granted{shared, random} },
+		"none": newAdmitAll, "local": newLocal,
+		"local, equal retries": func(random *rand.Rand) Limiter { return equalRetries{NewLocalLimiter(random)} },
+		"local, retries first": func(random *rand.Rand) Limiter { return retriesFirst{NewLocalLimiter(random)} },
+		"adaptive throttling":  func(random *rand.Rand) Limiter { return &adaptiveThrottle{random: random} },
+		"central allocation":   func(random *rand.Rand) Limiter { return allocatedLimiter{shared, random} },
 	}
 }
 
-// BenchmarkWays compares what callers get by each way; run it with -benchtime 1x.
-func BenchmarkWays(b *testing.B) {
+// BenchmarkLimiters compares the outcomes of requests by limiter; run it with -benchtime 1x.
+func BenchmarkLimiters(b *testing.B) {
 	for _, gateways := range []int{54, 835} {
 		for _, factor := range []float64{1.5, 2, 4} {
-			l := overload(factor)
-			l.gateways = gateways
-			for name, limit := range ways(l.capacity(l.backends)) {
+			s := overloadScenario(factor)
+			s.gateways = gateways
+			for name, limit := range limiterConstructors(s.capacity(s.backends)) {
 				b.Run(fmt.Sprintf("%d gateways/x%g/%s", gateways, factor, name), func(b *testing.B) {
-					l.limit = limit
+					s.newLimiter = limit
 					for range b.N {
-						m := l.run()
-						b.ReportMetric(float64(m.inAim)/m.possible(), "in_aim/could")
-						b.ReportMetric(float64(m.inAimSecond)/m.possible(), "second/could")
-						b.ReportMetric(float64(m.late)/float64(m.owed), "late/owed")
-						b.ReportMetric(float64(m.sends)/float64(m.owed), "sends/owed")
-						b.ReportMetric(m.worth/(0.2*m.possible()), "worth/could")
+						m := s.run()
+						b.ReportMetric(float64(m.inTarget)/m.servable(), "in_target/servable")
+						b.ReportMetric(float64(m.retriedInTarget)/m.servable(), "retried/servable")
+						b.ReportMetric(float64(m.late)/float64(m.offered), "late/offered")
+						b.ReportMetric(float64(m.attempts)/float64(m.offered), "attempts/offered")
+						b.ReportMetric(m.reward/(0.2*m.servable()), "reward/servable")
 					}
 				})
 			}
@@ -137,11 +138,11 @@
 	}
 }
 
-// BenchmarkAdmit measures a decision under a limit with many tenants.
+// BenchmarkAdmit measures an admission decision under a limit with many tenants.
 func BenchmarkAdmit(b *testing.B) {
-	l := NewLocal(rand.New(rand.NewPCG(1, 2)))
+	l := NewLocalLimiter(rand.New(rand.NewPCG(1, 2)))
 	now := modelEpoch
-	limitAll(l, now)
+	startLimit(l, now)
 	names := make([]string, 10_000)
 	for position := range names {
 		names[position] = fmt.Sprint("tenant-", position)
@@ -150,18 +151,18 @@
 	for position := 0; b.Loop(); position++ {
 		now = now.Add(time.Millisecond)
 		if position%20 == 0 {
-			noteSlow(l, now)
+			observeSlowAnswers(l, now)
 		}
-		l.Admit(now, Ask{Service: "s", Tenant: names[position%len(names)], Target: modelTarget, Remaining: modelDeadline})
+		l.Admit(now, Request{Service: "s", Tenant: names[position%len(names)], Target: modelTarget, Remaining: modelDeadline})
 	}
 }
 
-// BenchmarkDivide measures a new division of the share among as many callers as are counted.
+// BenchmarkDivide measures a division among the maximum number of callers.
 func BenchmarkDivide(b *testing.B) {
-	var s shares
+	var s fairShares
 	now := modelEpoch
-	for position := range 2 * mostCallers {
-		s.ask(now, Ask{Tenant: fmt.Sprint("tenant-", position), Priority: position % ranks}, 0.5)
+	for position := range 2 * maxCallers {
+		s.recordRequest(now, Request{Tenant: fmt.Sprint("tenant-", position), Priority: position % priorityLevels}, 0.5)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -247,7 +247,7 @@
 		client: client, zone: zone, guard: guard, backends: map[string]*backendState{}, usual: map[string]time.Duration{},
 		random:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		credits: map[string][]float64{}, budget: budgetBurst, telling: map[string]*telling{},
-		limits: limits{limiter: admission.Open{}, first: firstTries{routes: map[string]*deadlines{}}},
+		limits: limits{limiter: admission.AdmitAll{}, first: firstTries{routes: map[string]*deadlines{}}},
 	}
 }
 
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -23,8 +23,8 @@
 // admit asks whether the request may be passed on to the first service of its route.
 func (l *limits) admit(services []string, route routing.Route, request *Request) admission.Decision {
 	now, remaining := clock.Now(), request.remaining()
-	return l.limiter.Admit(now, admission.Ask{
-		Service: services[0], Tenant: request.Tenant, Priority: request.Priority, Returning: l.first.isReturning(now, route.Key(), remaining),
+	return l.limiter.Admit(now, admission.Request{
+		Service: services[0], Tenant: request.Tenant, Priority: request.Priority, IsRetry: l.first.isReturning(now, route.Key(), remaining),
 		Target: time.Duration(route.TargetMillis) * time.Millisecond, Remaining: remaining,
 	})
 }
@@ -33,7 +33,7 @@
 // failure, show nothing of a queue.
 func (l *limits) note(ctx context.Context, backend directory.Backend, attempt Attempt, took time.Duration) {
 	seen := admission.Observation{
-		Service: backend.Service, Backend: backend.ID, Took: took, Refused: attempt.Outcome == Refused,
+		Service: backend.Service, Backend: backend.ID, Latency: took, Refused: attempt.Outcome == Refused,
 		Answered: attempt.Outcome == Answered && attempt.Response.Status < firstFailure,
 	}
 	if ctx.Err() != nil && !seen.Answered {
@@ -42,7 +42,7 @@
 	if load := attempt.Load; load != nil {
 		seen.Waiting, seen.Slots = load.Waiting, load.Slots
 	}
-	l.limiter.Note(clock.Now(), seen)
+	l.limiter.Observe(clock.Now(), seen)
 }
 
 // firstFailure is the lowest status of a backend that failed.
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -19,18 +19,18 @@
 	limiting bool
 
 	mutex sync.Mutex
-	asked []admission.Ask
+	asked []admission.Request
 	seen  []admission.Observation
 }
 
-func (l *fixedLimiter) Admit(_ time.Time, ask admission.Ask) admission.Decision {
+func (l *fixedLimiter) Admit(_ time.Time, ask admission.Request) admission.Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.asked = append(l.asked, ask)
 	return l.decision
 }
 
-func (l *fixedLimiter) Note(_ time.Time, seen admission.Observation) {
+func (l *fixedLimiter) Observe(_ time.Time, seen admission.Observation) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.seen = append(l.seen, seen)
@@ -48,13 +48,13 @@
 // TestRequestThatIsNotAdmitted is sent nowhere, and its caller is told when to come back.
 func TestRequestThatIsNotAdmitted(t *testing.T) {
 	client := &scripted{}
-	limiter := &fixedLimiter{decision: admission.Decision{Reason: admission.BeyondShare, RetryAfter: 70 * time.Millisecond}}
+	limiter := &fixedLimiter{decision: admission.Decision{Reason: admission.ShareExceeded, RetryAfter: 70 * time.Millisecond}}
 	result := doLimited(client, limiter, route(routing.Repeatable, 2), time.Minute)
 	require.Empty(t, client.asked)
 	require.Equal(t, Overloaded, result.Reason)
 	require.False(t, result.MayHaveRun)
 	require.Equal(t, 70*time.Millisecond, result.RetryAfter)
-	require.Equal(t, admission.BeyondShare, result.Limit.Reason)
+	require.Equal(t, admission.ShareExceeded, result.Limit.Reason)
 	require.Equal(t, "s", limiter.asked[0].Service)
 	require.Equal(t, "t", limiter.asked[0].Tenant)
 	require.Equal(t, 2, limiter.asked[0].Priority)
--- a/server/gateway_limits.go
+++ b/server/gateway_limits.go
@@ -17,7 +17,7 @@
 
 // gatewayLimits tells operators how services stand that have more requests than they can serve.
 type gatewayLimits struct {
-	limiter *admission.Local
+	limiter *admission.LocalLimiter
 	logger  *zerolog.Logger
 	// woken holds something once a request was not admitted.
 	woken chan struct{}
@@ -28,13 +28,13 @@
 // limitBegun is how a service stood when its limit was seen to begin.
 type limitBegun struct {
 	at       time.Time
-	standing admission.Standing
+	standing admission.Status
 }
 
 func newGatewayLimits(logger *zerolog.Logger) *gatewayLimits {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &gatewayLimits{
-		limiter: admission.NewLocal(random), logger: logger, woken: make(chan struct{}, 1), limited: map[string]limitBegun{},
+		limiter: admission.NewLocalLimiter(random), logger: logger, woken: make(chan struct{}, 1), limited: map[string]limitBegun{},
 	}
 }
 
@@ -64,13 +64,13 @@
 }
 
 func (l *gatewayLimits) review(now time.Time) {
-	for _, standing := range l.limiter.Standings(now) {
+	for _, standing := range l.limiter.Statuses(now) {
 		begun, known := l.limited[standing.Service]
 		switch {
 		case standing.Limiting && !known:
 			l.limited[standing.Service] = limitBegun{now, standing}
-			event.LimitBegun.On(l.logger).Str("service", standing.Service).Uint("percent", percent(standing.Share)).
-				Int("usual_ms", standing.Usual.Milliseconds()).Int("delay_ms", standing.Delay.Milliseconds()).Send()
+			event.LimitBegun.On(l.logger).Str("service", standing.Service).Uint("percent", percent(standing.AdmittedFraction)).
+				Int("usual_ms", standing.BaselineLatency.Milliseconds()).Int("delay_ms", standing.QueueDelay.Milliseconds()).Send()
 		case !standing.Limiting && known:
 			delete(l.limited, standing.Service)
 			event.LimitEnded.On(l.logger).Str("service", standing.Service).Int("ms", now.Sub(begun.at).Milliseconds()).
@@ -81,7 +81,7 @@
 }
 
 // refusedOf returns how many requests were refused for any reason.
-func refusedOf(standing admission.Standing) uint64 {
+func refusedOf(standing admission.Status) uint64 {
 	sum := uint64(0)
 	for _, number := range standing.Refused {
 		sum += number
@@ -93,7 +93,7 @@
 
 // forget drops the services that have no backends.
 func (l *gatewayLimits) forget(catalog *directory.Catalog) {
-	l.limiter.Forget(func(service string) bool { return len(catalog.Backends(service)) > 0 })
+	l.limiter.Prune(func(service string) bool { return len(catalog.Backends(service)) > 0 })
 }
 
 // collect emits the shares of the services that are limited, and counts of all.
@@ -101,13 +101,13 @@
 
 func (l *gatewayLimits) collectAt(now time.Time, emit chan<- prometheus.Metric) {
 	admitted, refused := uint64(0), map[admission.Reason]uint64{}
-	for _, standing := range l.limiter.Standings(now) {
+	for _, standing := range l.limiter.Statuses(now) {
 		admitted += standing.Admitted
 		for reason, number := range standing.Refused {
 			refused[reason] += number
 		}
 		if standing.Limiting {
-			gauge(emit, "gateway_limit_share", "The part of a limited service's requests that is admitted.", standing.Share, "service", standing.Service)
+			gauge(emit, "gateway_limit_share", "The part of a limited service's requests that is admitted.", standing.AdmittedFraction, "service", standing.Service)
 		}
 	}
 	counter(emit, "gateway_admitted_total", "Requests that were admitted to their service.", admitted)
@@ -121,6 +121,6 @@
 func addLimit(line *event.Line, request *forward.Request, result forward.Result) {
 	limit := result.Limit
 	line.Str("limit", string(limit.Reason)).Str("service", limit.Service).Str("tenant", request.Tenant).
-		Uint("part_percent", percent(limit.Part)).Int("delay_ms", limit.Delay.Milliseconds()).
+		Uint("part_percent", percent(limit.AdmittedFraction)).Int("delay_ms", limit.QueueDelay.Milliseconds()).
 		Int("retry_after_ms", limit.RetryAfter.Milliseconds())
 }
--- a/server/gateway_limits_test.go
+++ b/server/gateway_limits_test.go
@@ -22,11 +22,11 @@
 	logger := zerolog.New(&written)
 	limits := newGatewayLimits(&logger)
 	now := time.Unix(1_000_000, 0)
-	ask := admission.Ask{Service: "s", Target: 150 * time.Millisecond, Remaining: time.Second}
+	ask := admission.Request{Service: "s", Target: 150 * time.Millisecond, Remaining: time.Second}
 	note := func(took time.Duration) {
 		limits.limiter.Admit(now, ask)
 		for _, backend := range []string{"a", "b", "c", "d"} {
-			limits.limiter.Note(now, admission.Observation{Service: "s", Backend: backend, Answered: true, Took: took})
+			limits.limiter.Observe(now, admission.Observation{Service: "s", Backend: backend, Answered: true, Latency: took})
 		}
 	}
 	note(20 * time.Millisecond)
@@ -71,7 +71,7 @@
 	logger := zerolog.New(&written)
 	line := event.RequestEnded.On(&logger)
 	addLimit(line, &forward.Request{Tenant: "t"}, forward.Result{Reason: forward.Overloaded, Limit: admission.Decision{
-		Reason: admission.BeyondShare, Service: "s", Part: 0.25, Delay: 80 * time.Millisecond, RetryAfter: 120 * time.Millisecond,
+		Reason: admission.ShareExceeded, Service: "s", AdmittedFraction: 0.25, QueueDelay: 80 * time.Millisecond, RetryAfter: 120 * time.Millisecond,
 	}})
 	line.Send()
 	for _, field := range []string{`"limit":"beyond_share"`, `"service":"s"`, `"tenant":"t"`, `"part_percent":25`, `"delay_ms":80`, `"retry_after_ms":120`} {
