--- a/bench/standin/engine.go
+++ b/bench/standin/engine.go
@@ -81,7 +81,7 @@
 func (e *Engine) leave() {
 	e.recorder.Record(oracle.Event{Leaving: &oracle.Leaving{Engine: e.Name, Leaving: true}})
 	for {
-		running, ok := eventloop.Ask(e.loop, func() int {
+		running, ok := eventloop.Call(e.loop, func() int {
 			e.engine.SetLeaving(true)
 			return e.engine.Running()
 		})
@@ -123,7 +123,7 @@
 	if err == nil {
 		response.Body.Close()
 	}
-	e.loop.Call(func() { e.engine.WeightsFetched(e.now(), ok) })
+	e.loop.Submit(func() { e.engine.WeightsFetched(e.now(), ok) })
 }
 
 func (e *Engine) routes() http.Handler {
@@ -139,14 +139,14 @@
 func (e *Engine) exchange(message protocol.EngineMessage) (*eventloop.Mailbox[protocol.EngineMessage], func()) {
 	box := eventloop.NewMailbox[protocol.EngineMessage]()
 	var connection string
-	e.loop.Call(func() {
+	e.loop.Submit(func() {
 		e.counter++
 		connection = strconv.Itoa(e.counter)
 		e.boxes[connection] = box
 		e.engine.Receive(e.now(), connection, message)
 	})
 	return box, func() {
-		e.loop.Call(func() {
+		e.loop.Submit(func() {
 			delete(e.boxes, connection)
 			e.engine.Disconnect(connection)
 		})
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,12 +1,11 @@
-// Package clock tells elapsed time with the machine's suspensions in it.
+// Package clock measures elapsed time including machine suspensions.
 //
-// Go's steady clock stands still while a machine is suspended, so a lease, a confirmation or a
-// limit that is measured by it looks fresh to a process that wakes long after it ran out. Times
-// of this package go on: they are read from the clock that counts suspensions, and neither a
-// step of the time of day nor a pause takes them back.
+// Go's monotonic clock stops while the machine is suspended, so a lease measured by it still looks
+// valid to a process that resumes long after the lease expired. This package uses CLOCK_BOOTTIME,
+// which counts suspensions and is not affected by wall clock steps.
 //
-// Whatever guards a promise takes its time from here. What only paces work may use package
-// time, whose timers stand still with the machine.
+// Code whose correctness depends on elapsed time must use this package. Timers that only pace work may
+// use package time.
 package clock
 
 import (
@@ -19,151 +18,148 @@
 
 // Source reads a machine's clocks.
 type Source interface {
-	// Read returns the steady clock's reading, which stands still while the machine is
-	// suspended, and the time of day since 1970, which may be stepped.
-	Read() (steady, timeOfDay time.Duration)
-	// Boot returns the time since the machine's start, with suspensions in it. It fails where
-	// the machine has no such clock.
-	Boot() (time.Duration, error)
+	// Read returns the monotonic time, which stops while the machine is suspended, and the wall clock
+	// time since 1970, which may be stepped.
+	Read() (monotonic, wall time.Duration)
+	// BootTime returns the time since boot including suspensions, or an error if the machine has no
+	// such clock.
+	BootTime() (time.Duration, error)
 }
 
-// machine reads this machine's clocks.
-type machine struct{}
+// systemSource reads the clocks of this machine.
+type systemSource struct{}
 
-// started is the origin of the steady clock's readings.
-var started = time.Now()
+// processStart is the origin of the monotonic time.
+var processStart = time.Now()
 
-// Read implements Source. Both come with one reading, which costs no system call.
-func (machine) Read() (steady, timeOfDay time.Duration) {
+// Read implements Source. One call of time.Now reads both clocks without a system call.
+func (systemSource) Read() (monotonic, wall time.Duration) {
 	now := time.Now()
-	return now.Sub(started), time.Duration(now.UnixNano())
+	return now.Sub(processStart), time.Duration(now.UnixNano())
 }
 
-// Boot implements Source. It costs a system call.
-func (machine) Boot() (time.Duration, error) {
-	var read unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read); err != nil {
+// BootTime implements Source. It makes a system call.
+func (systemSource) BootTime() (time.Duration, error) {
+	var timespec unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &timespec); err != nil {
 		return 0, err
 	}
-	return time.Duration(read.Nano()), nil
+	return time.Duration(timespec.Nano()), nil
 }
 
 const (
-	// shiftLimit is how far the time of day may move against the steady clock before the clock
-	// of suspensions is read again: both are there with one cheap reading, and a suspension
-	// moves the first and not the second. Slewing takes seconds to get as far.
-	shiftLimit = 2 * time.Millisecond
-	// readInterval is the longest time between two readings of the clock of suspensions, for a
-	// suspension that a step of the time of day hides.
-	readInterval = 100 * time.Millisecond
+	// wallOffsetTolerance is how far the wall clock may shift against the monotonic clock before the
+	// boot time is read again. A suspension shifts it, and reading both is cheap. Slewing takes
+	// seconds to reach the tolerance.
+	wallOffsetTolerance = 2 * time.Millisecond
+	// bootTimeInterval is the longest time between two readings of the boot time. It bounds how long a
+	// wall clock step can hide a suspension.
+	bootTimeInterval = 100 * time.Millisecond
 )
 
-// Clock tells elapsed time with suspensions in it. It may be used concurrently.
+// Clock measures elapsed time including suspensions. It may be used concurrently.
 type Clock struct {
 	source Source
-	// origin, steady and boot are the first readings: of the time of day, the steady clock, and
-	// the one of suspensions, where the machine has one.
-	origin       time.Time
-	steady, boot time.Duration
-	// hasBoot tells whether it has. Without one each step of the time of day ahead counts as a
-	// suspension: leases then run out early, never late.
-	hasBoot bool
-
-	// suspended is how long the machine has been suspended since the clock began, in
-	// nanoseconds; it never falls. shift is by how much the time of day was ahead of the steady
-	// clock at the newest reading, and readAt when that was, by the steady clock.
-	suspended, shift, readAt atomic.Int64
-	// highest is the highest time told so far.
-	highest atomic.Int64
-	reading sync.Mutex
+	// The readings when the clock was created. startBootTime is set only if hasBootTime is.
+	origin                        time.Time
+	startMonotonic, startBootTime time.Duration
+	// hasBootTime is set if the machine has a boot-time clock. Without one, forward steps of the wall
+	// clock count as suspensions, so that leases expire early rather than late.
+	hasBootTime bool
+
+	// suspended is the total suspension since the clock was created, in nanoseconds; it never
+	// decreases. wallOffset is how far the wall clock was ahead of the monotonic clock at the last
+	// reading, and readAt the monotonic time of that reading.
+	suspended, wallOffset, readAt atomic.Int64
+	// latest is the latest elapsed time returned so far.
+	latest    atomic.Int64
+	readMutex sync.Mutex
 }
 
-// New returns a clock of the source.
+// New returns a clock that reads the source.
 func New(source Source) *Clock {
-	steady, timeOfDay := source.Read()
-	boot, err := source.Boot()
-	c := &Clock{source: source, origin: time.Unix(0, int64(timeOfDay)), steady: steady, boot: boot, hasBoot: err == nil}
-	c.shift.Store(int64(timeOfDay - steady))
-	c.readAt.Store(int64(steady))
+	monotonic, wall := source.Read()
+	bootTime, err := source.BootTime()
+	c := &Clock{source: source, origin: time.Unix(0, int64(wall)), startMonotonic: monotonic, startBootTime: bootTime, hasBootTime: err == nil}
+	c.wallOffset.Store(int64(wall - monotonic))
+	c.readAt.Store(int64(monotonic))
 	return c
 }
 
-// HasBoot tells whether the machine has a clock that counts suspensions.
-func (c *Clock) HasBoot() bool { return c.hasBoot }
+// HasBootTime reports whether the source has a clock that counts suspensions.
+func (c *Clock) HasBootTime() bool { return c.hasBootTime }
 
-// Now returns the time. It has no reading of the steady clock, so that differences of two
-// times have suspensions in them; against times of package time it may be off by steps of the
-// time of day.
+// Now returns the current time. It carries no monotonic reading, so differences of two such times
+// include suspensions. It may differ from time.Now by wall clock steps.
 func (c *Clock) Now() time.Time { return c.origin.Add(c.elapsed()) }
 
-// Since returns the time since an earlier one of this clock.
+// Since returns the time elapsed since an earlier time of this clock.
 func (c *Clock) Since(earlier time.Time) time.Duration { return c.Now().Sub(earlier) }
 
-// Until returns the time until a later one of this clock.
+// Until returns the time left until a later time of this clock.
 func (c *Clock) Until(later time.Time) time.Duration { return later.Sub(c.Now()) }
 
-// elapsed returns the time since the clock began. It never goes back.
+// elapsed returns the time since the clock was created. It never decreases.
 func (c *Clock) elapsed() time.Duration {
-	steady, timeOfDay := c.source.Read()
-	moved := timeOfDay - steady - time.Duration(c.shift.Load())
-	if moved > shiftLimit || moved < -shiftLimit || steady-time.Duration(c.readAt.Load()) > readInterval {
-		c.read()
+	monotonic, wall := c.source.Read()
+	wallShift := wall - monotonic - time.Duration(c.wallOffset.Load())
+	if wallShift > wallOffsetTolerance || wallShift < -wallOffsetTolerance || monotonic-time.Duration(c.readAt.Load()) > bootTimeInterval {
+		c.updateSuspended()
 	}
-	return time.Duration(raise(&c.highest, int64(steady-c.steady)+c.suspended.Load()))
+	return time.Duration(storeMax(&c.latest, int64(monotonic-c.startMonotonic)+c.suspended.Load()))
 }
 
-// read finds out how long the machine has been suspended.
-func (c *Clock) read() {
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	boot, err := c.source.Boot()
-	// The steady clock is read after that of suspensions: the difference is too small by what
-	// lies between, and never too large.
-	steady, timeOfDay := c.source.Read()
-	moved := timeOfDay - steady - time.Duration(c.shift.Load())
-	c.shift.Store(int64(timeOfDay - steady))
-	c.readAt.Store(int64(steady))
-	if !c.hasBoot || err != nil {
-		// The time of day is all that is left.
-		c.suspended.Add(int64(max(moved, 0)))
+// updateSuspended reads the clocks and updates the total suspension.
+func (c *Clock) updateSuspended() {
+	c.readMutex.Lock()
+	defer c.readMutex.Unlock()
+	bootTime, err := c.source.BootTime()
+	// The monotonic clock is read after the boot time, so that the suspension is never overestimated.
+	monotonic, wall := c.source.Read()
+	wallShift := wall - monotonic - time.Duration(c.wallOffset.Load())
+	c.wallOffset.Store(int64(wall - monotonic))
+	c.readAt.Store(int64(monotonic))
+	if !c.hasBootTime || err != nil {
+		// Without the boot time only the wall clock shows suspensions.
+		c.suspended.Add(int64(max(wallShift, 0)))
 		return
 	}
-	raise(&c.suspended, int64(boot-c.boot-(steady-c.steady)))
+	storeMax(&c.suspended, int64(bootTime-c.startBootTime-(monotonic-c.startMonotonic)))
 }
 
-// raise sets the value to at least the other and returns it.
-func raise(value *atomic.Int64, least int64) int64 {
+// storeMax raises the value to the candidate if that is larger, and returns the result.
+func storeMax(value *atomic.Int64, candidate int64) int64 {
 	for {
-		known := value.Load()
-		if known >= least {
-			return known
+		current := value.Load()
+		if current >= candidate {
+			return current
 		}
-		if value.CompareAndSwap(known, least) {
-			return least
+		if value.CompareAndSwap(current, candidate) {
+			return candidate
 		}
 	}
 }
 
-// process is the clock of this process.
-var process atomic.Pointer[Clock]
+// processClock is the clock of this process.
+var processClock atomic.Pointer[Clock]
 
-func init() { process.Store(New(machine{})) }
+func init() { processClock.Store(New(systemSource{})) }
 
-// Use has the process go by another source, and returns a function that goes back to the one
-// before. It is for tests, before anything has read the clock that must not jump.
+// Use replaces the source of the process's clock and returns a function that restores the previous
+// one. It is for tests, and must come before any reading that must stay consistent.
 func Use(source Source) (restore func()) {
-	before := process.Swap(New(source))
-	return func() { process.Store(before) }
+	previous := processClock.Swap(New(source))
+	return func() { processClock.Store(previous) }
 }
 
-// HasBoot tells whether this machine has a clock that counts suspensions.
-func HasBoot() bool { return process.Load().HasBoot() }
+// HasBootTime reports whether this machine has a clock that counts suspensions.
+func HasBootTime() bool { return processClock.Load().HasBootTime() }
 
-// Now returns the time of this process's clock.
-func Now() time.Time { return process.Load().Now() }
+// Now returns the current time of the process's clock.
+func Now() time.Time { return processClock.Load().Now() }
 
-// Since returns the time since an earlier one of this process's clock.
-func Since(earlier time.Time) time.Duration { return process.Load().Since(earlier) }
+// Since returns the time elapsed since an earlier time of the process's clock.
+func Since(earlier time.Time) time.Duration { return processClock.Load().Since(earlier) }
 
-// Until returns the time until a later one of this process's clock.
-func Until(later time.Time) time.Duration { return process.Load().Until(later) }
+// Until returns the time left until a later time of the process's clock.
+func Until(later time.Time) time.Duration { return processClock.Load().Until(later) }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -9,141 +9,140 @@
 	"pgregory.net/rapid"
 )
 
-// hand is a source whose clocks a test moves.
-type hand struct {
-	steady, timeOfDay, boot time.Duration
-	failing                 bool
+// fakeSource is a Source with clocks set by a test.
+type fakeSource struct {
+	monotonic, wall, bootTime time.Duration
+	failsBootTime             bool
 }
 
-func (h *hand) Read() (steady, timeOfDay time.Duration) { return h.steady, h.timeOfDay }
+func (s *fakeSource) Read() (monotonic, wall time.Duration) { return s.monotonic, s.wall }
 
-func (h *hand) Boot() (time.Duration, error) {
-	if h.failing {
+func (s *fakeSource) BootTime() (time.Duration, error) {
+	if s.failsBootTime {
 		return 0, errors.New("no such clock")
 	}
-	return h.boot, nil
+	return s.bootTime, nil
 }
 
-// pass lets time pass, and suspend suspends the machine.
-func (h *hand) pass(duration time.Duration) {
-	h.steady += duration
-	h.suspend(duration)
+// advance lets time pass while the machine runs, and suspend while it is suspended.
+func (s *fakeSource) advance(duration time.Duration) {
+	s.monotonic += duration
+	s.suspend(duration)
 }
 
-func (h *hand) suspend(duration time.Duration) {
-	h.timeOfDay += duration
-	h.boot += duration
+func (s *fakeSource) suspend(duration time.Duration) {
+	s.wall += duration
+	s.bootTime += duration
 }
 
-func newHand() *hand {
-	return &hand{steady: time.Hour, timeOfDay: 20000 * time.Hour, boot: 3 * time.Hour}
+func newFakeSource() *fakeSource {
+	return &fakeSource{monotonic: time.Hour, wall: 20000 * time.Hour, bootTime: 3 * time.Hour}
 }
 
 func TestSuspensionsCount(t *testing.T) {
-	h := newHand()
-	c := New(h)
-	began := c.Now()
-	h.pass(time.Second)
-	require.Equal(t, time.Second, c.Since(began))
-	h.suspend(5 * time.Second)
-	require.Equal(t, 6*time.Second, c.Since(began), "at the first reading after it")
-	h.pass(time.Millisecond)
-	require.Equal(t, 6*time.Second+time.Millisecond, c.Since(began))
+	source := newFakeSource()
+	c := New(source)
+	start := c.Now()
+	source.advance(time.Second)
+	require.Equal(t, time.Second, c.Since(start))
+	source.suspend(5 * time.Second)
+	require.Equal(t, 6*time.Second, c.Since(start), "first reading after the suspension")
+	source.advance(time.Millisecond)
+	require.Equal(t, 6*time.Second+time.Millisecond, c.Since(start))
 	require.Equal(t, time.Second, c.Until(c.Now().Add(time.Second)))
 }
 
-// TestStepsOfTheTimeOfDayDoNotCount: where there is a clock of suspensions, steps either way
-// change nothing.
-func TestStepsOfTheTimeOfDayDoNotCount(t *testing.T) {
-	h := newHand()
-	c := New(h)
-	began := c.Now()
-	h.timeOfDay += time.Hour
-	require.Zero(t, c.Since(began))
-	h.timeOfDay -= 2 * time.Hour
-	h.pass(time.Second)
-	require.Equal(t, time.Second, c.Since(began))
+// TestWallClockStepsDoNotCount checks steps in both directions on a machine with a boot-time clock.
+func TestWallClockStepsDoNotCount(t *testing.T) {
+	source := newFakeSource()
+	c := New(source)
+	start := c.Now()
+	source.wall += time.Hour
+	require.Zero(t, c.Since(start))
+	source.wall -= 2 * time.Hour
+	source.advance(time.Second)
+	require.Equal(t, time.Second, c.Since(start))
 }
 
-// TestHiddenSuspensionIsFound: a step back of the time of day that hides a suspension hides it
-// for readInterval at the most.
-func TestHiddenSuspensionIsFound(t *testing.T) {
-	h := newHand()
-	c := New(h)
-	began := c.Now()
-	h.suspend(time.Minute)
-	h.timeOfDay -= time.Minute
-	h.pass(readInterval + 1)
-	require.Equal(t, time.Minute+readInterval+1, c.Since(began))
+// TestSuspensionHiddenByWallClockStepIsDetected checks that a backward step hides a suspension for at
+// most bootTimeInterval.
+func TestSuspensionHiddenByWallClockStepIsDetected(t *testing.T) {
+	source := newFakeSource()
+	c := New(source)
+	start := c.Now()
+	source.suspend(time.Minute)
+	source.wall -= time.Minute
+	source.advance(bootTimeInterval + 1)
+	require.Equal(t, time.Minute+bootTimeInterval+1, c.Since(start))
 }
 
-// TestWithoutAClockOfSuspensions: steps of the time of day ahead count then, as they may be
-// suspensions, and steps back do not: what waits for a lease's end never waits too long for it.
-func TestWithoutAClockOfSuspensions(t *testing.T) {
-	h := newHand()
-	h.failing = true
-	c := New(h)
-	require.False(t, c.HasBoot())
-	began := c.Now()
-	h.suspend(time.Minute)
-	require.Equal(t, time.Minute, c.Since(began))
-	h.timeOfDay -= time.Hour
-	require.Equal(t, time.Minute, c.Since(began))
-	h.pass(time.Second)
-	require.Equal(t, time.Minute+time.Second, c.Since(began))
+// TestWithoutBootTime checks that forward steps of the wall clock then count as suspensions and
+// backward steps do not, so that waiting for the end of a lease never takes too long.
+func TestWithoutBootTime(t *testing.T) {
+	source := newFakeSource()
+	source.failsBootTime = true
+	c := New(source)
+	require.False(t, c.HasBootTime())
+	start := c.Now()
+	source.suspend(time.Minute)
+	require.Equal(t, time.Minute, c.Since(start))
+	source.wall -= time.Hour
+	require.Equal(t, time.Minute, c.Since(start))
+	source.advance(time.Second)
+	require.Equal(t, time.Minute+time.Second, c.Since(start))
 }
 
-// TestTimeNeverGoesBack draws passing time, suspensions, steps, clocks that fail and clocks
-// that go back: the time told never falls, and with sound clocks it is exact.
-func TestTimeNeverGoesBack(t *testing.T) {
+// TestTimeIsMonotonic checks that the time never decreases, whatever the clocks do, and is exact while
+// they are reliable.
+func TestTimeIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHand()
-		c := New(h)
-		began := c.Now()
-		last, elapsed, sound := began, time.Duration(0), true
+		source := newFakeSource()
+		c := New(source)
+		start := c.Now()
+		last, elapsed, exact := start, time.Duration(0), true
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			duration := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "duration"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				h.pass(duration)
+				source.advance(duration)
 				elapsed += duration
 			case 2:
-				h.suspend(duration)
-				// A short one may wait for the next reading.
-				h.pass(readInterval + 1)
-				elapsed += duration + readInterval + 1
+				source.suspend(duration)
+				// A short suspension is detected only at the next reading of the boot time.
+				source.advance(bootTimeInterval + 1)
+				elapsed += duration + bootTimeInterval + 1
 			case 3:
-				h.timeOfDay -= duration
+				source.wall -= duration
 			case 4:
-				h.boot -= duration
-				sound = sound && duration == 0
+				source.bootTime -= duration
+				exact = exact && duration == 0
 			case 5:
-				h.failing, sound = !h.failing, false
+				source.failsBootTime, exact = !source.failsBootTime, false
 			}
 			now := c.Now()
 			require.False(t, now.Before(last))
 			last = now
-			if sound {
-				require.Equal(t, elapsed, now.Sub(began))
+			if exact {
+				require.Equal(t, elapsed, now.Sub(start))
 			}
 		}
 	})
 }
 
 func TestProcessClock(t *testing.T) {
-	require.True(t, HasBoot())
+	require.True(t, HasBootTime())
 	source := &Suspendable{}
 	restore := Use(source)
 	defer restore()
-	began := Now()
+	start := Now()
 	source.Suspend(time.Hour)
 	// The two clocks are read one after the other.
-	require.Greater(t, Since(began), time.Hour-time.Minute)
-	require.Less(t, Until(began), -time.Hour+time.Minute)
+	require.Greater(t, Since(start), time.Hour-time.Minute)
+	require.Less(t, Until(start), -time.Hour+time.Minute)
 }
 
 func BenchmarkNow(b *testing.B) {
-	b.Run("suspensions counted", func(b *testing.B) {
+	b.Run("package clock", func(b *testing.B) {
 		for b.Loop() {
 			Now()
 		}
@@ -155,7 +154,7 @@
 	})
 	b.Run("system call", func(b *testing.B) {
 		for b.Loop() {
-			_, _ = machine{}.Boot()
+			_, _ = systemSource{}.BootTime()
 		}
 	})
 }
--- a/clock/suspendable.go
+++ b/clock/suspendable.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Suspendable is a source for tests, whose machine can be suspended without waiting: the clock
-// that counts suspensions and the time of day run ahead of the steady one.
-type Suspendable struct{ ahead atomic.Int64 }
+// Suspendable is a Source for tests that simulates suspensions: they advance the boot time and the
+// wall clock but not the monotonic clock.
+type Suspendable struct{ suspended atomic.Int64 }
 
-// Suspend has the machine have been suspended for the duration.
-func (s *Suspendable) Suspend(duration time.Duration) { s.ahead.Add(int64(duration)) }
+// Suspend simulates a suspension of the given duration.
+func (s *Suspendable) Suspend(duration time.Duration) { s.suspended.Add(int64(duration)) }
 
 // Read implements Source.
-func (s *Suspendable) Read() (steady, timeOfDay time.Duration) {
-	steady, timeOfDay = machine{}.Read()
-	return steady, timeOfDay + time.Duration(s.ahead.Load())
+func (s *Suspendable) Read() (monotonic, wall time.Duration) {
+	monotonic, wall = systemSource{}.Read()
+	return monotonic, wall + time.Duration(s.suspended.Load())
 }
 
-// Boot implements Source.
-func (s *Suspendable) Boot() (time.Duration, error) {
-	boot, err := machine{}.Boot()
-	return boot + time.Duration(s.ahead.Load()), err
+// BootTime implements Source.
+func (s *Suspendable) BootTime() (time.Duration, error) {
+	bootTime, err := systemSource{}.BootTime()
+	return bootTime + time.Duration(s.suspended.Load()), err
 }
--- a/eventloop/eventloop.go
+++ b/eventloop/eventloop.go
@@ -1,6 +1,5 @@
-// Package eventloop runs a deterministic core in a process: calls from any
-// goroutine are carried out one after the other by one goroutine, and what
-// they produced is flushed once for each batch of calls that had gathered.
+// Package eventloop runs a deterministic core in a single goroutine. Functions submitted from any
+// goroutine run one at a time, and their output is flushed once per batch.
 package eventloop
 
 import (
@@ -9,27 +8,27 @@
 )
 
 const (
-	queueLength = 4096
-	// maxBatch bounds the calls between two flushes.
+	queueCapacity = 4096
+	// maxBatch bounds the number of functions between two flushes.
 	maxBatch = 1024
 )
 
-// Loop carries out calls one after the other.
+// Loop runs submitted functions one at a time.
 type Loop struct {
 	calls chan func()
 	done  chan struct{}
 }
 
-// New returns a loop that accepts calls and carries none out before Run.
+// New returns a loop that queues functions until Run is called.
 func New() *Loop {
-	return &Loop{calls: make(chan func(), queueLength), done: make(chan struct{})}
+	return &Loop{calls: make(chan func(), queueCapacity), done: make(chan struct{})}
 }
 
-// Call queues the function and waits while the queue is full. It returns false
-// if the loop has ended; the function may then never run.
-func (l *Loop) Call(call func()) bool {
+// Submit queues f and blocks while the queue is full. It returns false if the loop has ended; f may
+// then never run.
+func (l *Loop) Submit(f func()) bool {
 	select {
-	case l.calls <- call:
+	case l.calls <- f:
 		return true
 	case <-l.done:
 		return false
@@ -39,8 +38,8 @@
 // Done is closed when the loop has ended.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Run carries out calls, ticks at the interval, and flushes after each batch,
-// until the context ends or flush returns an error, which it returns.
+// Run runs the submitted functions, calls tick at the interval, and calls flush after each batch. It
+// returns when the context ends or flush returns an error, with that error.
 func (l *Loop) Run(ctx context.Context, interval time.Duration, tick func(), flush func() error) error {
 	defer close(l.done)
 	ticker := time.NewTicker(interval)
@@ -72,24 +71,23 @@
 	}
 }
 
-// Ask carries out the question in the loop and returns its answer. It returns
-// false if the loop has ended before.
-func Ask[T any](l *Loop, question func() T) (T, bool) {
-	answered := make(chan T, 1)
-	var none T
-	if !l.Call(func() { answered <- question() }) {
-		return none, false
+// Call runs f in the loop and returns its result. It returns false if the loop ended before f ran.
+func Call[T any](l *Loop, f func() T) (T, bool) {
+	results := make(chan T, 1)
+	var zero T
+	if !l.Submit(func() { results <- f() }) {
+		return zero, false
 	}
 	select {
-	case answer := <-answered:
-		return answer, true
+	case result := <-results:
+		return result, true
 	case <-l.done:
 	}
-	// The loop may have carried the call out before it ended.
+	// The loop may have run f before it ended.
 	select {
-	case answer := <-answered:
-		return answer, true
+	case result := <-results:
+		return result, true
 	default:
-		return none, false
+		return zero, false
 	}
 }
--- a/eventloop/mailbox.go
+++ b/eventloop/mailbox.go
@@ -5,8 +5,7 @@
 	"sync"
 )
 
-// Mailbox passes items from a loop to another goroutine without ever blocking
-// the loop. Its size is bounded by what the loop puts in.
+// Mailbox passes items from a loop to another goroutine without blocking the loop. It has no size limit.
 type Mailbox[T any] struct {
 	mutex  sync.Mutex
 	items  []T
@@ -29,8 +28,7 @@
 	}
 }
 
-// Take waits for items and returns all there are; it returns false if the
-// context ends first.
+// Take waits for items and returns all of them. It returns false if the context ends first.
 func (m *Mailbox[T]) Take(ctx context.Context) ([]T, bool) {
 	select {
 	case <-m.signal:
--- a/replica/admission.go
+++ b/replica/admission.go
@@ -17,7 +17,7 @@
 func (r *Replica) handOver() {
 	deadline := time.Now().Add(transferWait)
 	for time.Now().Before(deadline) {
-		led, ok := eventloop.Ask(r.loop, func() bool { return r.core.Leading() && r.core.TransferLeadership() })
+		led, ok := eventloop.Call(r.loop, func() bool { return r.core.Leading() && r.core.TransferLeadership() })
 		if !ok || !led {
 			return
 		}
@@ -129,7 +129,7 @@
 // replica with data remembers, which may be others by now than the settings name; and whoever
 // still sends to the identity that this machine had before it lost its disk.
 func (r *Replica) contacts() []string {
-	senders, _ := eventloop.Ask(r.loop, r.core.Senders)
+	senders, _ := eventloop.Call(r.loop, r.core.Senders)
 	return joinContacts(r.settings, r.Status().Members, senders)
 }
 
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -17,13 +17,13 @@
 }
 
 func (r *Replica) receive(message protocol.Message) {
-	r.loop.Call(func() { r.core.Receive(message) })
+	r.loop.Submit(func() { r.core.Receive(message) })
 }
 
 // tick makes up for ticks that were missed: a leader that stood still must
 // notice that its time has passed before it acts again.
 func (r *Replica) tick() {
-	elapsed, suspended := r.pulse.Beat()
+	elapsed, suspended := r.pulse.Check()
 	missed := int(elapsed / TickInterval)
 	for range min(max(missed, 1), 2*electionTicks) {
 		r.core.Tick()
@@ -95,7 +95,7 @@
 		return
 	}
 	event.SnapshotSaved.On(r.logger).Uint("index", job.Snapshot.Index).Uint("bytes", uint64(size)).Send()
-	r.loop.Call(func() {
+	r.loop.Submit(func() {
 		if through := r.core.FinishSnapshot(job, size); through > 0 {
 			r.persist(func() error { return r.store.DropLog(through) })
 		}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -119,7 +119,7 @@
 
 	nextID  uint64
 	waiting map[uint64]chan Reply
-	pulse   *clock.Pulse
+	pulse   *clock.PauseDetector
 	status  atomic.Pointer[Status]
 	// changed is closed and made anew with each change of the machine.
 	changed atomic.Pointer[chan struct{}]
@@ -227,6 +227,6 @@
 		r.handOver()
 		stopLoop()
 	}()
-	r.pulse = clock.NewPulse()
+	r.pulse = clock.NewPauseDetector()
 	return r.loop.Run(loopContext, TickInterval, r.tick, r.flush)
 }
--- a/replica/request.go
+++ b/replica/request.go
@@ -12,7 +12,7 @@
 // Do runs the function in the replica's loop, where the machine may be read.
 // It returns false if the replica has stopped.
 func (r *Replica) Do(function func()) bool {
-	_, ok := eventloop.Ask(r.loop, func() struct{} {
+	_, ok := eventloop.Call(r.loop, func() struct{} {
 		function()
 		return struct{}{}
 	})
@@ -21,7 +21,7 @@
 
 // SetRetiring names the replicas that are to leave the group.
 func (r *Replica) SetRetiring(retiring map[consensus.ReplicaID]bool) {
-	r.loop.Call(func() { r.core.SetRetiring(retiring) })
+	r.loop.Submit(func() { r.core.SetRetiring(retiring) })
 }
 
 // ask starts a request under an ID in the loop and waits for its reply. Nothing is
@@ -33,7 +33,7 @@
 	}
 	answered := make(chan Reply, 1)
 	var id uint64
-	queued := r.loop.Call(func() {
+	queued := r.loop.Submit(func() {
 		r.nextID++
 		id = r.nextID
 		r.waiting[id] = answered
@@ -47,7 +47,7 @@
 		return reply
 	case <-r.loop.Done():
 	case <-ctx.Done():
-		r.loop.Call(func() { delete(r.waiting, id) })
+		r.loop.Submit(func() { delete(r.waiting, id) })
 	}
 	return Reply{Outcome: Unknown}
 }
@@ -103,7 +103,7 @@
 }
 
 // Require has only replicas let in that know the version of the machine's commands.
-func (r *Replica) Require(version uint64) { r.loop.Call(func() { r.core.Require(version) }) }
+func (r *Replica) Require(version uint64) { r.loop.Submit(func() { r.core.Require(version) }) }
 
 func (r *Replica) executeAt(ctx context.Context, leader string, command []byte) ([]byte, error) {
 	response, err := PostInternal(ctx, r.client, "http://"+leader+ExecutePath, command)
--- a/replica/suspension_test.go
+++ b/replica/suspension_test.go
@@ -23,7 +23,7 @@
 	}
 	logger := zerolog.Nop()
 	r := newReplica(Settings{}, &refusingStore{}, g.leader().core, &logger)
-	r.pulse = clock.NewPulse()
+	r.pulse = clock.NewPauseDetector()
 	r.context = context.Background()
 	r.tick()
 	require.True(t, r.core.Leading(), "no time has passed")
@@ -37,11 +37,11 @@
 func TestPulseTellsSuspensionsApart(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
-	pulse := clock.NewPulse()
+	pulse := clock.NewPauseDetector()
 	source.Suspend(time.Hour)
-	elapsed, suspended := pulse.Beat()
+	elapsed, suspended := pulse.Check()
 	require.Greater(t, elapsed, time.Hour-time.Minute)
 	require.Greater(t, suspended, time.Hour-time.Minute)
-	_, suspended = pulse.Beat()
+	_, suspended = pulse.Check()
 	require.Less(t, suspended, time.Minute)
 }
--- a/server/callers.go
+++ b/server/callers.go
@@ -111,7 +111,7 @@
 		return
 	}
 	box := eventloop.NewMailbox[node.CallerEvent]()
-	id, ok := eventloop.Ask(n.loop, func() uint64 {
+	id, ok := eventloop.Call(n.loop, func() uint64 {
 		submitted := n.core.Submit(n.now(), live)
 		n.callers[submitted] = box
 		return submitted
@@ -120,7 +120,7 @@
 		writeEnd(response, node.CallerEvent{Outcome: protocol.OutcomeNotRun, Reason: protocol.ReasonDraining})
 		return
 	}
-	defer n.loop.Call(func() {
+	defer n.loop.Submit(func() {
 		delete(n.callers, id)
 		n.core.Cancel(n.now(), id)
 	})
--- a/server/checkpoint.go
+++ b/server/checkpoint.go
@@ -105,7 +105,7 @@
 	t.checkpointing = true
 	go func() {
 		err := t.commitCheckpoints(checkpoints)
-		t.loop.Call(func() {
+		t.loop.Submit(func() {
 			t.checkpointing = false
 			if err == nil {
 				t.noteCheckpointed(texts)
--- a/server/control.go
+++ b/server/control.go
@@ -112,7 +112,7 @@
 }
 
 func (c *Control) receive(message protocol.Message) {
-	c.loop.Call(func() { c.core.Receive(c.clock(), message) })
+	c.loop.Submit(func() { c.core.Receive(c.clock(), message) })
 }
 
 // Run serves on the listener until the context ends, then hands leadership
@@ -203,7 +203,7 @@
 func (c *Control) ask(ctx context.Context, start func(id uint64)) (control.Reply, bool) {
 	answered := make(chan control.Reply, 1)
 	var id uint64
-	queued := c.loop.Call(func() {
+	queued := c.loop.Submit(func() {
 		c.nextID++
 		id = c.nextID
 		c.waiting[id] = answered
@@ -218,7 +218,7 @@
 	case <-c.loop.Done():
 		return control.Reply{}, false
 	case <-ctx.Done():
-		c.loop.Call(func() { delete(c.waiting, id) })
+		c.loop.Submit(func() { delete(c.waiting, id) })
 		return control.Reply{}, false
 	}
 }
@@ -227,7 +227,7 @@
 func (c *Control) handOver() {
 	deadline := time.Now().Add(transferWait)
 	for time.Now().Before(deadline) {
-		led, ok := eventloop.Ask(c.loop, func() bool {
+		led, ok := eventloop.Call(c.loop, func() bool {
 			return c.core.Raft().Role() == consensus.Leader && c.core.TransferLeadership(consensus.None)
 		})
 		if !ok || !led {
@@ -284,13 +284,13 @@
 			Address: engine.Address, Slots: engine.Slots, Listed: engine.Leaving,
 		})
 	}
-	c.loop.Call(func() { c.core.ListEngines(c.clock(), engines) })
+	c.loop.Submit(func() { c.core.ListEngines(c.clock(), engines) })
 }
 
 // askToJoin asks the members until this replica is one of them.
 func (c *Control) askToJoin(ctx context.Context) {
 	for round := 0; len(c.join) > 0; round++ {
-		member, ok := eventloop.Ask(c.loop, func() bool {
+		member, ok := eventloop.Call(c.loop, func() bool {
 			_, is := c.core.Raft().Membership().Member(c.core.Raft().ID())
 			return is
 		})
--- a/server/directory_call.go
+++ b/server/directory_call.go
@@ -42,7 +42,7 @@
 	// Missed comes with Newest, and asks for what a copy misses up to there.
 	Missed *missedCall `cbor:"18,keyasint,omitempty"`
 	// Says is what the replica that sends Clock says of its build.
-	Says *upgrade.Statement `cbor:"20,keyasint,omitempty"`
+	Says *upgrade.VersionReport `cbor:"20,keyasint,omitempty"`
 	// Passed is set on a call that another replica passes on, which is not passed on again.
 	Passed bool `cbor:"15,keyasint,omitempty"`
 }
--- a/server/followed_run.go
+++ b/server/followed_run.go
@@ -107,5 +107,5 @@
 	end, text, version := f.outcome(wait(f.context))
 	f.learn(end)
 	f.tenure.metrics.run.WithLabelValues().Observe(time.Since(began).Seconds())
-	f.tenure.loop.Call(func() { f.tenure.runEnded(f.assignment.Task, f.assignment, end, text, version) })
+	f.tenure.loop.Submit(func() { f.tenure.runEnded(f.assignment.Task, f.assignment, end, text, version) })
 }
--- a/server/held_sample.go
+++ b/server/held_sample.go
@@ -48,7 +48,7 @@
 	if t.guard.TakeTrial(t.context, verdict.Fingerprint) {
 		t.guard.Permit(verdict.Subject.Content)
 	}
-	t.loop.Call(func() { delete(t.asking, verdict.Fingerprint) })
+	t.loop.Submit(func() { delete(t.asking, verdict.Fingerprint) })
 }
 
 // clearedFor returns what is known of a sample whose run begins, and whether the run is a trial:
--- a/server/inspect.go
+++ b/server/inspect.go
@@ -55,8 +55,8 @@
 		return
 	}
 	if err == nil && report.Busy {
-		t.loop.Call(func() { t.scheduler.NoteBusy(nowMillis(), backend.ID) })
-		defer t.loop.Call(func() { t.scheduler.NoteIdle(backend.ID) })
+		t.loop.Submit(func() { t.scheduler.NoteBusy(nowMillis(), backend.ID) })
+		defer t.loop.Submit(func() { t.scheduler.NoteIdle(backend.ID) })
 	}
 	for err == nil && report.Busy {
 		sleep(limited, loadPoll)
@@ -65,7 +65,7 @@
 	if err != nil || !t.isSameLife(backend, report) {
 		return
 	}
-	t.loop.Call(func() {
+	t.loop.Submit(func() {
 		for _, held := range report.Models {
 			t.scheduler.NoteVersion(backend.ID, held.Model, held.Version)
 		}
--- a/server/load.go
+++ b/server/load.go
@@ -39,7 +39,7 @@
 		outcome = "failed"
 	}
 	t.metrics.loads.WithLabelValues(outcome).Observe(clock.Since(began).Seconds())
-	t.loop.Call(func() {
+	t.loop.Submit(func() {
 		t.ordersAt = time.Time{}
 		line := event.LoadEnded.On(t.logger).Str("engine", order.Backend.ID).Str("model", order.Model).
 			Uint("version", order.Version).Uint("held", held)
--- a/server/node.go
+++ b/server/node.go
@@ -71,10 +71,10 @@
 	}
 	n.status.Store(&nodeStatus{})
 	n.transport = transport.New(logger, func(message protocol.Message) {
-		n.loop.Call(func() { n.core.Receive(n.now(), message) })
+		n.loop.Submit(func() { n.core.Receive(n.now(), message) })
 	})
 	n.engines = newEngineClient(background, func(id string, message protocol.EngineMessage) {
-		n.loop.Call(func() { n.core.ReceiveEngine(n.now(), id, message) })
+		n.loop.Submit(func() { n.core.ReceiveEngine(n.now(), id, message) })
 	})
 	return n
 }
@@ -149,10 +149,10 @@
 // drain waits until the node has ended its work, and tells control.
 func (n *Node) drain() {
 	event.NodeDraining.On(n.logger).Str("node", n.settings.ID).Send()
-	n.loop.Call(func() { n.core.Drain(n.now()) })
+	n.loop.Submit(func() { n.core.Drain(n.now()) })
 	deadline := time.Now().Add(n.settings.DrainTimeout)
 	for time.Now().Before(deadline) {
-		drained, ok := eventloop.Ask(n.loop, n.core.Drained)
+		drained, ok := eventloop.Call(n.loop, n.core.Drained)
 		if !ok {
 			return
 		}
@@ -166,7 +166,7 @@
 }
 
 func (n *Node) leave() {
-	n.loop.Call(func() { n.core.Leave(n.now()) })
+	n.loop.Submit(func() { n.core.Leave(n.now()) })
 	// The goodbye is a courtesy: without it the lease runs out. The pause lets
 	// the transport write it.
 	time.Sleep(drainPoll)
@@ -201,7 +201,7 @@
 	for n.context.Err() == nil {
 		reward, err := n.scoreOnce(body)
 		if err == nil {
-			n.loop.Call(func() { n.core.ReceiveScore(n.now(), score.Request, reward) })
+			n.loop.Submit(func() { n.core.ReceiveScore(n.now(), score.Request, reward) })
 			return
 		}
 		event.ScorerUnreachable.On(n.logger).Err(err).Send()
--- a/server/process.go
+++ b/server/process.go
@@ -36,7 +36,7 @@
 
 // checkClock says so if suspensions of the machine can only be guessed.
 func checkClock(logger *zerolog.Logger) {
-	if !clock.HasBoot() {
+	if !clock.HasBootTime() {
 		event.NoBootClock.On(logger).Send()
 	}
 }
--- a/server/record.go
+++ b/server/record.go
@@ -38,7 +38,7 @@
 	if wait := time.Until(t.recordAfter); wait > 0 {
 		t.recording = true
 		time.AfterFunc(wait, func() {
-			t.loop.Call(func() { t.recording = false })
+			t.loop.Submit(func() { t.recording = false })
 		})
 		return
 	}
@@ -46,7 +46,7 @@
 	t.results, t.recording = nil, true
 	go func() {
 		failed := t.commit(pending)
-		t.loop.Call(func() {
+		t.loop.Submit(func() {
 			t.recording = false
 			t.results = append(failed, t.results...)
 			t.recordAfter = time.Now().Add(recordPause)
--- a/server/returning_test.go
+++ b/server/returning_test.go
@@ -94,7 +94,7 @@
 func asThisBuild(*Directory) {}
 
 // asEarlierBuild has the replica know no version, as a build before there were any.
-func asEarlierBuild(d *Directory) { d.versions.own = upgrade.Statement{} }
+func asEarlierBuild(d *Directory) { d.versions.own = upgrade.VersionReport{} }
 
 // TestTwoHeartbeatsProveALife: one heartbeat, two that come together, two of the same number, and
 // two with a long silence between them prove nothing; two that come at their pace do.
@@ -256,7 +256,7 @@
 	isRaised := func() bool {
 		return slices.ContainsFunc(members, func(member *fleetMember) bool { return inUse(member.directory) > 0 })
 	}
-	never(t, upgrade.StatementLife, isRaised, "one member does not know it")
+	never(t, upgrade.ReportTTL, isRaised, "one member does not know it")
 	takeOut(t, members, "b")
 	never(t, 2*d.settings.HeartbeatInterval, func() bool { return backend.beat(d) }, "it stays out as before")
 	require.False(t, isRaised())
--- a/server/rpc.go
+++ b/server/rpc.go
@@ -228,7 +228,7 @@
 		return nil, invalid("replica: must be a positive number")
 	}
 	accepted := make(chan bool, 1)
-	queued := o.loop.Call(func() { accepted <- o.changeMembership(request.Msg, consensus.ReplicaID(id)) })
+	queued := o.loop.Submit(func() { accepted <- o.changeMembership(request.Msg, consensus.ReplicaID(id)) })
 	if !queued {
 		return nil, connect.NewError(connect.CodeUnavailable, fmt.Errorf("the replica is stopping"))
 	}
--- a/server/run.go
+++ b/server/run.go
@@ -48,7 +48,7 @@
 // adopt goes on with runs of an earlier leader, where their samples wait and their texts
 // will do. It is called by a runner's link and waits for the loop.
 func (t *tenure) adopt(held []*runner.Held) {
-	eventloop.Ask(t.loop, func() struct{} {
+	eventloop.Call(t.loop, func() struct{} {
 		t.engageHeld(held)
 		for _, one := range held {
 			assignment, ok := t.scheduler.Adopt(nowMillis(), one.Step, one.Sample, one.Engine, one.Text)
--- a/server/score.go
+++ b/server/score.go
@@ -27,7 +27,7 @@
 		defer cancel()
 		score, end := t.callReward(scoreContext, task, failures)
 		if end != rewardCancelled {
-			t.loop.Call(func() { t.scored(task, score, end) })
+			t.loop.Submit(func() { t.scored(task, score, end) })
 		}
 	}()
 }
@@ -91,7 +91,7 @@
 				return "", rewardFailed
 			}
 			if result.Failures > 0 {
-				t.loop.Call(func() { t.noteRewardFailures(task, failures) })
+				t.loop.Submit(func() { t.noteRewardFailures(task, failures) })
 			}
 		}
 		select {
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -107,7 +107,7 @@
 			return
 		}
 		t.fresh.noteChange(nowMillis())
-		t.loop.Call(t.syncState)
+		t.loop.Submit(t.syncState)
 		select {
 		case <-t.context.Done():
 			return
--- a/server/tenure_copy.go
+++ b/server/tenure_copy.go
@@ -23,6 +23,6 @@
 	t.awaited = asked
 	go func() {
 		<-asked.done
-		t.loop.Call(func() { t.awaited = nil })
+		t.loop.Submit(func() { t.awaited = nil })
 	}()
 }
--- a/server/usage_meter.go
+++ b/server/usage_meter.go
@@ -65,14 +65,14 @@
 
 // run tells what was counted until the context ends.
 func (u *usageTeller) run(ctx context.Context) {
-	pulse := clock.NewPulse()
+	pulse := clock.NewPauseDetector()
 	for ctx.Err() == nil {
 		sleep(ctx, usageInterval)
-		if elapsed, suspended := pulse.Beat(); elapsed > standstillTold {
+		if elapsed, suspended := pulse.Check(); elapsed > standstillTold {
 			event.ProcessStoodStill.On(u.watcher.logger).Int("ms", elapsed.Milliseconds()).Int("suspended_ms", suspended.Milliseconds()).Send()
 		}
 		u.tell(ctx)
-		pulse.Beat()
+		pulse.Check()
 	}
 }
 
--- a/server/version_keeper.go
+++ b/server/version_keeper.go
@@ -21,7 +21,7 @@
 // versionKeeper has the directory's leader raise the version of its commands once all members know
 // it, and tells when they do not.
 type versionKeeper struct {
-	own     upgrade.Statement
+	own     upgrade.VersionReport
 	address string
 	replica *replica.Replica
 	machine *directory.Machine
@@ -30,7 +30,7 @@
 	inUse atomic.Uint64
 
 	mutex  sync.Mutex
-	census *upgrade.Census
+	census *upgrade.VersionTracker
 	// silenced are the IDs of backends that this process has had taken out, in a term that it led
 	// in and before ReturnVersion was in use, only because nobody heard them.
 	silenced     map[string]bool
@@ -45,20 +45,20 @@
 
 func newVersionKeeper(address string, opened *replica.Replica, machine *directory.Machine, logger *zerolog.Logger) *versionKeeper {
 	return &versionKeeper{
-		own:     upgrade.Statement{Knows: directory.KnownVersion, Build: upgrade.Build()},
+		own:     upgrade.VersionReport{Knows: directory.KnownVersion, Build: upgrade.Build()},
 		address: address, replica: opened, machine: machine, logger: logger,
-		census: upgrade.NewCensus(), silenced: map[string]bool{},
+		census: upgrade.NewVersionTracker(), silenced: map[string]bool{},
 	}
 }
 
 // note takes in what the member at the address says of itself; nil is an earlier build.
-func (k *versionKeeper) note(address string, said *upgrade.Statement) {
+func (k *versionKeeper) note(address string, said *upgrade.VersionReport) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if said == nil {
-		said = &upgrade.Statement{}
+		said = &upgrade.VersionReport{}
 	}
-	k.census.Note(clock.Now(), address, *said)
+	k.census.Record(clock.Now(), address, *said)
 }
 
 // noteCommand remembers, before the command is carried out, whom the leader takes out for silence
@@ -151,13 +151,13 @@
 func (k *versionKeeper) missingOf(members []consensus.Member) []string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.census.Missing(clock.Now(), members, k.own.Knows)
+	return k.census.Unconfirmed(clock.Now(), members, k.own.Knows)
 }
 
 func (k *versionKeeper) tooEarly(members []consensus.Member) []string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.census.TooEarly(clock.Now(), members, k.inUse.Load())
+	return k.census.Outdated(clock.Now(), members, k.inUse.Load())
 }
 
 // logMissing tells of the members that do not know the version, or have not said so for the life of a
@@ -167,7 +167,7 @@
 	if !slices.Equal(missing, k.missing) {
 		k.missing, k.missingSince, k.missingTold = missing, now, false
 	}
-	if len(missing) == 0 || k.missingTold || now.Sub(k.missingSince) < upgrade.StatementLife {
+	if len(missing) == 0 || k.missingTold || now.Sub(k.missingSince) < upgrade.ReportTTL {
 		return
 	}
 	k.missingTold = true
--- a/upgrade/build.go
+++ b/upgrade/build.go
@@ -2,10 +2,10 @@
 
 import "runtime/debug"
 
-// buildLength is the number of characters that name a commit.
-const buildLength = 12
+// commitLength is the number of hex digits of the commit that are kept.
+const commitLength = 12
 
-// Build returns the commit that this program was built from, empty where the builder did not note it.
+// Build returns the commit this program was built from, or "" if it is unknown.
 func Build() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -13,7 +13,7 @@
 	}
 	for _, setting := range info.Settings {
 		if setting.Key == "vcs.revision" {
-			return setting.Value[:min(buildLength, len(setting.Value))]
+			return setting.Value[:min(commitLength, len(setting.Value))]
 		}
 	}
 	return ""
