--- a/admission/shares.go
+++ b/admission/shares.go
@@ -86,7 +86,7 @@
 	class := classOf(request)
 	c := s.counterFor(now, request, class)
 	c.decay(now)
-	// Counts the request itself by half, the average over its order among concurrent requests.
+	// Counts half of this request: the mean of the values before and after it.
 	value := c.value + 0.5
 	c.value++
 	if s.dividedAt.IsZero() {
@@ -168,8 +168,8 @@
 	return max(value-math.Sqrt(value), minEstimateFraction*value)
 }
 
-// callerLimit returns the limit on lowerEstimate per caller with which the counters, sorted by value,
-// use the budget.
+// callerLimit returns the limit on each caller's lowerEstimate at which the counters, sorted by value,
+// use up the budget.
 func callerLimit(counters []*counter, budget float64) float64 {
 	weight := 0.0
 	for _, c := range counters {
