--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,27 +1,27 @@
-// Package capacity decides how many backends a service should have in each zone. It is pure: the
-// caller tells it what is there and what is wanted, with the current time, and asks what to order.
+// Package capacity plans how many backends each service runs in each zone. It does no I/O and reads no
+// clock: the caller passes in the registered backends, the demand and the current time.
 package capacity
 
-// Demand is what the samples of a service's open steps need, as the ledger's leader knows it.
+// Demand is the outstanding work of a service's open steps, as reported by the ledger's leader.
 type Demand struct {
 	Service string `cbor:"1,keyasint"`
-	// Running and Waiting count the samples that have an engine and those that wait for one.
+	// Running and Waiting count the samples that are assigned to an engine and those still queued.
 	Running int `cbor:"2,keyasint"`
 	Waiting int `cbor:"3,keyasint"`
-	// Work is what the open samples need still, by the time until it is due.
+	// Work is the remaining work of the open samples, grouped by due time.
 	Work []Work `cbor:"4,keyasint,omitempty"`
 }
 
-// Work is what is due by a time.
+// Work is an amount of work with a common due time.
 type Work struct {
-	// DueMillis is the time left until then; negative if it has passed.
+	// DueMillis is the time until the work is due; negative if it is overdue.
 	DueMillis int64 `cbor:"1,keyasint"`
-	// SlotMillis is the time that it takes in one slot of an engine of middle pace.
+	// SlotMillis is how long the work takes in one slot of an engine of median speed.
 	SlotMillis float64 `cbor:"2,keyasint"`
 }
 
-// Wish is how many backends of one kind a service should have in a zone. The zone's limits hold for
-// both kinds together.
+// Wish is the target number of backends of one kind for a service in a zone. The zone's limits apply
+// to the sum of both kinds.
 type Wish struct {
 	Service     string `cbor:"1,keyasint"`
 	Zone        string `cbor:"2,keyasint"`
@@ -29,16 +29,16 @@
 	Count       int    `cbor:"4,keyasint"`
 }
 
-// Pool returns what the wish is about.
+// Pool returns the pool that the target applies to.
 func (w Wish) Pool() Pool { return Pool{Zone: w.Zone, Reclaimable: w.Reclaimable} }
 
-// Pool names the backends of one kind that a service has in a zone.
+// Pool identifies a service's backends of one kind in one zone.
 type Pool struct {
 	Zone        string
 	Reclaimable bool
 }
 
-// String names the pool in logs.
+// String returns the pool's name for logs and for the directory's keys of orders.
 func (p Pool) String() string {
 	if p.Reclaimable {
 		return p.Zone + " reclaimable"
@@ -46,7 +46,7 @@
 	return p.Zone
 }
 
-// Kind names the pool's kind in metrics.
+// Kind returns the pool's kind as shown in metrics.
 func (p Pool) Kind() string {
 	if p.Reclaimable {
 		return "reclaimable"
@@ -54,33 +54,32 @@
 	return "lasting"
 }
 
-// Order is a wish that was sent, or is about to be. It is kept where the next holder of the duty
-// finds it.
+// Order is a request to the platform to set a pool's number of backends. It is recorded before it is
+// sent, so that the next leader can continue from it.
 type Order struct {
 	Wish Wish `cbor:"1,keyasint"`
-	// Before is the count that held until then, and Held the most that there may have been by then:
-	// an earlier order that was not answered may have been carried out, or be later.
+	// Before is the pool's target count before this order. Held is the highest count that earlier
+	// orders may have reached: one without an answer may have been carried out, or may yet be.
 	Before int `cbor:"2,keyasint"`
 	Held   int `cbor:"5,keyasint,omitempty"`
-	// Number rises with each order of the pool.
+	// Number increases with each order of the pool.
 	Number uint64 `cbor:"3,keyasint"`
-	// Answer is what came of it.
 	Answer Answer `cbor:"4,keyasint,omitempty"`
 }
 
-// Count is how many backends the pool is to have as far as anyone knows: what was asked for last,
-// unless it was refused.
+// Count returns the target count in force: that of this order, or the previous one if the platform
+// rejected it.
 func (o Order) Count() int {
-	if o.wasRefused() {
+	if o.wasRejected() {
 		return o.Before
 	}
 	return o.Wish.Count
 }
 
-func (o Order) wasRefused() bool { return o.Answer == Exhausted || o.Answer == Refused }
+func (o Order) wasRejected() bool { return o.Answer == Exhausted || o.Answer == Refused }
 
-// Most is the most backends that the pool may come to have by this order and those before it.
-func (o Order) Most() int {
+// MaxCount returns the highest number of backends that this order and earlier ones may produce.
+func (o Order) MaxCount() int {
 	switch o.Answer {
 	case Taken:
 		return o.Wish.Count
@@ -90,26 +89,25 @@
 	return max(o.Before, o.Held)
 }
 
-// Answer is what came of an order.
+// Answer is the platform's answer to an order.
 type Answer uint8
 
-// The answers.
 const (
-	// Open: none has come. The order may have been carried out, or may be later.
+	// Open means that no answer was received: the order may have been carried out, or may yet be.
 	Open Answer = iota
-	// Taken: the order is carried out.
+	// Taken means that the platform accepted the order.
 	Taken
-	// Exhausted: there are none to be had there now.
+	// Exhausted means that the platform has no capacity for the pool at present.
 	Exhausted
-	// Refused: the order will never be carried out.
+	// Refused means that the order will never be carried out.
 	Refused
 )
 
-// String names the answer in logs.
+// String returns the answer's name for logs.
 func (a Answer) String() string {
 	names := [...]string{"open", "taken", "exhausted", "refused"}
 	if int(a) >= len(names) {
-		// It comes from a newer build.
+		// Recorded by a newer build.
 		return "unknown"
 	}
 	return names[a]
--- a/capacity/layout.go
+++ b/capacity/layout.go
@@ -8,48 +8,48 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// layout is how a service's backends are spread over its pools, and how they should be.
+// layout holds the current and the target state of a service's pools.
 type layout struct {
-	scale     routing.Scale
-	bearsZone bool
-	zones     []string
-	state     map[Pool]*PoolState
-	// slots is what a backend runs at once.
-	slots float64
+	scale             routing.Scale
+	toleratesZoneLoss bool
+	zones             []string
+	poolStates        map[Pool]*PoolState
+	// slotsPerBackend is how many samples a backend runs concurrently.
+	slotsPerBackend float64
 }
 
-// layout returns what is there, and wants just that with what was ordered.
-func (p *Planner) layout(now int64, fleet Fleet) *layout {
-	l := &layout{scale: fleet.Scale, bearsZone: fleet.BearsZone, zones: slices.Sorted(slices.Values(fleet.Zones)), state: map[Pool]*PoolState{}, slots: 1}
+// currentLayout returns the pools as they are, with targets that leave them unchanged.
+func (p *Planner) currentLayout(now int64, fleet Fleet) *layout {
+	l := &layout{scale: fleet.Scale, toleratesZoneLoss: fleet.ToleratesZoneLoss, zones: slices.Sorted(slices.Values(fleet.Zones)), poolStates: map[Pool]*PoolState{}, slotsPerBackend: 1}
 	for _, zone := range l.zones {
-		l.state[Pool{Zone: zone}] = &PoolState{}
+		l.poolStates[Pool{Zone: zone}] = &PoolState{}
 		if fleet.Scale.ReclaimablePrice > 0 {
-			l.state[Pool{Zone: zone, Reclaimable: true}] = &PoolState{}
+			l.poolStates[Pool{Zone: zone, Reclaimable: true}] = &PoolState{}
 		}
 	}
 	for _, member := range fleet.Members {
-		l.add(member)
+		l.addMember(member)
 	}
-	for pool, state := range l.state {
-		p.expect(now, pool, state, fleet)
+	for pool, state := range l.poolStates {
+		p.updatePool(now, pool, state, fleet)
 	}
-	for pool, state := range l.state {
-		known := p.tracks[pool]
-		state.Paused = !known.hasOrder() && !p.isSettled(now, pool) || known.isPaused(now)
-		state.releasable = pool.Reclaimable && known.isPaused(now) && state.Booting == 0
+	for pool, state := range l.poolStates {
+		tracker := p.trackers[pool]
+		state.Paused = !tracker.hasOrder() && !p.isSettled(now, pool) || tracker.isPaused(now)
+		state.cancellable = pool.Reclaimable && tracker.isPaused(now) && state.Booting == 0
 	}
 	return l
 }
 
-func (l *layout) add(member Member) {
-	state := l.state[member.Pool]
+func (l *layout) addMember(member Member) {
+	state := l.poolStates[member.Pool]
 	if state == nil {
 		return
 	}
-	l.slots = max(l.slots, float64(member.Slots))
+	l.slotsPerBackend = max(l.slotsPerBackend, float64(member.Slots))
 	switch {
 	case member.Draining && member.Silent:
-		// It has left, and nobody has said so.
+		// It stopped without unregistering.
 	case member.Draining:
 		state.Draining++
 	case member.Silent:
@@ -59,224 +59,228 @@
 	}
 }
 
-// expect counts what was ordered and comes still.
-func (p *Planner) expect(now int64, pool Pool, state *PoolState, fleet Fleet) {
-	known := p.tracks[pool]
-	if known == nil {
-		known = &track{}
-		p.tracks[pool] = known
-	}
-	expect := expectMillis(fleet.Scale)
-	if known.hasGrown(*state) || p.grewAt == 0 {
-		p.grewAt = now
-	}
-	known.observe(now, fleet.Orders[pool], *state, expect)
-	state.Ordered = known.ordered()
-	state.Booting = known.expected()
-	state.mayCome = known.mayCome()
+// updatePool updates the pool's tracker and sets the counts that depend on orders.
+func (p *Planner) updatePool(now int64, pool Pool, state *PoolState, fleet Fleet) {
+	tracker := p.trackers[pool]
+	if tracker == nil {
+		tracker = &orderTracker{}
+		p.trackers[pool] = tracker
+	}
+	registrationTimeout := registrationTimeoutMillis(fleet.Scale)
+	if tracker.hasGrown(*state) || p.lastGrowthAt == 0 {
+		p.lastGrowthAt = now
+	}
+	tracker.observe(now, fleet.Orders[pool], *state, registrationTimeout)
+	state.Ordered = tracker.ordered()
+	state.Booting = tracker.pending()
+	state.maxOrdered = tracker.maxOrdered()
 	state.Wanted = state.registered() + state.Booting
-	if known.hasOrder() && state.Ordered < state.Wanted && now-known.learntAt < expect {
-		// The others are about to drain.
+	if tracker.hasOrder() && state.Ordered < state.Wanted && now-tracker.orderSeenAt < registrationTimeout {
+		// The surplus is about to drain.
 		state.Wanted = state.Ordered
 	}
-	state.base = state.Wanted
+	state.baseline = state.Wanted
 }
 
-// registered is how many backends the pool has that are not leaving.
+// registered returns how many of the pool's backends are not draining.
 func (s PoolState) registered() int { return s.Ready + s.Silent }
 
-// isLeaving tells whether backends of the pool are on their way out.
-func (s PoolState) isLeaving() bool { return s.Draining > 0 }
+func (s PoolState) isDraining() bool { return s.Draining > 0 }
 
-// count is how many to ask for: fewer than the platform takes the pool to have only where fewer are
-// wanted than there are, since some of them may just not be heard of.
-func (s PoolState) count() int {
+// orderCount returns the count to order. It is below the ordered count only on a scale-down: backends
+// that are missing may just be unreachable, and a lower count would remove them.
+func (s PoolState) orderCount() int {
 	switch {
-	case s.released:
+	case s.cancelled:
 		return s.registered()
-	case s.Wanted == s.base:
+	case s.Wanted == s.baseline:
 		return s.Ordered
-	case s.Wanted > s.base:
+	case s.Wanted > s.baseline:
 		return max(s.Wanted, s.Ordered)
 	}
 	return s.Wanted
 }
 
-// atMost is how many backends the pool may come to have: an order that was not answered, or whose
-// backends did not register, may still be carried out.
-func (s PoolState) atMost() int { return max(s.Wanted, s.count(), s.Ordered, s.mayCome) }
+// maxCount returns the highest number of backends that the pool may reach, as an order without an
+// answer, or whose backends have not registered, may still be carried out.
+func (s PoolState) maxCount() int { return max(s.Wanted, s.orderCount(), s.Ordered, s.maxOrdered) }
 
-// supply is how many backends can be counted on if what is wanted is ordered.
+// supply returns how many backends are available once the target is met, not counting silent ones.
 func (s PoolState) supply() int { return max(s.Wanted-s.Silent, 0) }
 
-// pools returns all pools in a fixed order.
+// pools returns all pools in a deterministic order.
 func (l *layout) pools() []Pool {
-	pools := make([]Pool, 0, len(l.state))
-	for pool := range l.state {
+	pools := make([]Pool, 0, len(l.poolStates))
+	for pool := range l.poolStates {
 		pools = append(pools, pool)
 	}
 	slices.SortFunc(pools, func(a, b Pool) int {
-		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(rank(a), rank(b)))
+		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(kindRank(a), kindRank(b)))
 	})
 	return pools
 }
 
-func rank(pool Pool) int {
+func kindRank(pool Pool) int {
 	if pool.Reclaimable {
 		return 1
 	}
 	return 0
 }
 
-// states returns the pools' states.
+// states returns a copy of the pools' states.
 func (l *layout) states() map[Pool]PoolState {
-	states := make(map[Pool]PoolState, len(l.state))
-	for pool, state := range l.state {
+	states := make(map[Pool]PoolState, len(l.poolStates))
+	for pool, state := range l.poolStates {
 		states[pool] = *state
 	}
 	return states
 }
 
-// inZone adds up what a zone wants or has of both kinds.
-func (l *layout) inZone(zone string, count func(PoolState) int) int {
+// sumInZone returns the sum of a count over both pools of a zone.
+func (l *layout) sumInZone(zone string, count func(PoolState) int) int {
 	sum := 0
 	for _, reclaimable := range []bool{false, true} {
-		if state := l.state[Pool{Zone: zone, Reclaimable: reclaimable}]; state != nil {
+		if state := l.poolStates[Pool{Zone: zone, Reclaimable: reclaimable}]; state != nil {
 			sum += count(*state)
 		}
 	}
 	return sum
 }
 
-func wanted(state PoolState) int { return state.Wanted }
+func wantedCount(state PoolState) int { return state.Wanted }
 
-// total is how many backends can be counted on.
-func (l *layout) total() int {
+func (l *layout) totalSupply() int {
 	sum := 0
-	for _, state := range l.state {
+	for _, state := range l.poolStates {
 		sum += state.supply()
 	}
 	return sum
 }
 
-// enginesFor is how many engines it takes for so many slots to be usable.
-func (l *layout) enginesFor(slots float64) int { return int(math.Ceil(slots / usableShare / l.slots)) }
+// enginesFor returns how many engines provide that many usable slots.
+func (l *layout) enginesFor(slots float64) int {
+	return int(math.Ceil(slots / usableShare / l.slotsPerBackend))
+}
 
-// mostLost is how many of them may be lost at once.
-func (l *layout) mostLost() int {
-	most := 0
+// maxLoss returns how many backends one failure may remove: the reclaimable ones of a zone, or the whole
+// zone if its loss must be tolerated.
+func (l *layout) maxLoss() int {
+	maxLost := 0
 	for _, zone := range l.zones {
-		if l.bearsZone && len(l.zones) > 1 {
-			most = max(most, l.inZone(zone, PoolState.supply))
+		if l.toleratesZoneLoss && len(l.zones) > 1 {
+			maxLost = max(maxLost, l.sumInZone(zone, PoolState.supply))
 		}
-		if state := l.state[Pool{Zone: zone, Reclaimable: true}]; state != nil {
-			most = max(most, state.supply())
+		if state := l.poolStates[Pool{Zone: zone, Reclaimable: true}]; state != nil {
+			maxLost = max(maxLost, state.supply())
 		}
 	}
-	return most
+	return maxLost
 }
 
-// leftEngines is how many of that many engines must be left after a loss: what runs then may take
-// all slots for a while.
-func leftEngines(engines int) int { return int(math.Ceil(float64(engines) * leftShare)) }
+// minEnginesAfterLoss returns how many of the needed engines must survive a loss: until replacements are
+// up, the load may use all slots of the rest.
+func minEnginesAfterLoss(engines int) int {
+	return int(math.Ceil(float64(engines) * minShareAfterLoss))
+}
 
-// leftShare is the part of the engines that does until those that were lost are made up for.
-const leftShare = 0.75
+// minShareAfterLoss is the share of the needed engines that suffices until lost ones are replaced.
+const minShareAfterLoss = 0.75
 
-// missing tells why there are too few.
-func (l *layout) missing(engines int) Reason {
-	switch total := l.total(); {
+// shortage returns why there are too few backends, or Enough.
+func (l *layout) shortage(engines int) Reason {
+	switch total := l.totalSupply(); {
 	case total < engines:
 		return Late
-	case engines > 0 && l.left() < leftEngines(engines):
+	case engines > 0 && l.supplyAfterLoss() < minEnginesAfterLoss(engines):
 		return Losses
 	}
 	return Enough
 }
 
-// left is how many are left after the greatest loss.
-func (l *layout) left() int { return l.total() - l.mostLost() }
+// supplyAfterLoss returns how many backends remain after the largest loss.
+func (l *layout) supplyAfterLoss() int { return l.totalSupply() - l.maxLoss() }
 
-// bound keeps zones between their limits, and tells whether that takes a change.
-func (l *layout) bound() bool {
+// applyLimits brings each zone within its limits and reports whether any target changed.
+func (l *layout) applyLimits() bool {
 	changed := false
 	for _, zone := range l.zones {
-		for l.inZone(zone, wanted) > l.scale.Most && l.takeFrom(zone) {
+		for l.sumInZone(zone, wantedCount) > l.scale.Most && l.removeInZone(zone) {
 			changed = true
 		}
-		for l.inZone(zone, wanted) < l.scale.Least && l.addTo(zone) {
+		for l.sumInZone(zone, wantedCount) < l.scale.Least && l.addInZone(zone) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// raise adds backends until there are enough, as far as they can be had, and tells whether it has.
-func (l *layout) raise(engines int) bool {
-	raised := false
-	for l.missing(engines) == Late && l.addOne() {
-		raised = true
+// scaleUp adds backends until there are enough, as far as limits and pauses allow, and reports whether
+// it added any.
+func (l *layout) scaleUp(engines int) bool {
+	added := false
+	for l.shortage(engines) == Late && l.addBackend() {
+		added = true
 	}
-	for l.missing(engines) == Losses && l.spread() {
-		raised = true
+	for l.shortage(engines) == Losses && l.addRedundancy() {
+		added = true
 	}
-	if l.missing(engines) != Enough {
-		l.release()
+	if l.shortage(engines) != Enough {
+		l.cancelUnavailable()
 	}
-	return raised
+	return added
 }
 
-// spread adds backends until more are left after a loss, and tells whether that can be done: those
-// that would be lost with the others of their zone are of no use.
-func (l *layout) spread() bool {
-	trial := l.copy()
-	for trial.addOne() {
-		if trial.left() > l.left() {
-			l.state = trial.state
+// addRedundancy adds backends until more of them survive the largest loss. If that is not possible, it
+// adds none and returns false.
+func (l *layout) addRedundancy() bool {
+	trial := l.clone()
+	for trial.addBackend() {
+		if trial.supplyAfterLoss() > l.supplyAfterLoss() {
+			l.poolStates = trial.poolStates
 			return true
 		}
 	}
 	return false
 }
 
-// release gives up reclaimable backends that were ordered and are not to be had, which take the
-// place of others in their zones.
-func (l *layout) release() {
-	for _, state := range l.state {
-		if state.releasable && state.Ordered > state.registered() {
-			state.released = true
+// cancelUnavailable cancels orders of reclaimable backends that the platform cannot provide, as they count
+// towards the zone's limit.
+func (l *layout) cancelUnavailable() {
+	for _, state := range l.poolStates {
+		if state.cancellable && state.Ordered > state.registered() {
+			state.cancelled = true
 		}
 	}
 }
 
-// addOne adds a backend in the zone that has the fewest, of those the cheapest.
-func (l *layout) addOne() bool {
+// addBackend adds a backend in the zone with the lowest supply, preferring cheaper zones.
+func (l *layout) addBackend() bool {
 	zones := slices.Clone(l.zones)
 	slices.SortStableFunc(zones, func(a, b string) int {
-		return cmp.Or(cmp.Compare(l.inZone(a, PoolState.supply), l.inZone(b, PoolState.supply)), cmp.Compare(l.scale.PriceIn(a, false), l.scale.PriceIn(b, false)))
+		return cmp.Or(cmp.Compare(l.sumInZone(a, PoolState.supply), l.sumInZone(b, PoolState.supply)), cmp.Compare(l.scale.PriceIn(a, false), l.scale.PriceIn(b, false)))
 	})
 	for _, zone := range zones {
-		if !l.isCutOff(zone) && l.addTo(zone) {
+		if !l.isMostlySilent(zone) && l.addInZone(zone) {
 			return true
 		}
 	}
 	return false
 }
 
-// addTo adds a backend in the zone, a reclaimable one if there may be more of these.
-func (l *layout) addTo(zone string) bool {
-	total := l.inZone(zone, wanted)
+// addInZone adds a backend in the zone, a reclaimable one if their share allows it.
+func (l *layout) addInZone(zone string) bool {
+	total := l.sumInZone(zone, wantedCount)
 	kinds := []bool{false}
-	if reclaimable := l.state[Pool{Zone: zone, Reclaimable: true}]; reclaimable != nil && float64(reclaimable.Wanted+1) <= reclaimableShare*float64(total+1) && l.scale.ReclaimablePrice < 1 {
+	if reclaimable := l.poolStates[Pool{Zone: zone, Reclaimable: true}]; reclaimable != nil && float64(reclaimable.Wanted+1) <= maxReclaimableShare*float64(total+1) && l.scale.ReclaimablePrice < 1 {
 		kinds = []bool{true, false}
 	}
 	for _, reclaimable := range kinds {
-		state := l.state[Pool{Zone: zone, Reclaimable: reclaimable}]
+		state := l.poolStates[Pool{Zone: zone, Reclaimable: reclaimable}]
 		if state.Paused {
 			continue
 		}
 		state.Wanted++
-		if l.inZone(zone, PoolState.atMost) <= l.scale.Most {
+		if l.sumInZone(zone, PoolState.maxCount) <= l.scale.Most {
 			return true
 		}
 		state.Wanted--
@@ -284,30 +288,31 @@
 	return false
 }
 
-// takeFrom gives a backend of the zone back, of the kind that costs more.
-func (l *layout) takeFrom(zone string) bool {
-	plain, reclaimable := l.state[Pool{Zone: zone}], l.state[Pool{Zone: zone, Reclaimable: true}]
+// removeInZone removes a backend of the zone: an on-demand one, unless the share of reclaimable ones would
+// then exceed its maximum.
+func (l *layout) removeInZone(zone string) bool {
+	onDemand, reclaimable := l.poolStates[Pool{Zone: zone}], l.poolStates[Pool{Zone: zone, Reclaimable: true}]
 	switch {
-	case reclaimable != nil && reclaimable.Wanted > 0 && float64(reclaimable.Wanted) > reclaimableShare*float64(plain.Wanted+reclaimable.Wanted-1):
+	case reclaimable != nil && reclaimable.Wanted > 0 && float64(reclaimable.Wanted) > maxReclaimableShare*float64(onDemand.Wanted+reclaimable.Wanted-1):
 		reclaimable.Wanted--
-	case plain.Wanted > 0:
-		plain.Wanted--
+	case onDemand.Wanted > 0:
+		onDemand.Wanted--
 	default:
 		return false
 	}
 	return true
 }
 
-// isCutOff tells whether most of the zone's backends are not heard of: others there would not be
-// either.
-func (l *layout) isCutOff(zone string) bool {
-	silent := l.inZone(zone, func(state PoolState) int { return state.Silent })
-	return 2*silent > l.inZone(zone, PoolState.registered)
+// isMostlySilent reports whether most of the zone's backends are silent, in which case new ones would
+// probably be unreachable as well.
+func (l *layout) isMostlySilent(zone string) bool {
+	silent := l.sumInZone(zone, func(state PoolState) int { return state.Silent })
+	return 2*silent > l.sumInZone(zone, PoolState.registered)
 }
 
-// isMoving tells whether backends come, go or are not heard of.
-func (l *layout) isMoving() bool {
-	for _, state := range l.state {
+// isInTransition reports whether any backend is booting, draining or silent, or any target is not met.
+func (l *layout) isInTransition() bool {
+	for _, state := range l.poolStates {
 		if state.Booting > 0 || state.Draining > 0 || state.Silent > 0 || state.Wanted != state.registered() {
 			return true
 		}
@@ -315,45 +320,45 @@
 	return false
 }
 
-// lower gives backends back if there are far too many, and tells whether there are.
-func (l *layout) lower(engines int) bool {
-	total := l.total()
-	most := int(lowerShare * float64(total))
-	trial := l.copy()
-	left := min(leftEngines(engines), l.left())
-	taken := 0
-	for trial.takeOne() && trial.total() >= engines && trial.left() >= left {
-		taken++
-	}
-	if float64(taken) < idleShare*float64(total) || taken == 0 {
+// scaleDown removes backends if the surplus is large enough, and reports whether it is.
+func (l *layout) scaleDown(engines int) bool {
+	total := l.totalSupply()
+	maxRemoved := int(maxScaleDownShare * float64(total))
+	trial := l.clone()
+	minAfterLoss := min(minEnginesAfterLoss(engines), l.supplyAfterLoss())
+	removable := 0
+	for trial.removeBackend() && trial.totalSupply() >= engines && trial.supplyAfterLoss() >= minAfterLoss {
+		removable++
+	}
+	if float64(removable) < minIdleShare*float64(total) || removable == 0 {
 		return false
 	}
-	for range min(taken, max(most, 1)) {
-		l.takeOne()
+	for range min(removable, max(maxRemoved, 1)) {
+		l.removeBackend()
 	}
 	return true
 }
 
-// takeOne gives back a backend of the zone that has the most, of those the dearest.
-func (l *layout) takeOne() bool {
+// removeBackend removes a backend from the zone with the highest target, preferring expensive zones.
+func (l *layout) removeBackend() bool {
 	zones := slices.Clone(l.zones)
 	slices.SortStableFunc(zones, func(a, b string) int {
-		return cmp.Or(cmp.Compare(l.inZone(b, wanted), l.inZone(a, wanted)), cmp.Compare(l.scale.PriceIn(b, false), l.scale.PriceIn(a, false)))
+		return cmp.Or(cmp.Compare(l.sumInZone(b, wantedCount), l.sumInZone(a, wantedCount)), cmp.Compare(l.scale.PriceIn(b, false), l.scale.PriceIn(a, false)))
 	})
 	for _, zone := range zones {
-		if l.inZone(zone, wanted) > l.scale.Least && l.takeFrom(zone) {
+		if l.sumInZone(zone, wantedCount) > l.scale.Least && l.removeInZone(zone) {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *layout) copy() *layout {
-	other := *l
-	other.state = make(map[Pool]*PoolState, len(l.state))
-	for pool, state := range l.state {
-		one := *state
-		other.state[pool] = &one
+func (l *layout) clone() *layout {
+	cloned := *l
+	cloned.poolStates = make(map[Pool]*PoolState, len(l.poolStates))
+	for pool, state := range l.poolStates {
+		stateCopy := *state
+		cloned.poolStates[pool] = &stateCopy
 	}
-	return &other
+	return &cloned
 }
--- a/capacity/losses_test.go
+++ b/capacity/losses_test.go
@@ -6,72 +6,72 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestZonesLostBeforeTheirFirstOrder: they are ordered again, there and elsewhere.
-func TestZonesLostBeforeTheirFirstOrder(t *testing.T) {
-	w := settled(t, 6)
-	w.bears = false
-	w.lose(func(one *machine) bool { return one.pool.Zone == "a" || one.pool.Zone == "b" })
-	w.run(20000, steady(80))
-	w.late = 0
-	w.run(20000, steady(80))
-	require.Zero(t, w.late)
-	require.Equal(t, Enough, w.plan.Reason)
-	require.GreaterOrEqual(t, len(w.serving()), w.plan.Engines)
-	require.LessOrEqual(t, len(w.given), 8)
+// TestZonesLostBeforeFirstOrder checks that backends are replaced if they fail before their pools have an order.
+func TestZonesLostBeforeFirstOrder(t *testing.T) {
+	sim := newSettledSimulation(t, 6)
+	sim.toleratesZoneLoss = false
+	sim.removeMachines(func(m *machine) bool { return m.pool.Zone == "a" || m.pool.Zone == "b" })
+	sim.run(20000, constantLoad(80))
+	sim.lateWork = 0
+	sim.run(20000, constantLoad(80))
+	require.Zero(t, sim.lateWork)
+	require.Equal(t, Enough, sim.plan.Reason)
+	require.GreaterOrEqual(t, len(sim.serving()), sim.plan.Engines)
+	require.LessOrEqual(t, len(sim.sentOrders), 8)
 }
 
-// TestZoneThatCannotBeFilled: it has none of its least, and the others are ordered for all the same.
-func TestZoneThatCannotBeFilled(t *testing.T) {
-	w := settled(t, 6)
-	w.answer = func(order Order) (Answer, bool) { return Taken, order.Wish.Zone != "a" }
-	for _, one := range w.of(Pool{Zone: "a"}) {
-		one.silent = true
+// TestZoneThatCannotReachMinimum checks that a zone below its minimum does not block orders for others.
+func TestZoneThatCannotReachMinimum(t *testing.T) {
+	sim := newSettledSimulation(t, 6)
+	sim.answerOrder = func(order Order) (Answer, bool) { return Taken, order.Wish.Zone != "a" }
+	for _, m := range sim.machinesIn(Pool{Zone: "a"}) {
+		m.silent = true
 	}
-	w.run(40000, steady(40))
-	w.lose(func(one *machine) bool { return one.pool.Zone == "a" })
-	w.run(20000, steady(300))
-	w.late = 0
-	w.run(20000, steady(300))
-	require.Zero(t, w.late)
-	require.Zero(t, w.inZone("a"))
-	require.GreaterOrEqual(t, len(w.serving())*engineSlots, 300)
+	sim.run(40000, constantLoad(40))
+	sim.removeMachines(func(m *machine) bool { return m.pool.Zone == "a" })
+	sim.run(20000, constantLoad(300))
+	sim.lateWork = 0
+	sim.run(20000, constantLoad(300))
+	require.Zero(t, sim.lateWork)
+	require.Zero(t, sim.countInZone("a"))
+	require.GreaterOrEqual(t, len(sim.serving())*engineSlots, 300)
 }
 
-// TestLossesThatCannotBeMadeUpFor: engines that would be lost with the others of their zone are not
-// ordered, and more than are needed are given back.
-func TestLossesThatCannotBeMadeUpFor(t *testing.T) {
+// TestLossToleranceNotAchievable checks that engines which would not survive a zone's loss are not
+// ordered, and that a surplus is still removed.
+func TestLossToleranceNotAchievable(t *testing.T) {
 	t.Run("one zone", func(t *testing.T) {
-		w := settled(t, 0)
-		w.zones = []string{"a"}
+		sim := newSettledSimulation(t, 0)
+		sim.zones = []string{"a"}
 		for range 6 {
-			w.machines = append(w.machines, &machine{pool: Pool{Zone: "a"}})
+			sim.machines = append(sim.machines, &machine{pool: Pool{Zone: "a"}})
 		}
-		w.desired[Pool{Zone: "a"}] = 6
-		w.run(6000, nil)
-		w.run(60000, steady(5))
-		for _, order := range w.given {
+		sim.desired[Pool{Zone: "a"}] = 6
+		sim.run(6000, nil)
+		sim.run(60000, constantLoad(5))
+		for _, order := range sim.sentOrders {
 			require.Less(t, order.Wish.Count, order.Before)
 		}
-		require.Less(t, len(w.serving()), 6, "two are needed")
-		require.Zero(t, w.late)
+		require.Less(t, len(sim.serving()), 6, "only two are needed")
+		require.Zero(t, sim.lateWork)
 	})
-	t.Run("others have none to be had", func(t *testing.T) {
-		w := settled(t, 4)
-		w.zones = []string{"a", "b", "c"}
-		w.lose(func(one *machine) bool { return one.pool.Zone == "d" })
-		w.answer = func(order Order) (Answer, bool) {
+	t.Run("other zones exhausted", func(t *testing.T) {
+		sim := newSettledSimulation(t, 4)
+		sim.zones = []string{"a", "b", "c"}
+		sim.removeMachines(func(m *machine) bool { return m.pool.Zone == "d" })
+		sim.answerOrder = func(order Order) (Answer, bool) {
 			if order.Wish.Zone != "a" && order.Wish.Count > order.Before {
 				return Exhausted, false
 			}
 			return Taken, true
 		}
-		w.run(60000, steady(50))
-		require.GreaterOrEqual(t, len(w.serving()), 15)
-		require.LessOrEqual(t, w.inZone("a"), 14)
-		most := w.inZone("a")
-		w.lose(func(one *machine) bool { return one.pool.Zone != "a" })
-		w.run(120000, steady(10))
-		require.Less(t, w.inZone("a"), most, "far fewer are needed, though these cannot be spread")
-		require.LessOrEqual(t, w.turns(), 2)
+		sim.run(60000, constantLoad(50))
+		require.GreaterOrEqual(t, len(sim.serving()), 15)
+		require.LessOrEqual(t, sim.countInZone("a"), 14)
+		before := sim.countInZone("a")
+		sim.removeMachines(func(m *machine) bool { return m.pool.Zone != "a" })
+		sim.run(120000, constantLoad(10))
+		require.Less(t, sim.countInZone("a"), before, "the surplus is removed although the rest cannot be spread")
+		require.LessOrEqual(t, sim.directionChanges(), 2)
 	})
 }
--- a/capacity/need.go
+++ b/capacity/need.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// loadTime is how long a new backend loads weights before it runs the first sample.
+	// loadTime is how long a new backend loads weights before it runs its first sample.
 	loadTime = 900 * time.Millisecond
-	// lull is how long the work of steps is remembered: longer than the time between two of them,
-	// so that the pause between steps does not look like the end of the work.
-	lull = 9 * time.Second
-	// mostPatience is the longest time for which a reading counts, however demand swings.
-	mostPatience = 2 * time.Minute
-	// busyLulls is over how many lulls the slots in use are averaged: over one, a step more or less
-	// makes a third of it.
-	busyLulls = 3
+	// baseWindow is the initial length of the demand window. It exceeds the time between two steps,
+	// so that the pause between them is not taken for the end of the work.
+	baseWindow = 9 * time.Second
+	// maxWindow limits the window, which doubles each time demand oscillates.
+	maxWindow = 2 * time.Minute
+	// usageWindows is the number of base windows over which the slots in use are averaged. Over a
+	// single one, the mean would vary by a third with the number of steps in it.
+	usageWindows = 3
 )
 
-// slotsFor returns in how many slots the work can be done by the time it is due. Work that is due
-// earlier than a backend ordered now could help has the time until then. Where work is late while
-// more waits, the slots that run are too few, whatever the times due say.
-func slotsFor(demand Demand, helpMillis int64) float64 {
+// requiredSlots returns the number of slots that complete the work by its due times. Work due within the
+// lead time is given that time, as backends ordered now cannot help earlier. If work is overdue while
+// samples wait, the result is at least the number of running samples.
+func requiredSlots(demand Demand, leadTimeMillis int64) float64 {
 	sorted := slices.Clone(demand.Work)
 	slices.SortFunc(sorted, func(a, b Work) int { return cmp.Compare(a.DueMillis, b.DueMillis) })
 	slots, sum := 0.0, 0.0
-	for _, due := range sorted {
-		sum += due.SlotMillis
-		slots = max(slots, sum/float64(max(due.DueMillis, helpMillis, 1)))
+	for _, work := range sorted {
+		sum += work.SlotMillis
+		slots = max(slots, sum/float64(max(work.DueMillis, leadTimeMillis, 1)))
 	}
 	if demand.Waiting > 0 && len(sorted) > 0 && sorted[0].DueMillis < 0 {
 		slots = max(slots, float64(demand.Running))
@@ -37,111 +37,111 @@
 	return slots
 }
 
-// reading is what was needed at a time, in slots, and how many of them were in use.
+// reading is the number of slots needed and in use at one time.
 type reading struct {
-	at             int64
-	slots, running float64
+	at            int64
+	needed, inUse float64
 }
 
-// need follows how many slots a service needs.
-type need struct {
+// demandHistory estimates how many slots a service needs from recent readings.
+type demandHistory struct {
 	readings []reading
-	// began is when the readings began that have no gap, and worked when the first of them said that
-	// there is work, or 0.
-	began, worked int64
-	// patience is how long a reading counts.
-	patience time.Duration
+	// contiguousSince is the time of the first reading after the last gap. workSince is the time of the
+	// first reading after it that shows work, or 0.
+	contiguousSince, workSince int64
+	// window is how long a reading counts.
+	window time.Duration
 }
 
-// mostGap is the longest time without a reading after which those before say nothing any more.
-const mostGap = 3 * time.Second
+// maxReadingGap is the longest time between two readings that does not restart the history.
+const maxReadingGap = 3 * time.Second
 
-// note takes in a reading.
-func (n *need) note(now int64, slots, running float64) {
-	n.patience = max(n.patience, lull)
-	if count := len(n.readings); count == 0 || now-n.readings[count-1].at > mostGap.Milliseconds() {
-		n.began, n.worked = now, 0
+// record adds a reading and drops those that have expired.
+func (h *demandHistory) record(now int64, needed, inUse float64) {
+	h.window = max(h.window, baseWindow)
+	if count := len(h.readings); count == 0 || now-h.readings[count-1].at > maxReadingGap.Milliseconds() {
+		h.contiguousSince, h.workSince = now, 0
 	}
-	if n.worked == 0 && slots > 0 {
-		n.worked = now
+	if h.workSince == 0 && needed > 0 {
+		h.workSince = now
 	}
-	n.readings = append(n.readings, reading{at: now, slots: slots, running: running})
-	if n.worked > 0 && now-n.worked >= lull.Milliseconds() {
-		newest := &n.readings[len(n.readings)-1]
-		newest.slots = max(slots, n.busy(now))
+	h.readings = append(h.readings, reading{at: now, needed: needed, inUse: inUse})
+	if h.workSince > 0 && now-h.workSince >= baseWindow.Milliseconds() {
+		newest := &h.readings[len(h.readings)-1]
+		newest.needed = max(needed, h.recurringUsage(now))
 	}
-	oldest := now - max(n.patience, busyLulls*lull).Milliseconds()
-	n.readings = slices.DeleteFunc(n.readings, func(r reading) bool { return r.at < oldest })
+	oldest := now - max(h.window, usageWindows*baseWindow).Milliseconds()
+	h.readings = slices.DeleteFunc(h.readings, func(r reading) bool { return r.at < oldest })
 }
 
-// isFresh tells whether the newest reading still says something.
-func (n *need) isFresh(now int64) bool {
-	count := len(n.readings)
-	return count > 0 && now-n.readings[count-1].at <= mostGap.Milliseconds()
+// isFresh reports whether the newest reading is recent enough to use.
+func (h *demandHistory) isFresh(now int64) bool {
+	count := len(h.readings)
+	return count > 0 && now-h.readings[count-1].at <= maxReadingGap.Milliseconds()
 }
 
-// isKnown tells whether enough was seen to say what is not needed: the work for as long as a reading
-// counts, or none for very long.
-func (n *need) isKnown(now int64) bool {
-	if n.worked == 0 {
-		return n.isFresh(now) && now-n.began >= mostPatience.Milliseconds()
+// isConclusive reports whether the history is long enough to scale down: a window with work in it, or
+// the longest window without any.
+func (h *demandHistory) isConclusive(now int64) bool {
+	if h.workSince == 0 {
+		return h.isFresh(now) && now-h.contiguousSince >= maxWindow.Milliseconds()
 	}
-	return n.isFresh(now) && now-n.worked >= n.patience.Milliseconds()
+	return h.isFresh(now) && now-h.workSince >= h.window.Milliseconds()
 }
 
-// slots returns how many slots are needed by the time that a backend ordered now could help: the
-// most that was needed lately, and as much more as that has grown meanwhile.
-func (n *need) slots(now, helpMillis int64) float64 {
-	half := lull.Milliseconds() / 2
-	most, recent, earlier := 0.0, 0.0, math.Inf(1)
-	for _, reading := range n.readings {
+// slotsNeeded returns the number of slots needed once the lead time has passed: the peak of the window
+// plus the recent growth, extrapolated over the lead time.
+func (h *demandHistory) slotsNeeded(now, leadTimeMillis int64) float64 {
+	halfBaseWindow := baseWindow.Milliseconds() / 2
+	peak, recent, earlier := 0.0, 0.0, math.Inf(1)
+	for _, reading := range h.readings {
 		age := now - reading.at
-		if age <= n.patience.Milliseconds() {
-			most = max(most, reading.slots)
+		if age <= h.window.Milliseconds() {
+			peak = max(peak, reading.needed)
 		}
 		switch {
-		case age <= half:
-			recent = max(recent, reading.slots)
-		case age <= 2*half:
+		case age <= halfBaseWindow:
+			recent = max(recent, reading.needed)
+		case age <= 2*halfBaseWindow:
 			if math.IsInf(earlier, 1) {
 				earlier = 0
 			}
-			earlier = max(earlier, reading.slots)
+			earlier = max(earlier, reading.needed)
 		}
 	}
 	if earlier > 0 && !math.IsInf(earlier, 1) {
-		most += max(recent-earlier, 0) * min(float64(helpMillis)/float64(half), 1)
+		peak += max(recent-earlier, 0) * min(float64(leadTimeMillis)/float64(halfBaseWindow), 1)
 	}
-	return most
+	return peak
 }
 
-// kept returns how many slots are not to be given back: what is needed, and what was in use in the
-// mean, though that may count a step more than comes in the time.
-func (n *need) kept(now, helpMillis int64) float64 {
-	return max(n.slots(now, helpMillis), n.inUse(now))
+// slotsToKeep returns the number of slots below which the service is not scaled down: those needed, or
+// the mean number in use if that is higher.
+func (h *demandHistory) slotsToKeep(now, leadTimeMillis int64) float64 {
+	return max(h.slotsNeeded(now, leadTimeMillis), h.meanUsage(now))
 }
 
-// busy returns how many slots steps take that come again and again, however early each of them is
-// done. Where the first step is not that long ago, the time until the next one counts as half a lull.
-func (n *need) busy(now int64) float64 {
-	mean := n.inUse(now)
-	if seen := now - n.worked; seen < (busyLulls * lull).Milliseconds() {
-		mean *= float64(seen) / float64(seen+lull.Milliseconds()/2)
+// recurringUsage returns the mean number of slots that recurring steps use, even if each step ends long
+// before it is due. With a short history, the mean also covers half a base window for the next pause.
+func (h *demandHistory) recurringUsage(now int64) float64 {
+	mean := h.meanUsage(now)
+	if elapsed := now - h.workSince; elapsed < (usageWindows * baseWindow).Milliseconds() {
+		mean *= float64(elapsed) / float64(elapsed+baseWindow.Milliseconds()/2)
 	}
 	return mean
 }
 
-// inUse returns how many slots were in use in the mean over some lulls, from the first step on.
-func (n *need) inUse(now int64) float64 {
-	from := max(n.worked, now-(busyLulls*lull).Milliseconds())
+// meanUsage returns the mean number of slots in use since work began, over at most usageWindows base windows.
+func (h *demandHistory) meanUsage(now int64) float64 {
+	since := max(h.workSince, now-(usageWindows*baseWindow).Milliseconds())
 	sum, count := 0.0, 0.0
-	for _, reading := range n.readings {
-		if reading.at >= from {
-			sum, count = sum+reading.running, count+1
+	for _, reading := range h.readings {
+		if reading.at >= since {
+			sum, count = sum+reading.inUse, count+1
 		}
 	}
 	return sum / max(count, 1)
 }
 
-// swung takes in that more is needed soon after less was: what was needed counts for longer.
-func (n *need) swung() { n.patience = min(2*max(n.patience, lull), mostPatience) }
+// widenWindow doubles the window after demand oscillated, so that peaks count for longer.
+func (h *demandHistory) widenWindow() { h.window = min(2*max(h.window, baseWindow), maxWindow) }
--- a/capacity/need_test.go
+++ b/capacity/need_test.go
@@ -8,57 +8,57 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// TestNeedGoesOnGrowing: what has grown over half of a lull grows as much again until help can come;
-// what falls does not count less before the lull is over.
-func TestNeedGoesOnGrowing(t *testing.T) {
-	n := &need{}
+// TestSlotsNeededExtrapolatesGrowth checks that growth is extrapolated over the lead time, and that a peak
+// counts until the window ends.
+func TestSlotsNeededExtrapolatesGrowth(t *testing.T) {
+	history := &demandHistory{}
 	for now := int64(0); now <= 9000; now += 500 {
 		slots := 20.0
 		if now >= 6000 {
 			slots = 30
 		}
-		n.note(now, slots, 0)
+		history.record(now, slots, 0)
 	}
-	require.InDelta(t, 40, n.slots(9000, 4500), 1e-9)
-	require.InDelta(t, 35, n.slots(9000, 2250), 1e-9, "help comes earlier")
+	require.InDelta(t, 40, history.slotsNeeded(9000, 4500), 1e-9)
+	require.InDelta(t, 35, history.slotsNeeded(9000, 2250), 1e-9, "a shorter lead time")
 	for now := int64(9500); now <= 20000; now += 500 {
-		n.note(now, 10, 0)
-		require.GreaterOrEqual(t, n.slots(now, 4500), 10.0)
+		history.record(now, 10, 0)
+		require.GreaterOrEqual(t, history.slotsNeeded(now, 4500), 10.0)
 		if now <= 17500 {
-			require.GreaterOrEqual(t, n.slots(now, 4500), 30.0, "a lull")
+			require.GreaterOrEqual(t, history.slotsNeeded(now, 4500), 30.0, "the peak is still in the window")
 		}
 	}
-	require.InDelta(t, 10, n.slots(20000, 4500), 1e-9)
+	require.InDelta(t, 10, history.slotsNeeded(20000, 4500), 1e-9)
 }
 
-// TestHeardWhileOrdersAreSent: readings that come without a plan leave no gap.
-func TestHeardWhileOrdersAreSent(t *testing.T) {
+// TestRecordDemandWithoutPlan checks that demand recorded between plans leaves no gap in the history.
+func TestRecordDemandWithoutPlan(t *testing.T) {
 	p := NewPlanner()
-	for now := int64(0); now <= 2*lull.Milliseconds(); now += 500 {
-		p.Hear(now, routing.Scale{BootMillis: 4000}, Demand{Running: 3, Work: []Work{{DueMillis: 10000, SlotMillis: 30000}}})
+	for now := int64(0); now <= 2*baseWindow.Milliseconds(); now += 500 {
+		p.RecordDemand(now, routing.Scale{BootMillis: 4000}, Demand{Running: 3, Work: []Work{{DueMillis: 10000, SlotMillis: 30000}}})
 	}
-	require.True(t, p.need.isKnown(2*lull.Milliseconds()))
-	plan := p.Plan(2*lull.Milliseconds(), Fleet{Zones: []string{"a"}, Scale: routing.Scale{Most: 9}})
+	require.True(t, p.history.isConclusive(2*baseWindow.Milliseconds()))
+	plan := p.Plan(2*baseWindow.Milliseconds(), Fleet{Zones: []string{"a"}, Scale: routing.Scale{Most: 9}})
 	require.InDelta(t, 3, plan.Slots, 1e-9)
 }
 
-// TestNeedIsTheMeanOfWhatIsInUse: where steps are done long before they are due.
-func TestNeedIsTheMeanOfWhatIsInUse(t *testing.T) {
-	n := &need{}
+// TestSlotsNeededIncludesMeanUsage covers steps that end long before they are due.
+func TestSlotsNeededIncludesMeanUsage(t *testing.T) {
+	history := &demandHistory{}
 	for now := int64(0); now < 8000; now += 500 {
-		n.note(now, 0, 0)
+		history.record(now, 0, 0)
 	}
 	for now := int64(8000); now < 24000; now += 500 {
 		running := 0.0
 		if now%4000 < 1000 {
 			running = 200
 		}
-		n.note(now, 10, running)
+		history.record(now, 10, running)
 		if now == 8000 {
-			require.InDelta(t, 10, n.slots(now, 4900), 1e-9, "a step that has just begun")
+			require.InDelta(t, 10, history.slotsNeeded(now, 4900), 1e-9, "the first step has just begun")
 		}
 		if now == 19500 {
-			require.InDelta(t, 50*11.5/16, n.readings[len(n.readings)-1].slots, 1e-9, "the time before the first step does not count, and the fourth may be about to come")
+			require.InDelta(t, 50*11.5/16, history.readings[len(history.readings)-1].needed, 1e-9, "time before the first step does not count, and the next step may be about to begin")
 		}
 	}
 	for now := int64(24000); now < 48000; now += 500 {
@@ -66,59 +66,59 @@
 		if now%4000 < 1000 {
 			running = 200
 		}
-		n.note(now, 10, running)
+		history.record(now, 10, running)
 	}
-	require.InDelta(t, 50, n.slots(47500, 4900), 5)
+	require.InDelta(t, 50, history.slotsNeeded(47500, 4900), 5)
 	for now := int64(48000); now <= 84500; now += 500 {
-		n.note(now, 10, 0)
+		history.record(now, 10, 0)
 		if now == 60000 {
-			require.Greater(t, n.slots(now, 4900), 30.0, "it may be a longer pause")
+			require.Greater(t, history.slotsNeeded(now, 4900), 30.0, "this may be a longer pause")
 		}
 	}
-	require.InDelta(t, 10, n.slots(84500, 4900), 1e-9, "long over")
+	require.InDelta(t, 10, history.slotsNeeded(84500, 4900), 1e-9, "usage has left the averaging window")
 }
 
-// TestNeedIsKnown: only after the work of a while, without a gap; and where there is none, only after
-// very long.
-func TestNeedIsKnown(t *testing.T) {
-	n := &need{}
-	require.False(t, n.isFresh(0))
-	note := func(from, to int64, slots float64) {
+// TestHistoryIsConclusive checks that a history is conclusive only after a window with work and without a gap,
+// or after the longest window without work.
+func TestHistoryIsConclusive(t *testing.T) {
+	history := &demandHistory{}
+	require.False(t, history.isFresh(0))
+	recordRange := func(from, to int64, slots float64) {
 		for now := from; now <= to; now += 500 {
-			n.note(now, slots, 0)
+			history.record(now, slots, 0)
 		}
 	}
-	note(0, 60000, 0)
-	require.False(t, n.isKnown(60000))
-	note(60500, 69000, 10)
-	require.False(t, n.isKnown(69000))
-	note(69500, 69500, 0)
-	require.True(t, n.isKnown(69500))
-	require.False(t, n.isKnown(69500+mostGap.Milliseconds()+1), "nothing is heard")
-	note(80000, 88500, 10)
-	require.False(t, n.isKnown(88500), "begun anew")
-	note(89000, 89000, 10)
-	require.True(t, n.isKnown(89000))
-	n.swung()
-	require.False(t, n.isKnown(89000))
+	recordRange(0, 60000, 0)
+	require.False(t, history.isConclusive(60000))
+	recordRange(60500, 69000, 10)
+	require.False(t, history.isConclusive(69000))
+	recordRange(69500, 69500, 0)
+	require.True(t, history.isConclusive(69500))
+	require.False(t, history.isConclusive(69500+maxReadingGap.Milliseconds()+1), "a gap without readings")
+	recordRange(80000, 88500, 10)
+	require.False(t, history.isConclusive(88500), "the history restarted after the gap")
+	recordRange(89000, 89000, 10)
+	require.True(t, history.isConclusive(89000))
+	history.widenWindow()
+	require.False(t, history.isConclusive(89000))
 
-	idle := &need{}
-	for now := int64(0); now < mostPatience.Milliseconds(); now += 500 {
-		require.False(t, idle.isKnown(now))
-		idle.note(now, 0, 0)
+	idle := &demandHistory{}
+	for now := int64(0); now < maxWindow.Milliseconds(); now += 500 {
+		require.False(t, idle.isConclusive(now))
+		idle.record(now, 0, 0)
 	}
-	require.True(t, idle.isKnown(mostPatience.Milliseconds()))
+	require.True(t, idle.isConclusive(maxWindow.Milliseconds()))
 }
 
-// TestNeedThatSwings: each time it counts for twice as long, within bounds.
-func TestNeedThatSwings(t *testing.T) {
-	n := &need{}
-	n.note(0, 50, 0)
-	n.swung()
-	n.note(17000, 1, 0)
-	require.InDelta(t, 50, n.slots(17000, 4900), 1e-9)
+// TestWidenWindow checks that the window doubles up to its maximum.
+func TestWidenWindow(t *testing.T) {
+	history := &demandHistory{}
+	history.record(0, 50, 0)
+	history.widenWindow()
+	history.record(17000, 1, 0)
+	require.InDelta(t, 50, history.slotsNeeded(17000, 4900), 1e-9)
 	for range 20 {
-		n.swung()
+		history.widenWindow()
 	}
-	require.Equal(t, mostPatience, n.patience)
+	require.Equal(t, maxWindow, history.window)
 }
--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -10,38 +10,36 @@
 )
 
 const (
-	// usableShare is the part of an engine's slots that can be counted on: engines load weights,
-	// samples differ in length, and the last of a step cannot be spread.
+	// usableShare is the share of an engine's slots that is planned with. The rest is lost to loading
+	// weights, and to samples of uneven length at the end of a step.
 	usableShare = 0.6
-	// bootsGivenUp is after how many boot times a backend is not expected any more that was
-	// ordered and has not registered.
-	bootsGivenUp = 2
-	// exhaustedPause is how long a pool is not asked again that had none to be had, and refusedPause
-	// one whose order was refused; both double with each further time in a row up to mostPause.
-	exhaustedPause = 8 * time.Second
-	refusedPause   = 30 * time.Second
-	mostPause      = 5 * time.Minute
-	// openPause is how long an order without an answer is not sent again.
-	openPause = time.Second
-	// raisePause is the least time between two looks that order more.
-	raisePause = time.Second
-	// lowerPause is the least time between two looks that give backends back.
-	lowerPause = 4 * time.Second
-	// swingPatiences is within how many times the patience more is wanted than was given back for
-	// demand to count as swinging.
-	swingPatiences = 3
-	// lowerShare is the part of the backends that are given back at a time at the most, and
-	// idleShare the part that must be too many for any to be: a backend that is ordered again soon
-	// has to boot and to load.
-	lowerShare = 0.3
-	idleShare  = 0.15
-	// settleTime is how long the number of backends in a pool without an order must not have grown
-	// before one is given: while a deployment starts they register one after the other, and an order
-	// tells how many there should be, not how many more.
+	// registrationBootTimes is the number of boot times after which an ordered backend that has not
+	// registered is no longer expected.
+	registrationBootTimes = 2
+	// exhaustedBackoff and refusedBackoff are how long a pool is not scaled up after an order was
+	// answered so. They double with each consecutive failure, up to maxBackoff.
+	exhaustedBackoff = 8 * time.Second
+	refusedBackoff   = 30 * time.Second
+	maxBackoff       = 5 * time.Minute
+	// openRetryInterval is the time before an order without an answer is sent again.
+	openRetryInterval = time.Second
+	// scaleUpInterval and scaleDownInterval are the minimum times between two plans that change
+	// targets in that direction.
+	scaleUpInterval   = time.Second
+	scaleDownInterval = 4 * time.Second
+	// oscillationWindows is the number of demand windows after a scale-down within which a scale-up counts
+	// as an oscillation.
+	oscillationWindows = 3
+	// maxScaleDownShare is the largest share of the backends that one plan removes. minIdleShare is
+	// the surplus needed to remove any, as ordering them again costs boot and load time.
+	maxScaleDownShare = 0.3
+	minIdleShare      = 0.15
+	// settleTime is how long pools without an order must not have grown before their first order.
+	// Backends of a new deployment register one by one, and an order sets their total number.
 	settleTime = 5 * time.Second
-	// reclaimableShare is the part of a zone's backends that may be reclaimable at the most: the
-	// others have to take over their samples within the notice.
-	reclaimableShare = 0.5
+	// maxReclaimableShare limits the reclaimable backends of a zone, as the others must take over
+	// their samples within the notice period.
+	maxReclaimableShare = 0.5
 )
 
 // Member is a registered backend.
@@ -49,220 +47,219 @@
 	Pool     Pool
 	Slots    int
 	Draining bool
-	// Silent backends may be lost, or cut off from whoever counts them.
+	// Silent backends have sent no heartbeat for some time: they may be lost or unreachable.
 	Silent bool
 }
 
-// Fleet is what is known of a service.
+// Fleet is the planner's input for one service.
 type Fleet struct {
 	Service string
 	Scale   routing.Scale
 	Members []Member
-	// Zones are those in which the service runs or may run.
+	// Zones lists the zones in which the service runs or may run.
 	Zones []string
-	// Demand is what was told last, and Heard whether that is news.
-	Demand Demand
-	Heard  bool
-	// Orders are the newest ones of each pool.
+	// Demand is used only if HasNewDemand is set.
+	Demand       Demand
+	HasNewDemand bool
+	// Orders holds the newest order of each pool.
 	Orders map[Pool]Order
-	// BearsZone says that the loss of a whole zone must be borne.
-	BearsZone bool
+	// ToleratesZoneLoss requires enough backends to survive the loss of a whole zone.
+	ToleratesZoneLoss bool
 }
 
-// AddZone notes that the service runs or may run in the zone.
+// AddZone adds a zone in which the service runs or may run.
 func (f *Fleet) AddZone(zone string) {
 	if !slices.Contains(f.Zones, zone) {
 		f.Zones = append(f.Zones, zone)
 	}
 }
 
-// Planner decides what to order for one service. What it remembers is only of use to one holder of
-// the duty; a new one begins with a new planner and the orders that were kept.
+// Planner decides what to order for one service. Its history is not persisted: a new leader starts with
+// a new planner and the recorded orders.
 type Planner struct {
-	need need
-	// raisedAt and loweredAt are when more and fewer were last wanted.
-	raisedAt, loweredAt int64
-	tracks              map[Pool]*track
-	// grewAt is when a pool without an order last had more backends than ever before.
-	grewAt int64
+	history demandHistory
+	// scaledUpAt and scaledDownAt are the times of the last plans in either direction.
+	scaledUpAt, scaledDownAt int64
+	trackers                 map[Pool]*orderTracker
+	// lastGrowthAt is when a pool without an order last reached a new maximum of backends.
+	lastGrowthAt int64
 }
 
-// NewPlanner returns a planner that has seen nothing.
-func NewPlanner() *Planner { return &Planner{tracks: map[Pool]*track{}} }
+// NewPlanner returns a planner without history.
+func NewPlanner() *Planner { return &Planner{trackers: map[Pool]*orderTracker{}} }
 
-// Reason says why a plan asks for what it asks.
+// Reason is the main reason for a plan's targets.
 type Reason uint8
 
-// The reasons.
 const (
-	// Enough: what is there and was ordered is what is needed.
+	// Enough means that the existing and ordered backends suffice.
 	Enough Reason = iota
-	// Late: samples would be late.
+	// Late means that there are too few backends to complete samples in time.
 	Late
-	// Losses: what may be lost at once could not be borne.
+	// Losses means that too few backends would remain after the largest loss.
 	Losses
-	// Idle: more is there than is needed.
+	// Idle means that there are more backends than needed.
 	Idle
-	// Bounds: the service's limits ask for it.
+	// Bounds means that the service's limits required a change.
 	Bounds
-	// Unknown: too little was seen to say.
+	// Unknown means that the demand history is too short.
 	Unknown
 )
 
-// String names the reason in logs.
+// String returns the reason's name for logs and metrics.
 func (r Reason) String() string {
 	return [...]string{"enough", "late", "losses", "idle", "bounds", "unknown"}[r]
 }
 
-// Plan is what a service should have.
+// Plan is the planner's result for one service.
 type Plan struct {
 	Service string
-	// Slots is how many slots are needed, and Engines how many backends that takes.
+	// Slots is the number of slots needed, and Engines the number of backends that provide them.
 	Slots   float64
 	Engines int
 	Reason  Reason
-	// Pools tells what each pool has.
-	Pools map[Pool]PoolState
-	// Orders are those to be given now.
+	Pools   map[Pool]PoolState
+	// Orders lists the orders to send now.
 	Orders []Order
 }
 
-// PoolState is what a pool has.
+// PoolState holds the numbers of a pool's backends by state.
 type PoolState struct {
 	Wanted, Ordered, Booting, Ready, Draining, Silent int
-	// Paused says that the pool is not asked for more now.
+	// Paused is set while the pool must not be scaled up.
 	Paused bool
-	// base is what is wanted without a change, and mayCome what an open order may bring about.
-	base, mayCome int
-	// releasable says that what was ordered beyond what is there may be given up, and released that
-	// it is.
-	releasable, released bool
+	// baseline is the target if nothing changes. maxOrdered is the highest count that orders may
+	// produce.
+	baseline, maxOrdered int
+	// cancellable is set if ordered backends that are missing may be cancelled, and cancelled if
+	// they are.
+	cancellable, cancelled bool
 }
 
-// String describes the plan in logs.
+// String returns a summary of the plan for logs.
 func (p Plan) String() string {
 	return fmt.Sprintf("%s: %d engines for %.1f slots, %s, %d orders", p.Service, p.Engines, p.Slots, p.Reason, len(p.Orders))
 }
 
-// Hear takes in what is needed while no plan is made.
-func (p *Planner) Hear(now int64, scale routing.Scale, demand Demand) {
-	p.need.note(now, slotsFor(demand, helpMillis(scale)), float64(demand.Running))
+// RecordDemand adds demand to the history without making a plan.
+func (p *Planner) RecordDemand(now int64, scale routing.Scale, demand Demand) {
+	p.history.record(now, requiredSlots(demand, leadTimeMillis(scale)), float64(demand.Running))
 }
 
-// Plan returns what the service should have now, and what to order for that.
+// Plan computes the targets of the service's pools and the orders that are due.
 func (p *Planner) Plan(now int64, fleet Fleet) Plan {
-	if fleet.Heard {
-		p.Hear(now, fleet.Scale, fleet.Demand)
+	if fleet.HasNewDemand {
+		p.RecordDemand(now, fleet.Scale, fleet.Demand)
 	}
-	layout := p.layout(now, fleet)
+	layout := p.currentLayout(now, fleet)
 	plan := Plan{Service: fleet.Service, Reason: Unknown}
-	if p.need.isFresh(now) {
-		plan.Slots = p.need.slots(now, helpMillis(fleet.Scale))
+	if p.history.isFresh(now) {
+		plan.Slots = p.history.slotsNeeded(now, leadTimeMillis(fleet.Scale))
 	}
 	plan.Engines = layout.enginesFor(plan.Slots)
-	plan.Reason = p.decide(now, layout, plan.Engines, layout.enginesFor(p.need.kept(now, helpMillis(fleet.Scale))))
+	plan.Reason = p.decide(now, layout, plan.Engines, layout.enginesFor(p.history.slotsToKeep(now, leadTimeMillis(fleet.Scale))))
 	plan.Pools = layout.states()
-	plan.Orders = p.due(now, fleet, layout)
+	plan.Orders = p.dueOrders(now, fleet, layout)
 	return plan
 }
 
-// decide changes what the layout wants, and says why. Of the engines, those that are kept are not
-// given back.
-func (p *Planner) decide(now int64, layout *layout, engines, kept int) Reason {
-	bounded := layout.bound()
-	missing := layout.missing(engines)
-	if missing != Enough && p.mayRaise(now) && layout.raise(withSpare(engines)) {
-		p.noteRaised(now)
-		return missing
+// decide updates the layout's targets and returns the reason. A scale-down leaves at least enginesToKeep
+// engines.
+func (p *Planner) decide(now int64, layout *layout, engines, enginesToKeep int) Reason {
+	limitsApplied := layout.applyLimits()
+	shortage := layout.shortage(engines)
+	if shortage != Enough && p.mayScaleUp(now) && layout.scaleUp(withMargin(engines)) {
+		p.recordScaleUp(now)
+		return shortage
 	}
 	switch {
-	case missing == Late:
+	case shortage == Late:
 		return Late
-	case bounded:
+	case limitsApplied:
 		return Bounds
-	case missing == Enough && !p.need.isKnown(now):
+	case shortage == Enough && !p.history.isConclusive(now):
 		return Unknown
-	case p.need.isKnown(now) && p.mayLower(now, layout) && layout.lower(withSpare(kept)):
-		p.loweredAt = now
+	case p.history.isConclusive(now) && p.mayScaleDown(now, layout) && layout.scaleDown(withMargin(enginesToKeep)):
+		p.scaledDownAt = now
 		return Idle
 	}
-	// Losses that could not be borne by ordering more keep nothing from being given back.
-	return missing
+	// A shortage after losses that no order can fix does not prevent a scale-down.
+	return shortage
 }
 
-// mayRaise tells whether more may be ordered: a need that grows brings one order of a pool after the
-// other, with a pause between, but what was refused is asked for elsewhere at once.
-func (p *Planner) mayRaise(now int64) bool {
-	if p.raisedAt == 0 || now-p.raisedAt >= raisePause.Milliseconds() {
+// mayScaleUp reports whether more backends may be ordered: scaleUpInterval limits the rate of orders
+// while demand grows, but after a failed order other pools are tried at once.
+func (p *Planner) mayScaleUp(now int64) bool {
+	if p.scaledUpAt == 0 || now-p.scaledUpAt >= scaleUpInterval.Milliseconds() {
 		return true
 	}
-	for _, known := range p.tracks {
-		if known.pausedAt >= p.raisedAt {
+	for _, tracker := range p.trackers {
+		if tracker.pausedAt >= p.scaledUpAt {
 			return true
 		}
 	}
 	return false
 }
 
-// withSpare is how many engines there are after a change, so that a little more or less of the need
-// does not bring about another one.
-func withSpare(engines int) int { return int(math.Ceil((1 + idleShare) * float64(engines))) }
+// withMargin adds a margin to the number of engines, so that small changes of demand cause no further
+// orders.
+func withMargin(engines int) int { return int(math.Ceil((1 + minIdleShare) * float64(engines))) }
 
-// noteRaised takes in that more is wanted: soon after less was, the demand swings.
-func (p *Planner) noteRaised(now int64) {
-	if p.loweredAt > 0 && now-p.loweredAt < swingPatiences*p.need.patience.Milliseconds() {
-		p.need.swung()
-		p.loweredAt = 0
+// recordScaleUp records a scale-up, and widens the demand window if it follows a recent scale-down.
+func (p *Planner) recordScaleUp(now int64) {
+	if p.scaledDownAt > 0 && now-p.scaledDownAt < oscillationWindows*p.history.window.Milliseconds() {
+		p.history.widenWindow()
+		p.scaledDownAt = 0
 	}
-	p.raisedAt = now
+	p.scaledUpAt = now
 }
 
-// mayLower tells whether backends may be given back at all: not soon after more were wanted or
-// fewer, nor while some come, go or are not heard of.
-func (p *Planner) mayLower(now int64, layout *layout) bool {
-	if p.raisedAt > 0 && now-p.raisedAt < p.need.patience.Milliseconds() {
+// mayScaleDown reports whether backends may be removed: not soon after another change of the targets, nor
+// while any backend is in transition.
+func (p *Planner) mayScaleDown(now int64, layout *layout) bool {
+	if p.scaledUpAt > 0 && now-p.scaledUpAt < p.history.window.Milliseconds() {
 		return false
 	}
-	if p.loweredAt > 0 && now-p.loweredAt < lowerPause.Milliseconds() {
+	if p.scaledDownAt > 0 && now-p.scaledDownAt < scaleDownInterval.Milliseconds() {
 		return false
 	}
-	return !layout.isMoving()
+	return !layout.isInTransition()
 }
 
-// isSettled tells whether a pool without an order may be given one: the service has been seen to run
-// in the zone, and all its backends had the time to register.
+// isSettled reports whether a pool without an order may get its first one: the service has run in the
+// zone, and its backends have had time to register.
 func (p *Planner) isSettled(now int64, pool Pool) bool {
-	plain := p.tracks[Pool{Zone: pool.Zone}]
-	runsThere := plain != nil && (plain.hasOrder() || plain.seen)
-	return runsThere && now-p.grewAt >= settleTime.Milliseconds()
+	onDemand := p.trackers[Pool{Zone: pool.Zone}]
+	runsInZone := onDemand != nil && (onDemand.hasOrder() || onDemand.hadBackends)
+	return runsInZone && now-p.lastGrowthAt >= settleTime.Milliseconds()
 }
 
-// helpMillis is how long it takes until a backend ordered now runs samples.
-func helpMillis(scale routing.Scale) int64 { return scale.BootMillis + loadTime.Milliseconds() }
+// leadTimeMillis returns the time until a backend ordered now runs samples.
+func leadTimeMillis(scale routing.Scale) int64 { return scale.BootMillis + loadTime.Milliseconds() }
 
-// expectMillis is how long an ordered backend is expected to register.
-func expectMillis(scale routing.Scale) int64 {
-	return max(bootsGivenUp*scale.BootMillis, openPause.Milliseconds())
+// registrationTimeoutMillis returns how long an ordered backend may take to register.
+func registrationTimeoutMillis(scale routing.Scale) int64 {
+	return max(registrationBootTimes*scale.BootMillis, openRetryInterval.Milliseconds())
 }
 
-// due returns the orders that make the pools what the layout wants.
-func (p *Planner) due(now int64, fleet Fleet, layout *layout) []Order {
+// dueOrders returns the orders that bring the pools to the layout's targets.
+func (p *Planner) dueOrders(now int64, fleet Fleet, layout *layout) []Order {
 	var orders []Order
 	for _, pool := range layout.pools() {
-		state, known := layout.state[pool], p.tracks[pool]
-		count := state.count()
-		if !known.isDue(now, count, *state, fleet) {
+		state, tracker := layout.poolStates[pool], p.trackers[pool]
+		count := state.orderCount()
+		if !tracker.isDue(now, count, *state, fleet) {
 			continue
 		}
 		orders = append(orders, Order{
 			Wish:   Wish{Service: fleet.Service, Zone: pool.Zone, Reclaimable: pool.Reclaimable, Count: count},
-			Before: state.Ordered, Held: max(state.Ordered, state.mayCome), Number: known.order.Number + 1,
+			Before: state.Ordered, Held: max(state.Ordered, state.maxOrdered), Number: tracker.order.Number + 1,
 		})
 	}
 	return orders
 }
 
-// Ready is how many backends serve.
+// Ready returns the number of ready backends in all pools.
 func (p Plan) Ready() int {
 	ready := 0
 	for _, state := range p.Pools {
--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -6,448 +6,442 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestQuietStepsEachFourSeconds: far more engines than the steps need are given back slowly, and
-// then nothing is ordered any more. No step is late.
-func TestQuietStepsEachFourSeconds(t *testing.T) {
-	w := settled(t, 12)
-	w.run(60000, steady(60))
-	require.Zero(t, w.late)
-	require.LessOrEqual(t, len(w.serving()), 32)
-	require.GreaterOrEqual(t, len(w.serving())*engineSlots*3/4, 60, "a zone may be lost")
-	before := len(w.given)
-	w.run(60000, steady(60))
-	require.Len(t, w.given, before, "nothing has changed")
-	require.Zero(t, w.late)
-	for _, order := range w.given {
-		require.GreaterOrEqual(t, order.Wish.Count, order.Before-4, "not many at a time")
-		require.GreaterOrEqual(t, order.Wish.Count, w.scale.Least)
+// TestSurplusIsRemovedGradually checks that a large surplus is removed slowly, that orders then stop, and
+// that no step is late.
+func TestSurplusIsRemovedGradually(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.run(60000, constantLoad(60))
+	require.Zero(t, sim.lateWork)
+	require.LessOrEqual(t, len(sim.serving()), 32)
+	require.GreaterOrEqual(t, len(sim.serving())*engineSlots*3/4, 60, "enough must remain after the loss of a zone")
+	before := len(sim.sentOrders)
+	sim.run(60000, constantLoad(60))
+	require.Len(t, sim.sentOrders, before, "the load has not changed")
+	require.Zero(t, sim.lateWork)
+	for _, order := range sim.sentOrders {
+		require.GreaterOrEqual(t, order.Wish.Count, order.Before-4, "few at a time")
+		require.GreaterOrEqual(t, order.Wish.Count, sim.scale.Least)
 	}
 }
 
-// TestEnginesAreGivenBackOneLookAfterTheOther: with a pause between, and not while one of them is
-// not heard of or on its way out.
-func TestEnginesAreGivenBackOneLookAfterTheOther(t *testing.T) {
-	w := settled(t, 24)
-	w.run(60000, steady(40))
-	looks := map[int64]int{}
-	for position, at := range w.givenAt {
-		looks[at] += w.given[position].Before - w.given[position].Wish.Count
-	}
-	require.Greater(t, len(looks), 3)
-	require.Zero(t, w.turns(), "the load is steady")
-	for at, taken := range looks {
-		require.LessOrEqual(t, taken, 29)
-		for other := range looks {
-			require.False(t, at < other && other-at < lowerPause.Milliseconds())
+// TestScaleDownInterval checks the pause between scale-downs, and that none happens while an engine is silent
+// or draining.
+func TestScaleDownInterval(t *testing.T) {
+	sim := newSettledSimulation(t, 24)
+	sim.run(60000, constantLoad(40))
+	removedAt := map[int64]int{}
+	for i, at := range sim.sentAt {
+		removedAt[at] += sim.sentOrders[i].Before - sim.sentOrders[i].Wish.Count
+	}
+	require.Greater(t, len(removedAt), 3)
+	require.Zero(t, sim.directionChanges(), "the load is constant")
+	for at, removed := range removedAt {
+		require.LessOrEqual(t, removed, 29)
+		for otherAt := range removedAt {
+			require.False(t, at < otherAt && otherAt-at < scaleDownInterval.Milliseconds())
 		}
 	}
-	for name, move := range map[string]func(one *machine){
-		"not heard of": func(one *machine) { one.silent = true },
-		"on its way":   func(one *machine) { one.leaves = 1 << 40 },
+	for name, change := range map[string]func(m *machine){
+		"silent":   func(m *machine) { m.silent = true },
+		"draining": func(m *machine) { m.leavesAt = 1 << 40 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := settled(t, 12)
-			move(w.machines[0])
-			w.run(40000, steady(40))
-			require.Empty(t, w.given)
+			sim := newSettledSimulation(t, 12)
+			change(sim.machines[0])
+			sim.run(40000, constantLoad(40))
+			require.Empty(t, sim.sentOrders)
 		})
 	}
 }
 
-// TestNothingIsGivenBackBeforeWorkWasSeen: engines that wait for the first step stay.
-func TestNothingIsGivenBackBeforeWorkWasSeen(t *testing.T) {
-	w := settled(t, 12)
-	w.run(60000, nil)
-	require.Empty(t, w.given)
-	w.deaf = true
-	w.run(300000, nil)
-	require.Empty(t, w.given, "nobody says what is needed")
+// TestNoScaleDownBeforeFirstWork checks that engines waiting for the first step are kept.
+func TestNoScaleDownBeforeFirstWork(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.run(60000, nil)
+	require.Empty(t, sim.sentOrders)
+	sim.hideDemand = true
+	sim.run(300000, nil)
+	require.Empty(t, sim.sentOrders, "demand is unknown")
 }
 
-// TestNoWorkForLong: a service that nobody uses falls to its least.
-func TestNoWorkForLong(t *testing.T) {
-	w := settled(t, 12)
-	w.run(600000, nil)
-	for _, zone := range w.zones {
-		require.Equal(t, w.scale.Least, w.inZone(zone))
-	}
-	for _, order := range w.given {
-		require.GreaterOrEqual(t, order.Wish.Count, w.scale.Least)
+func TestIdleServiceScalesToMinimum(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.run(600000, nil)
+	for _, zone := range sim.zones {
+		require.Equal(t, sim.scale.Least, sim.countInZone(zone))
+	}
+	for _, order := range sim.sentOrders {
+		require.GreaterOrEqual(t, order.Wish.Count, sim.scale.Least)
 		require.Less(t, order.Wish.Count, order.Before)
 	}
 }
 
-// TestLeastWithoutWork: a zone that has fewer than its least gets them, though nothing needs them.
-func TestLeastWithoutWork(t *testing.T) {
-	w := newWorld(t, 2)
-	w.scale.Least = 5
-	w.run(16000, nil)
-	for _, zone := range w.zones {
-		require.Equal(t, 5, w.inZone(zone))
-	}
-	require.Equal(t, 8, len(w.given), "some of both kinds, once")
+// TestMinimumWithoutWork checks that each zone's minimum is ordered even if there is no work.
+func TestMinimumWithoutWork(t *testing.T) {
+	sim := newSimulation(t, 2)
+	sim.scale.Least = 5
+	sim.run(16000, nil)
+	for _, zone := range sim.zones {
+		require.Equal(t, 5, sim.countInZone(zone))
+	}
+	require.Equal(t, 8, len(sim.sentOrders), "one order for each pool")
 }
 
-// TestStepsOutgrowTheEngines: engines are ordered at once, and serve steps in time from then on.
-func TestStepsOutgrowTheEngines(t *testing.T) {
-	w := settled(t, 12)
-	w.run(tick, steady(600))
-	require.NotEmpty(t, w.given)
-	require.Equal(t, Late, w.plan.Reason)
-	w.run(28000-tick, steady(380))
-	w.late = 0
-	w.run(40000, steady(380))
-	require.Zero(t, w.late)
-	require.Zero(t, w.turns())
-	for _, zone := range w.zones {
-		require.LessOrEqual(t, 2*len(w.of(Pool{Zone: zone, Reclaimable: true})), w.inZone(zone), "samples must find other engines")
+// TestScaleUpForLargerSteps checks that engines are ordered at once, and that steps are then in time.
+func TestScaleUpForLargerSteps(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.run(tick, constantLoad(600))
+	require.NotEmpty(t, sim.sentOrders)
+	require.Equal(t, Late, sim.plan.Reason)
+	sim.run(28000-tick, constantLoad(380))
+	sim.lateWork = 0
+	sim.run(40000, constantLoad(380))
+	require.Zero(t, sim.lateWork)
+	require.Zero(t, sim.directionChanges())
+	for _, zone := range sim.zones {
+		require.LessOrEqual(t, 2*len(sim.machinesIn(Pool{Zone: zone, Reclaimable: true})), sim.countInZone(zone), "on-demand engines must be able to take over the samples")
 	}
 }
 
-// TestTrendIsFollowed: each step is larger than the one before, and none is late.
-func TestTrendIsFollowed(t *testing.T) {
-	w := settled(t, 12)
-	w.run(44000, func(number int) float64 { return 100 + 30*float64(number) })
-	require.Zero(t, w.late)
+// TestScaleUpFollowsTrend checks that no step is late while each is larger than the one before.
+func TestScaleUpFollowsTrend(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.run(44000, func(number int) float64 { return 100 + 30*float64(number) })
+	require.Zero(t, sim.lateWork)
 }
 
-// TestDemandThatDoublesAndHalves: engines stay through the lulls.
-func TestDemandThatDoublesAndHalves(t *testing.T) {
+// TestOscillatingDemand checks that engines are kept while the load is temporarily low.
+func TestOscillatingDemand(t *testing.T) {
 	for name, steps := range map[string]int{"each step": 1, "each two steps": 2, "each four steps": 4, "each six steps": 6} {
 		t.Run(name, func(t *testing.T) {
-			w := settled(t, 12)
+			sim := newSettledSimulation(t, 12)
 			load := func(number int) float64 { return 90 * float64(1+number/steps%2) }
-			w.run(60000, load)
-			w.run(240000, load)
-			require.LessOrEqual(t, w.turns(), 4, "over five minutes")
-			require.Zero(t, w.late)
+			sim.run(60000, load)
+			sim.run(240000, load)
+			require.LessOrEqual(t, sim.directionChanges(), 4, "over five minutes")
+			require.Zero(t, sim.lateWork)
 		})
 	}
 }
 
-// TestReclaimablesOfAZoneTakenTwice: what they ran goes on elsewhere, others are ordered, and the
-// zone is asked again only after a while.
-func TestReclaimablesOfAZoneTakenTwice(t *testing.T) {
-	w := settled(t, 12)
-	w.run(32000, steady(300))
+// TestReclaimablesOfZoneRevokedTwice checks that revoked engines are replaced elsewhere, and that their pool is
+// retried only after a backoff.
+func TestReclaimablesOfZoneRevokedTwice(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.run(32000, constantLoad(300))
 	for range 2 {
 		zone := ""
-		for _, one := range w.zones {
-			if len(w.of(Pool{Zone: one, Reclaimable: true})) > 0 {
-				zone = one
+		for _, candidate := range sim.zones {
+			if len(sim.machinesIn(Pool{Zone: candidate, Reclaimable: true})) > 0 {
+				zone = candidate
 			}
 		}
 		require.NotEmpty(t, zone)
-		dry := w.now + 11000
-		for _, one := range w.of(Pool{Zone: zone, Reclaimable: true}) {
-			one.leaves = w.now + 2500
+		exhaustedUntil := sim.now + 11000
+		for _, m := range sim.machinesIn(Pool{Zone: zone, Reclaimable: true}) {
+			m.leavesAt = sim.now + 2500
 		}
-		asked := 0
-		w.answer = func(order Order) (Answer, bool) {
-			if order.Wish.Pool() == (Pool{Zone: zone, Reclaimable: true}) && order.Wish.Count > 0 && w.now < dry {
-				asked++
+		attempts := 0
+		sim.answerOrder = func(order Order) (Answer, bool) {
+			if order.Wish.Pool() == (Pool{Zone: zone, Reclaimable: true}) && order.Wish.Count > 0 && sim.now < exhaustedUntil {
+				attempts++
 				return Exhausted, false
 			}
 			return Taken, true
 		}
-		w.late = 0
-		w.run(12000, steady(300))
-		require.Zero(t, w.late)
-		require.LessOrEqual(t, asked, 2)
-		w.run(20000, steady(300))
-		require.GreaterOrEqual(t, len(w.serving())*engineSlots, 300)
-		w.answer = nil
-	}
-	require.LessOrEqual(t, len(w.given), 40)
+		sim.lateWork = 0
+		sim.run(12000, constantLoad(300))
+		require.Zero(t, sim.lateWork)
+		require.LessOrEqual(t, attempts, 2)
+		sim.run(20000, constantLoad(300))
+		require.GreaterOrEqual(t, len(sim.serving())*engineSlots, 300)
+		sim.answerOrder = nil
+	}
+	require.LessOrEqual(t, len(sim.sentOrders), 40)
 }
 
-// TestAThirdOfTheEnginesLost: they are made up for, though the platform brings none back.
-func TestAThirdOfTheEnginesLost(t *testing.T) {
-	w := settled(t, 12)
-	w.run(32000, steady(170))
+// TestThirdOfEnginesLost checks that lost engines are replaced if the platform does not restart them.
+func TestThirdOfEnginesLost(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.run(32000, constantLoad(170))
 	count := 0
-	w.lose(func(*machine) bool { count++; return count%3 == 0 })
-	w.run(16000, steady(170))
-	w.late = 0
-	w.run(20000, steady(170))
-	require.Zero(t, w.late)
-	require.GreaterOrEqual(t, len(w.serving())*engineSlots*3/4, 170)
+	sim.removeMachines(func(*machine) bool { count++; return count%3 == 0 })
+	sim.run(16000, constantLoad(170))
+	sim.lateWork = 0
+	sim.run(20000, constantLoad(170))
+	require.Zero(t, sim.lateWork)
+	require.GreaterOrEqual(t, len(sim.serving())*engineSlots*3/4, 170)
 }
 
-// TestZoneCutOffWhileMoreAreOrdered: the zone's engines are not heard of, which takes none of them
-// away; others are ordered elsewhere, and are given back slowly once the zone is there again.
-func TestZoneCutOffWhileMoreAreOrdered(t *testing.T) {
-	w := settled(t, 12)
-	w.run(2000, steady(300))
-	for _, one := range w.machines {
-		one.silent = one.pool.Zone == "b"
-	}
-	before := len(w.given)
-	w.run(10000, steady(300))
-	require.Greater(t, len(w.given), before, "what is not heard of cannot be counted on")
-	for _, order := range w.given[before:] {
-		require.GreaterOrEqual(t, order.Wish.Count, order.Before, "none is given back")
-		require.NotEqual(t, "b", order.Wish.Zone, "what is ordered there would not be heard of")
-	}
-	w.lose(func(one *machine) bool { return one.pool.Zone == "b" })
-	w.run(10000, steady(300))
-	for _, order := range w.given[before:] {
-		require.GreaterOrEqual(t, order.Wish.Count, order.Before, "those of the zone may come back")
-	}
-	w.late = 0
-	w.run(20000, steady(300))
-	require.Zero(t, w.late)
+// TestZonePartitionedDuringScaleUp checks that silent engines are replaced in other zones, and that none are
+// removed.
+func TestZonePartitionedDuringScaleUp(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.run(2000, constantLoad(300))
+	for _, m := range sim.machines {
+		m.silent = m.pool.Zone == "b"
+	}
+	before := len(sim.sentOrders)
+	sim.run(10000, constantLoad(300))
+	require.Greater(t, len(sim.sentOrders), before, "silent engines are replaced")
+	for _, order := range sim.sentOrders[before:] {
+		require.GreaterOrEqual(t, order.Wish.Count, order.Before, "no scale-down")
+		require.NotEqual(t, "b", order.Wish.Zone, "new engines would be unreachable as well")
+	}
+	sim.removeMachines(func(m *machine) bool { return m.pool.Zone == "b" })
+	sim.run(10000, constantLoad(300))
+	for _, order := range sim.sentOrders[before:] {
+		require.GreaterOrEqual(t, order.Wish.Count, order.Before, "engines of the zone may return")
+	}
+	sim.lateWork = 0
+	sim.run(20000, constantLoad(300))
+	require.Zero(t, sim.lateWork)
 }
 
-// TestSilentEnginesCannotBeCountedOn: a zone that is not heard of is made up for at once.
-func TestSilentEnginesCannotBeCountedOn(t *testing.T) {
-	w := settled(t, 12)
-	w.run(28000, steady(140))
-	require.Empty(t, w.given)
-	for _, one := range w.machines {
-		one.silent = one.pool.Zone == "b"
-	}
-	w.run(tick, nil)
-	require.NotEmpty(t, w.given)
-	require.Equal(t, Late, w.plan.Reason)
+func TestSilentEnginesAreReplaced(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.run(28000, constantLoad(140))
+	require.Empty(t, sim.sentOrders)
+	for _, m := range sim.machines {
+		m.silent = m.pool.Zone == "b"
+	}
+	sim.run(tick, nil)
+	require.NotEmpty(t, sim.sentOrders)
+	require.Equal(t, Late, sim.plan.Reason)
 }
 
-// TestNoneToBeHadAnywhere: each pool is asked less and less often.
-func TestNoneToBeHadAnywhere(t *testing.T) {
-	w := settled(t, 4)
-	w.answer = func(Order) (Answer, bool) { return Exhausted, false }
-	w.run(60000, steady(600))
-	require.LessOrEqual(t, len(w.given), 8*4)
-	first := len(w.given)
-	w.run(60000, steady(600))
-	require.LessOrEqual(t, len(w.given)-first, 8*2)
-	require.Equal(t, Late, w.plan.Reason)
-	w.answer = nil
-	w.run(180000, steady(300))
-	require.Greater(t, len(w.serving()), 16, "asked again in the end")
+// TestAllPoolsExhausted checks that each pool is retried with an increasing backoff.
+func TestAllPoolsExhausted(t *testing.T) {
+	sim := newSettledSimulation(t, 4)
+	sim.answerOrder = func(Order) (Answer, bool) { return Exhausted, false }
+	sim.run(60000, constantLoad(600))
+	require.LessOrEqual(t, len(sim.sentOrders), 8*4)
+	first := len(sim.sentOrders)
+	sim.run(60000, constantLoad(600))
+	require.LessOrEqual(t, len(sim.sentOrders)-first, 8*2)
+	require.Equal(t, Late, sim.plan.Reason)
+	sim.answerOrder = nil
+	sim.run(180000, constantLoad(300))
+	require.Greater(t, len(sim.serving()), 16, "retried after the backoff")
 }
 
-// TestAnotherZoneIsAskedAtOnce: a zone that has none costs no time.
-func TestAnotherZoneIsAskedAtOnce(t *testing.T) {
-	w := settled(t, 6)
-	w.answer = func(order Order) (Answer, bool) {
+// TestExhaustedZoneFallsBackToOthers checks that other zones get orders without delay.
+func TestExhaustedZoneFallsBackToOthers(t *testing.T) {
+	sim := newSettledSimulation(t, 6)
+	sim.answerOrder = func(order Order) (Answer, bool) {
 		if order.Wish.Zone == "b" {
 			return Exhausted, false
 		}
 		return Taken, true
 	}
-	w.run(1000, steady(500))
+	sim.run(1000, constantLoad(500))
 	ordered := 0
 	for _, zone := range []string{"a", "c", "d"} {
-		ordered += w.inZone(zone)
+		ordered += sim.countInZone(zone)
 	}
 	require.GreaterOrEqual(t, ordered*engineSlots, 300)
-	require.Equal(t, 6, w.inZone("b"))
+	require.Equal(t, 6, sim.countInZone("b"))
 }
 
-// TestUnansweredOrders: an order is repeated in the same way, counts as one that may be carried
-// out, and has no second effect if it is.
+// TestUnansweredOrders checks that an unanswered order is repeated unchanged, counts as one that may be carried
+// out, and has no second effect.
 func TestUnansweredOrders(t *testing.T) {
-	w := settled(t, 12)
-	w.answer = func(Order) (Answer, bool) { return Open, false }
-	w.run(6000, steady(750))
+	sim := newSettledSimulation(t, 12)
+	sim.answerOrder = func(Order) (Answer, bool) { return Open, false }
+	sim.run(6000, constantLoad(750))
 	counts := map[Pool]int{}
-	for _, order := range w.given {
+	for _, order := range sim.sentOrders {
 		pool := order.Wish.Pool()
-		require.Contains(t, []int{0, order.Wish.Count}, counts[pool], "repeated in the same way")
+		require.Contains(t, []int{0, order.Wish.Count}, counts[pool], "repeated unchanged")
 		counts[pool] = order.Wish.Count
 	}
-	require.LessOrEqual(t, len(w.given), 8*4)
-	w.answer = nil
-	w.run(20000, steady(750))
+	require.LessOrEqual(t, len(sim.sentOrders), 8*4)
+	sim.answerOrder = nil
+	sim.run(20000, constantLoad(750))
 	total := 0
-	for _, zone := range w.zones {
-		total += w.inZone(zone)
+	for _, zone := range sim.zones {
+		total += sim.countInZone(zone)
 	}
 	require.GreaterOrEqual(t, total*engineSlots, 500)
-	before := len(w.given)
-	w.run(20000, steady(750))
-	require.Len(t, w.given, before)
+	before := len(sim.sentOrders)
+	sim.run(20000, constantLoad(750))
+	require.Len(t, sim.sentOrders, before)
 }
 
-// TestOrderedEnginesNeverRegister: they are given up after some boot times, and others ordered.
+// TestOrderedEnginesNeverRegister checks that other pools get orders after the registration timeout.
 func TestOrderedEnginesNeverRegister(t *testing.T) {
-	w := settled(t, 6)
-	w.answer = func(order Order) (Answer, bool) { return Taken, order.Wish.Zone != "a" && order.Wish.Zone != "b" }
-	w.run(3000, steady(240))
-	require.Positive(t, w.plan.Pools[Pool{Zone: "a"}].Booting+w.plan.Pools[Pool{Zone: "a", Reclaimable: true}].Booting)
-	w.run(20000, steady(240))
-	require.GreaterOrEqual(t, (w.inZone("c")+w.inZone("d"))*engineSlots, 180)
-	require.LessOrEqual(t, len(w.given), 40)
-	for position, order := range w.given {
-		since := w.givenAt[position] - w.givenAt[0] - bootsGivenUp*w.scale.BootMillis
-		if order.Wish.Pool() == (Pool{Zone: "a", Reclaimable: true}) && since >= 0 && since < exhaustedPause.Milliseconds() {
-			require.LessOrEqual(t, order.Wish.Count, order.Before, "later orders do not make the first ones come")
+	sim := newSettledSimulation(t, 6)
+	sim.answerOrder = func(order Order) (Answer, bool) { return Taken, order.Wish.Zone != "a" && order.Wish.Zone != "b" }
+	sim.run(3000, constantLoad(240))
+	require.Positive(t, sim.plan.Pools[Pool{Zone: "a"}].Booting+sim.plan.Pools[Pool{Zone: "a", Reclaimable: true}].Booting)
+	sim.run(20000, constantLoad(240))
+	require.GreaterOrEqual(t, (sim.countInZone("c")+sim.countInZone("d"))*engineSlots, 180)
+	require.LessOrEqual(t, len(sim.sentOrders), 40)
+	for i, order := range sim.sentOrders {
+		since := sim.sentAt[i] - sim.sentAt[0] - registrationBootTimes*sim.scale.BootMillis
+		if order.Wish.Pool() == (Pool{Zone: "a", Reclaimable: true}) && since >= 0 && since < exhaustedBackoff.Milliseconds() {
+			require.LessOrEqual(t, order.Wish.Count, order.Before, "not scaled up during the backoff")
 		}
 	}
 }
 
-// TestEnginesThatLeftWithoutAWord: one that said that it drains and is not heard of any more has
-// left, and keeps no others from being given back.
-func TestEnginesThatLeftWithoutAWord(t *testing.T) {
-	w := settled(t, 12)
-	for _, one := range w.of(Pool{Zone: "d"})[:6] {
-		one.leaves, one.silent = w.now+60000, true
-	}
-	w.run(tick, steady(60))
-	require.Zero(t, w.plan.Pools[Pool{Zone: "d"}].Silent+w.plan.Pools[Pool{Zone: "d"}].Draining)
-	w.run(40000, steady(60))
-	require.LessOrEqual(t, len(w.serving()), 32)
+// TestDrainingEnginesStopWithoutNotice checks that draining engines which fall silent count as gone and do not
+// block a scale-down.
+func TestDrainingEnginesStopWithoutNotice(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	for _, m := range sim.machinesIn(Pool{Zone: "d"})[:6] {
+		m.leavesAt, m.silent = sim.now+60000, true
+	}
+	sim.run(tick, constantLoad(60))
+	require.Zero(t, sim.plan.Pools[Pool{Zone: "d"}].Silent+sim.plan.Pools[Pool{Zone: "d"}].Draining)
+	sim.run(40000, constantLoad(60))
+	require.LessOrEqual(t, len(sim.serving()), 32)
 }
 
-// TestEnginesRegisterWithoutAnOrder: they count like any other.
+// TestEnginesRegisterWithoutAnOrder checks that engines count even if no order asked for them.
 func TestEnginesRegisterWithoutAnOrder(t *testing.T) {
-	w := settled(t, 6)
-	for _, zone := range w.zones {
+	sim := newSettledSimulation(t, 6)
+	for _, zone := range sim.zones {
 		for range 12 {
-			w.machines = append(w.machines, &machine{pool: Pool{Zone: zone}})
+			sim.machines = append(sim.machines, &machine{pool: Pool{Zone: zone}})
 		}
 	}
-	w.run(tick, steady(180))
-	require.Empty(t, w.given)
-	require.Equal(t, 18, w.plan.Pools[Pool{Zone: "a"}].Ready)
+	sim.run(tick, constantLoad(180))
+	require.Empty(t, sim.sentOrders)
+	require.Equal(t, 18, sim.plan.Pools[Pool{Zone: "a"}].Ready)
 }
 
-// TestEnginesThatRegisterOneAfterTheOther: an order says how many there should be, so none is given
-// before it is known how many there are.
-func TestEnginesThatRegisterOneAfterTheOther(t *testing.T) {
-	w := newWorld(t, 12)
-	for position, one := range w.machines {
-		one.serves = int64(1000 + 200*position)
-	}
-	w.run(10000, steady(200))
-	require.Empty(t, w.given)
-	w.run(8000, steady(200))
-	for _, order := range w.given {
+// TestStaggeredRegistration checks that no order removes engines that have yet to register.
+func TestStaggeredRegistration(t *testing.T) {
+	sim := newSimulation(t, 12)
+	for i, m := range sim.machines {
+		m.servesAt = int64(1000 + 200*i)
+	}
+	sim.run(10000, constantLoad(200))
+	require.Empty(t, sim.sentOrders)
+	sim.run(8000, constantLoad(200))
+	for _, order := range sim.sentOrders {
 		require.GreaterOrEqual(t, order.Wish.Count, order.Before)
 	}
 }
 
-// TestNothingIsOrderedWhereNothingWasSeen: a zone whose engines were never heard of may have some, and
-// an order would be taken for the number that it should have.
-func TestNothingIsOrderedWhereNothingWasSeen(t *testing.T) {
-	w := newWorld(t, 12)
-	for _, one := range w.machines {
-		one.serves = 4000
-		if one.pool.Zone == "d" {
-			one.serves = 60000
+// TestNoOrderForZoneWithoutBackends checks that a zone without registered engines gets no order: engines it
+// may have would be removed.
+func TestNoOrderForZoneWithoutBackends(t *testing.T) {
+	sim := newSimulation(t, 12)
+	for _, m := range sim.machines {
+		m.servesAt = 4000
+		if m.pool.Zone == "d" {
+			m.servesAt = 60000
 		}
 	}
-	w.run(4000, nil)
-	require.Empty(t, w.given, "there are none anywhere, and still no order")
-	w.run(52000, steady(200))
-	for _, order := range w.given {
+	sim.run(4000, nil)
+	require.Empty(t, sim.sentOrders, "no orders before any engine has registered")
+	sim.run(52000, constantLoad(200))
+	for _, order := range sim.sentOrders {
 		require.NotEqual(t, "d", order.Wish.Zone)
 	}
 }
 
-// TestReclaimablesInTheWayAreTakenBack: what was ordered and is not to be had does not keep the zone
-// from lasting ones, and both together never exceed the most.
-func TestReclaimablesInTheWayAreTakenBack(t *testing.T) {
-	w := settled(t, 12)
-	w.answer = func(order Order) (Answer, bool) { return Taken, !order.Wish.Reclaimable }
-	w.run(28000, steady(700))
-	for _, zone := range w.zones {
-		require.Equal(t, 24, len(w.of(Pool{Zone: zone})))
-		require.Zero(t, w.orders[Pool{Zone: zone, Reclaimable: true}].Count())
+// TestUnavailableReclaimablesAreCancelled checks that reclaimable engines which do not register make room for
+// on-demand ones within the zone's limit.
+func TestUnavailableReclaimablesAreCancelled(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.answerOrder = func(order Order) (Answer, bool) { return Taken, !order.Wish.Reclaimable }
+	sim.run(28000, constantLoad(700))
+	for _, zone := range sim.zones {
+		require.Equal(t, 24, len(sim.machinesIn(Pool{Zone: zone})))
+		require.Zero(t, sim.orders[Pool{Zone: zone, Reclaimable: true}].Count())
 	}
 }
 
-// TestLastingOnesThatDoNotComeAreNotTakenBack: some of the zone's may just not be heard of, and a lower
-// number would take them away.
-func TestLastingOnesThatDoNotComeAreNotTakenBack(t *testing.T) {
-	w := settled(t, 12)
-	w.scale.ReclaimablePrice = 0
-	w.answer = func(Order) (Answer, bool) { return Taken, false }
-	w.run(60000, steady(700))
-	require.NotEmpty(t, w.given)
-	for _, order := range w.given {
+// TestUnavailableOnDemandOrdersAreKept checks that orders of on-demand engines are not lowered: some may run
+// but be unreachable, and would be removed.
+func TestUnavailableOnDemandOrdersAreKept(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.scale.ReclaimablePrice = 0
+	sim.answerOrder = func(Order) (Answer, bool) { return Taken, false }
+	sim.run(60000, constantLoad(700))
+	require.NotEmpty(t, sim.sentOrders)
+	for _, order := range sim.sentOrders {
 		require.GreaterOrEqual(t, order.Wish.Count, order.Before)
 	}
 }
 
-// TestEnginesThatAreAboutToDrain: those given back do not count as long as they have not said that
-// they leave.
-func TestEnginesThatAreAboutToDrain(t *testing.T) {
-	w := settled(t, 12)
-	w.answer = func(order Order) (Answer, bool) { return Taken, order.Wish.Count > order.Before }
-	for len(w.given) == 0 {
-		w.run(period, steady(40))
-	}
-	w.run(tick, nil)
-	for pool, order := range w.orders {
-		require.Equal(t, order.Wish.Count, w.plan.Pools[pool].Wanted)
-		require.Greater(t, w.plan.Pools[pool].Ready, order.Wish.Count)
+// TestRemovedEnginesDoNotCount checks that removed engines do not count before they report that they drain.
+func TestRemovedEnginesDoNotCount(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.answerOrder = func(order Order) (Answer, bool) { return Taken, order.Wish.Count > order.Before }
+	for len(sim.sentOrders) == 0 {
+		sim.run(stepPeriod, constantLoad(40))
+	}
+	sim.run(tick, nil)
+	for pool, order := range sim.orders {
+		require.Equal(t, order.Wish.Count, sim.plan.Pools[pool].Wanted)
+		require.Greater(t, sim.plan.Pools[pool].Ready, order.Wish.Count)
 	}
 }
 
-// TestUnansweredOrderMayComeLate: the most holds also if both kinds of a zone do what they were asked
-// for last without an answer, or before that.
-func TestUnansweredOrderMayComeLate(t *testing.T) {
-	w := settled(t, 12)
-	w.answer = func(Order) (Answer, bool) { return Open, false }
-	w.run(30000, steady(700))
+// TestLimitIncludesUnansweredOrders checks that a zone stays within its limit even if unanswered orders of both
+// kinds are carried out late.
+func TestLimitIncludesUnansweredOrders(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.answerOrder = func(Order) (Answer, bool) { return Open, false }
+	sim.run(30000, constantLoad(700))
 	highest := map[Pool]int{}
-	for _, order := range w.given {
+	for _, order := range sim.sentOrders {
 		pool := order.Wish.Pool()
 		highest[pool] = max(highest[pool], order.Wish.Count, order.Before)
 		other := Pool{Zone: pool.Zone, Reclaimable: !pool.Reclaimable}
-		require.LessOrEqual(t, highest[pool]+max(highest[other], w.desired[other]), w.scale.Most)
+		require.LessOrEqual(t, highest[pool]+max(highest[other], sim.desired[other]), sim.scale.Most)
 	}
 }
 
-// TestLossesAreToBeBorne: a service whose work needs all of three zones keeps a fourth, where zones
-// may be lost, and only there.
-func TestLossesAreToBeBorne(t *testing.T) {
-	for _, bears := range []bool{false, true} {
-		w := newWorld(t, 0)
-		w.bears, w.scale.ReclaimablePrice = bears, 0
+// TestZoneLossTolerance checks that engines are ordered to survive the loss of a zone only if that is required.
+func TestZoneLossTolerance(t *testing.T) {
+	for _, toleratesZoneLoss := range []bool{false, true} {
+		sim := newSimulation(t, 0)
+		sim.toleratesZoneLoss, sim.scale.ReclaimablePrice = toleratesZoneLoss, 0
 		for zone, count := range map[string]int{"a": 22, "b": 2, "c": 2, "d": 2} {
 			for range count {
-				w.machines = append(w.machines, &machine{pool: Pool{Zone: zone}})
+				sim.machines = append(sim.machines, &machine{pool: Pool{Zone: zone}})
 			}
 		}
-		w.run(6000, nil)
-		w.run(tick, steady(170))
-		require.Equal(t, bears, len(w.given) > 0)
-		if bears {
-			require.Equal(t, Losses, w.plan.Reason)
+		sim.run(6000, nil)
+		sim.run(tick, constantLoad(170))
+		require.Equal(t, toleratesZoneLoss, len(sim.sentOrders) > 0)
+		if toleratesZoneLoss {
+			require.Equal(t, Losses, sim.plan.Reason)
 		}
 	}
 }
 
-// TestNextHolderGoesOn: a planner that finds the orders of an earlier one calls nothing without
-// need, also while ordered engines boot.
-func TestNextHolderGoesOn(t *testing.T) {
-	w := settled(t, 12)
-	w.run(2000, steady(750))
-	require.NotEmpty(t, w.given)
-	before := len(w.given)
-	w.planner = NewPlanner()
-	w.run(30000, steady(750))
-	require.Len(t, w.given, before)
+// TestNewLeaderContinues checks that a new planner with the recorded orders repeats none but unanswered ones.
+func TestNewLeaderContinues(t *testing.T) {
+	sim := newSettledSimulation(t, 12)
+	sim.run(2000, constantLoad(750))
+	require.NotEmpty(t, sim.sentOrders)
+	before := len(sim.sentOrders)
+	sim.planner = NewPlanner()
+	sim.run(30000, constantLoad(750))
+	require.Len(t, sim.sentOrders, before)
 
-	open := w.orders[Pool{Zone: "a", Reclaimable: true}]
+	open := sim.orders[Pool{Zone: "a", Reclaimable: true}]
 	open.Answer = Open
-	w.orders[Pool{Zone: "a", Reclaimable: true}] = open
-	w.planner = NewPlanner()
-	w.run(3000, steady(750))
-	require.Len(t, w.given, before+1, "what may not have been carried out is sent again, once")
-	require.Equal(t, open.Wish, w.given[before].Wish)
+	sim.orders[Pool{Zone: "a", Reclaimable: true}] = open
+	sim.planner = NewPlanner()
+	sim.run(3000, constantLoad(750))
+	require.Len(t, sim.sentOrders, before+1, "an unanswered order is repeated once")
+	require.Equal(t, open.Wish, sim.sentOrders[before].Wish)
 }
 
-// TestRefusedOrder: an order that is refused leaves what was ordered before in force.
+// TestRefusedOrder checks that the previous order stays in force.
 func TestRefusedOrder(t *testing.T) {
-	w := settled(t, 6)
-	w.answer = func(Order) (Answer, bool) { return Refused, false }
-	w.run(20000, steady(200))
-	require.LessOrEqual(t, len(w.given), 8, "not asked again soon")
-	for pool, order := range w.orders {
+	sim := newSettledSimulation(t, 6)
+	sim.answerOrder = func(Order) (Answer, bool) { return Refused, false }
+	sim.run(20000, constantLoad(200))
+	require.LessOrEqual(t, len(sim.sentOrders), 8, "not retried before the backoff ends")
+	for pool, order := range sim.orders {
 		want := 0
 		if !pool.Reclaimable {
 			want = 6
@@ -456,20 +450,20 @@
 	}
 }
 
-// TestLimitsChange: the least and the most hold at once, for both kinds together.
+// TestLimitsChange checks that changed limits apply at once, to both kinds together.
 func TestLimitsChange(t *testing.T) {
-	w := settled(t, 12)
-	w.run(20000, steady(300))
-	w.scale.Least, w.scale.Most = 2, 8
-	w.orders = map[Pool]Order{}
-	w.planner = NewPlanner()
-	w.run(12000, steady(300))
-	for _, zone := range w.zones {
-		require.LessOrEqual(t, w.inZone(zone), 8)
-	}
-	w.scale.Least, w.scale.Most = 10, 24
-	w.run(12000, nil)
-	for _, zone := range w.zones {
-		require.GreaterOrEqual(t, w.inZone(zone), 10)
+	sim := newSettledSimulation(t, 12)
+	sim.run(20000, constantLoad(300))
+	sim.scale.Least, sim.scale.Most = 2, 8
+	sim.orders = map[Pool]Order{}
+	sim.planner = NewPlanner()
+	sim.run(12000, constantLoad(300))
+	for _, zone := range sim.zones {
+		require.LessOrEqual(t, sim.countInZone(zone), 8)
+	}
+	sim.scale.Least, sim.scale.Most = 10, 24
+	sim.run(12000, nil)
+	for _, zone := range sim.zones {
+		require.GreaterOrEqual(t, sim.countInZone(zone), 10)
 	}
 }
--- a/capacity/track.go
+++ b/capacity/track.go
@@ -5,166 +5,168 @@
 	"time"
 )
 
-// track is what the planner knows of a pool's orders.
-type track struct {
-	// order is the newest one, if its number is not 0.
+// orderTracker follows the orders of a pool and the backends that register for them.
+type orderTracker struct {
+	// order is the newest order; its number is 0 if there is none.
 	order Order
-	// learntAt is when the newest order, or its repetition, became known.
-	learntAt int64
+	// orderSeenAt is when the newest order, or its repetition, was first observed.
+	orderSeenAt int64
 	expectation
-	// seen is set once the pool had a backend.
-	seen bool
-	// pausedUntil is until when the pool is not asked for more, and pausedAt when that pause began.
-	// failures counts those in a row.
+	// hadBackends is set once the pool has had a registered backend.
+	hadBackends bool
+	// pausedAt and pausedUntil are the start and the end of the last backoff. failures is the number of
+	// consecutive failures.
 	pausedUntil, pausedAt int64
 	failures              int
-	// counted is set once failures has taken in the order's end.
-	counted bool
-	// earlier is what held before the newest order, and holds again if that was refused.
-	earlier expectation
-	// opens counts the orders in a row that were not answered.
-	opens int
+	// failureCounted is set once failures includes the newest order.
+	failureCounted bool
+	// previous is the expectation before the newest order, restored if that is rejected.
+	previous expectation
+	// unanswered is the number of consecutive repetitions of an unanswered order.
+	unanswered int
 }
 
-// expectation is what is expected to come of orders.
+// expectation holds the backends that orders are expected to produce.
 type expectation struct {
-	// cohorts are the numbers of backends that the pool is to come to have, the earliest order first.
+	// cohorts holds the target counts that are not reached yet, the earliest order first.
 	cohorts []cohort
-	// most is the highest number of backends that were registered since the newest order: those that
-	// are missing of them were lost, and do not come by themselves.
-	most int
+	// maxRegistered is the highest number of registered backends since the newest order. Backends lost
+	// since then are not expected to return.
+	maxRegistered int
 }
 
-// cohort is a number of backends with when it was ordered.
+// cohort is a target count and the time when it was ordered.
 type cohort struct {
-	count int
-	from  int64
+	count     int
+	orderedAt int64
 }
 
-// follow returns what is expected after an order that is not the first.
-func (e expectation) follow(now int64, count, registered int) expectation {
+// afterOrder returns the expectation after a new order.
+func (e expectation) afterOrder(now int64, count, registered int) expectation {
 	cohorts := slices.DeleteFunc(slices.Clone(e.cohorts), func(c cohort) bool { return c.count >= count })
-	return expectation{cohorts: append(cohorts, cohort{count: count, from: now}), most: registered}
+	return expectation{cohorts: append(cohorts, cohort{count: count, orderedAt: now}), maxRegistered: registered}
 }
 
-// arrive drops what has come.
-func (e *expectation) arrive() {
-	for len(e.cohorts) > 0 && e.cohorts[0].count <= e.most {
+// dropArrived drops the cohorts whose target count has been reached.
+func (e *expectation) dropArrived() {
+	for len(e.cohorts) > 0 && e.cohorts[0].count <= e.maxRegistered {
 		e.cohorts = e.cohorts[1:]
 	}
 }
 
-// observe takes in the pool's newest order, and how many backends it has.
-func (t *track) observe(now int64, order Order, state PoolState, expect int64) {
+// observe updates the tracker with the pool's newest order and state.
+func (t *orderTracker) observe(now int64, order Order, state PoolState, registrationTimeout int64) {
 	registered := state.registered()
 	if order.Number != t.order.Number {
-		t.begin(now, order, registered)
+		t.startOrder(now, order, registered)
 	}
 	t.order = order
-	if state.isLeaving() && order.Number == 0 {
-		t.most = 0
+	if state.isDraining() && order.Number == 0 {
+		t.maxRegistered = 0
 	}
-	t.most = max(t.most, registered)
-	t.seen = t.seen || registered > 0
-	t.countAnswer(now)
-	t.arrive()
+	t.maxRegistered = max(t.maxRegistered, registered)
+	t.hadBackends = t.hadBackends || registered > 0
+	t.applyAnswer(now)
+	t.dropArrived()
 	switch {
-	case len(t.cohorts) > 0 && now-t.cohorts[0].from >= expect:
-		// Later ones of the pool will not come either.
+	case len(t.cohorts) > 0 && now-t.cohorts[0].orderedAt >= registrationTimeout:
+		// Backends of the pool's later orders are not expected either.
 		t.cohorts = nil
-		t.pause(now, exhaustedPause)
-	case len(t.cohorts) == 0 && t.hasOrder() && t.order.Answer == Taken && t.most >= t.order.Count():
+		t.pause(now, exhaustedBackoff)
+	case len(t.cohorts) == 0 && t.hasOrder() && t.order.Answer == Taken && t.maxRegistered >= t.order.Count():
 		t.failures = 0
 	}
 }
 
-// begin takes in another order. One that repeats another which was not answered does not make its
-// backends come later.
-func (t *track) begin(now int64, order Order, registered int) {
+// startOrder starts to track a new order. Repeating an unanswered order does not extend its registration
+// timeout.
+func (t *orderTracker) startOrder(now int64, order Order, registered int) {
 	repeats := t.hasOrder() && t.order.Answer == Open && t.order.Wish == order.Wish
-	t.learntAt, t.counted = now, false
+	t.orderSeenAt, t.failureCounted = now, false
 	if repeats {
-		t.opens++
+		t.unanswered++
 		return
 	}
-	t.opens, t.earlier = 0, t.expectation
-	t.expectation = t.follow(now, order.Wish.Count, registered)
+	t.unanswered, t.previous = 0, t.expectation
+	t.expectation = t.afterOrder(now, order.Wish.Count, registered)
 }
 
-// countAnswer takes in the answer to the newest order.
-func (t *track) countAnswer(now int64) {
-	if t.counted || !t.hasOrder() {
+// applyAnswer handles a rejection of the newest order, once.
+func (t *orderTracker) applyAnswer(now int64) {
+	if t.failureCounted || !t.hasOrder() {
 		return
 	}
 	switch t.order.Answer {
 	case Exhausted:
-		t.pause(now, exhaustedPause)
+		t.pause(now, exhaustedBackoff)
 	case Refused:
-		t.pause(now, refusedPause)
+		t.pause(now, refusedBackoff)
 	default:
 		return
 	}
-	t.counted, t.expectation = true, t.earlier
+	t.failureCounted, t.expectation = true, t.previous
 }
 
-// pause keeps the pool from being asked for more.
-func (t *track) pause(now int64, first time.Duration) {
+// pause starts a backoff during which the pool is not scaled up.
+func (t *orderTracker) pause(now int64, base time.Duration) {
 	t.pausedAt = now
-	t.pausedUntil = now + min(first<<min(t.failures, 8), mostPause).Milliseconds()
+	t.pausedUntil = now + min(base<<min(t.failures, 8), maxBackoff).Milliseconds()
 	t.failures++
 }
 
-func (t *track) hasOrder() bool { return t.order.Number > 0 }
+func (t *orderTracker) hasOrder() bool { return t.order.Number > 0 }
 
-// ordered is how many backends the platform takes the pool to have.
-func (t *track) ordered() int {
+// ordered returns the count that the platform takes to be the pool's target.
+func (t *orderTracker) ordered() int {
 	if t.hasOrder() {
 		return t.order.Count()
 	}
-	return t.most
+	return t.maxRegistered
 }
 
-// mayCome is how many backends orders may have brought about or may bring about still.
-func (t *track) mayCome() int {
+// maxOrdered returns the highest number of backends that the pool's orders may produce.
+func (t *orderTracker) maxOrdered() int {
 	if t.hasOrder() {
-		return t.order.Most()
+		return t.order.MaxCount()
 	}
 	return 0
 }
 
-// hasGrown tells whether a pool without an order has more backends than ever before.
-func (t *track) hasGrown(state PoolState) bool { return !t.hasOrder() && state.registered() > t.most }
+// hasGrown reports whether a pool without an order has more backends than ever before.
+func (t *orderTracker) hasGrown(state PoolState) bool {
+	return !t.hasOrder() && state.registered() > t.maxRegistered
+}
 
-// expected is how many backends come still.
-func (t *track) expected() int {
+// pending returns how many ordered backends are expected to register.
+func (t *orderTracker) pending() int {
 	if len(t.cohorts) == 0 {
 		return 0
 	}
-	return max(t.cohorts[len(t.cohorts)-1].count-t.most, 0)
+	return max(t.cohorts[len(t.cohorts)-1].count-t.maxRegistered, 0)
 }
 
-// isPaused tells whether the pool must not be asked for more.
-func (t *track) isPaused(now int64) bool {
+// isPaused reports whether the pool is in a backoff.
+func (t *orderTracker) isPaused(now int64) bool {
 	return now < t.pausedUntil
 }
 
-// isDue tells whether so many must be asked for.
-func (t *track) isDue(now int64, count int, state PoolState, fleet Fleet) bool {
-	since := now - t.learntAt
+// isDue reports whether an order with this count must be sent now.
+func (t *orderTracker) isDue(now int64, count int, state PoolState, fleet Fleet) bool {
+	since := now - t.orderSeenAt
 	switch {
 	case !t.hasOrder():
-		return count != t.ordered() || state.Wanted > state.base
-	case t.order.wasRefused() && t.order.Wish.Count < t.order.Before:
-		// Whoever does not take an order of fewer is not asked for that again at once.
-		return count != t.order.Count() && since >= (openPause<<min(t.failures, mostOpenDoublings)).Milliseconds()
+		return count != t.ordered() || state.Wanted > state.baseline
+	case t.order.wasRejected() && t.order.Wish.Count < t.order.Before:
+		// A rejected scale-down is retried only after a pause.
+		return count != t.order.Count() && since >= (openRetryInterval<<min(t.failures, maxRetryDoublings)).Milliseconds()
 	case count != t.order.Count():
 		return true
 	case t.order.Answer == Open:
-		return since >= (openPause << min(t.opens, mostOpenDoublings)).Milliseconds()
+		return since >= (openRetryInterval << min(t.unanswered, maxRetryDoublings)).Milliseconds()
 	}
-	// What was ordered did not come, or went again.
-	return state.Wanted > state.base && since >= expectMillis(fleet.Scale)
+	// The ordered backends did not register, or were lost since.
+	return state.Wanted > state.baseline && since >= registrationTimeoutMillis(fleet.Scale)
 }
 
-// mostOpenDoublings bounds the pause between orders that are not answered.
-const mostOpenDoublings = 3
+// maxRetryDoublings limits how often the interval between repeated orders doubles.
+const maxRetryDoublings = 3
--- a/capacity/track_test.go
+++ b/capacity/track_test.go
@@ -8,73 +8,68 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// bootMillis is the boot time in these tests, and expect how long backends are expected.
 const (
-	bootMillis = 4000
-	expect     = bootsGivenUp * bootMillis
+	bootMillis          = 4000
+	registrationTimeout = registrationBootTimes * bootMillis
 )
 
-func plainOrder(count, before int, number uint64, answer Answer) Order {
+func newOrder(count, before int, number uint64, answer Answer) Order {
 	return Order{Wish: Wish{Service: "s", Zone: "z", Count: count}, Before: before, Held: before, Number: number, Answer: answer}
 }
 
-// TestExpectedOfOrders: what is ordered and has not registered comes, until the earliest order is too
-// old; what registered and was lost does not come by itself.
-func TestExpectedOfOrders(t *testing.T) {
-	k := &track{}
-	k.observe(0, Order{}, PoolState{Ready: 3}, expect)
-	require.Zero(t, k.expected())
-	require.Equal(t, 3, k.ordered())
-	k.observe(1000, plainOrder(8, 3, 1, Taken), PoolState{Ready: 3}, expect)
-	require.Equal(t, 5, k.expected())
-	k.observe(5000, plainOrder(8, 3, 1, Taken), PoolState{Ready: 6}, expect)
-	require.Equal(t, 2, k.expected())
-	k.observe(5500, plainOrder(8, 3, 1, Taken), PoolState{Ready: 4}, expect)
-	require.Equal(t, 2, k.expected(), "two were lost")
-	k.observe(6000, plainOrder(10, 8, 2, Taken), PoolState{Ready: 6, Silent: 1}, expect)
-	require.Equal(t, 3, k.expected())
-	require.False(t, k.isPaused(8999))
-	k.observe(1000+expect, plainOrder(10, 8, 2, Taken), PoolState{Ready: 7}, expect)
-	require.Zero(t, k.expected(), "the first ones did not come")
-	require.True(t, k.isPaused(1000+expect))
-	require.False(t, k.isPaused(1000+expect+exhaustedPause.Milliseconds()))
+// TestPendingBackends covers pending backends that register, are lost, or time out.
+func TestPendingBackends(t *testing.T) {
+	tracker := &orderTracker{}
+	tracker.observe(0, Order{}, PoolState{Ready: 3}, registrationTimeout)
+	require.Zero(t, tracker.pending())
+	require.Equal(t, 3, tracker.ordered())
+	tracker.observe(1000, newOrder(8, 3, 1, Taken), PoolState{Ready: 3}, registrationTimeout)
+	require.Equal(t, 5, tracker.pending())
+	tracker.observe(5000, newOrder(8, 3, 1, Taken), PoolState{Ready: 6}, registrationTimeout)
+	require.Equal(t, 2, tracker.pending())
+	tracker.observe(5500, newOrder(8, 3, 1, Taken), PoolState{Ready: 4}, registrationTimeout)
+	require.Equal(t, 2, tracker.pending(), "two were lost")
+	tracker.observe(6000, newOrder(10, 8, 2, Taken), PoolState{Ready: 6, Silent: 1}, registrationTimeout)
+	require.Equal(t, 3, tracker.pending())
+	require.False(t, tracker.isPaused(8999))
+	tracker.observe(1000+registrationTimeout, newOrder(10, 8, 2, Taken), PoolState{Ready: 7}, registrationTimeout)
+	require.Zero(t, tracker.pending(), "the first order timed out")
+	require.True(t, tracker.isPaused(1000+registrationTimeout))
+	require.False(t, tracker.isPaused(1000+registrationTimeout+exhaustedBackoff.Milliseconds()))
 }
 
-// TestFewerThanWereExpected: an order of fewer ends what was expected beyond it.
-func TestFewerThanWereExpected(t *testing.T) {
-	k := &track{}
-	k.observe(1000, plainOrder(12, 8, 1, Taken), PoolState{Ready: 8}, expect)
-	k.observe(2000, plainOrder(9, 12, 2, Taken), PoolState{Ready: 8}, expect)
-	require.Equal(t, 1, k.expected())
-	k.observe(3000, plainOrder(9, 12, 2, Taken), PoolState{Ready: 9}, expect)
-	require.Zero(t, k.expected())
-	k.observe(1000+2*expect, plainOrder(9, 12, 2, Taken), PoolState{Ready: 9}, expect)
-	require.False(t, k.isPaused(1000+2*expect), "all came")
+func TestLowerOrderReducesPending(t *testing.T) {
+	tracker := &orderTracker{}
+	tracker.observe(1000, newOrder(12, 8, 1, Taken), PoolState{Ready: 8}, registrationTimeout)
+	tracker.observe(2000, newOrder(9, 12, 2, Taken), PoolState{Ready: 8}, registrationTimeout)
+	require.Equal(t, 1, tracker.pending())
+	tracker.observe(3000, newOrder(9, 12, 2, Taken), PoolState{Ready: 9}, registrationTimeout)
+	require.Zero(t, tracker.pending())
+	tracker.observe(1000+2*registrationTimeout, newOrder(9, 12, 2, Taken), PoolState{Ready: 9}, registrationTimeout)
+	require.False(t, tracker.isPaused(1000+2*registrationTimeout), "all registered")
 }
 
-// TestRefusalRestoresWhatWasExpected: and pauses for twice as long each time in a row.
-func TestRefusalRestoresWhatWasExpected(t *testing.T) {
-	k := &track{}
-	k.observe(1000, plainOrder(5, 3, 1, Taken), PoolState{Ready: 3}, expect)
-	k.observe(1500, plainOrder(9, 5, 2, Open), PoolState{Ready: 3}, expect)
-	require.Equal(t, 6, k.expected())
-	k.observe(1600, plainOrder(9, 5, 2, Exhausted), PoolState{Ready: 3}, expect)
-	require.Equal(t, 2, k.expected())
-	require.Equal(t, 5, k.ordered())
-	require.True(t, k.isPaused(1600+exhaustedPause.Milliseconds()-1))
-	require.False(t, k.isPaused(1600+exhaustedPause.Milliseconds()))
-	k.observe(20000, plainOrder(9, 5, 3, Exhausted), PoolState{Ready: 5}, expect)
-	require.True(t, k.isPaused(20000+2*exhaustedPause.Milliseconds()-1))
-	k.observe(50000, plainOrder(9, 5, 4, Taken), PoolState{Ready: 9}, expect)
-	k.observe(51000, plainOrder(12, 9, 5, Exhausted), PoolState{Ready: 9}, expect)
-	require.False(t, k.isPaused(51000+exhaustedPause.Milliseconds()), "after one that was carried out")
+// TestRejectionRestoresPending also checks that the backoff doubles with each consecutive failure.
+func TestRejectionRestoresPending(t *testing.T) {
+	tracker := &orderTracker{}
+	tracker.observe(1000, newOrder(5, 3, 1, Taken), PoolState{Ready: 3}, registrationTimeout)
+	tracker.observe(1500, newOrder(9, 5, 2, Open), PoolState{Ready: 3}, registrationTimeout)
+	require.Equal(t, 6, tracker.pending())
+	tracker.observe(1600, newOrder(9, 5, 2, Exhausted), PoolState{Ready: 3}, registrationTimeout)
+	require.Equal(t, 2, tracker.pending())
+	require.Equal(t, 5, tracker.ordered())
+	require.True(t, tracker.isPaused(1600+exhaustedBackoff.Milliseconds()-1))
+	require.False(t, tracker.isPaused(1600+exhaustedBackoff.Milliseconds()))
+	tracker.observe(20000, newOrder(9, 5, 3, Exhausted), PoolState{Ready: 5}, registrationTimeout)
+	require.True(t, tracker.isPaused(20000+2*exhaustedBackoff.Milliseconds()-1))
+	tracker.observe(50000, newOrder(9, 5, 4, Taken), PoolState{Ready: 9}, registrationTimeout)
+	tracker.observe(51000, newOrder(12, 9, 5, Exhausted), PoolState{Ready: 9}, registrationTimeout)
+	require.False(t, tracker.isPaused(51000+exhaustedBackoff.Milliseconds()), "an accepted order resets the backoff")
 }
 
-// TestWhenAnOrderIsDue: for another number at once, for the same one if it was not answered, or if
-// more are wanted and those that were ordered are gone.
-func TestWhenAnOrderIsDue(t *testing.T) {
+func TestOrderIsDue(t *testing.T) {
 	fleet := Fleet{Scale: routing.Scale{BootMillis: bootMillis}}
-	enough, fewer := PoolState{Wanted: 8, base: 8}, PoolState{Wanted: 8, base: 6}
+	unchanged, growing := PoolState{Wanted: 8, baseline: 8}, PoolState{Wanted: 8, baseline: 6}
 	tests := map[string]struct {
 		order Order
 		after int64
@@ -82,43 +77,43 @@
 		state PoolState
 		due   bool
 	}{
-		"nothing changed":                  {order: plainOrder(8, 3, 1, Taken), after: 60000, count: 8, state: enough},
-		"another number":                   {order: plainOrder(8, 3, 1, Taken), count: 9, state: enough, due: true},
-		"no answer, just sent":             {order: plainOrder(8, 3, 1, Open), after: 999, count: 8, state: enough},
-		"no answer":                        {order: plainOrder(8, 3, 1, Open), after: 1000, count: 8, state: enough, due: true},
-		"some were lost, and may come":     {order: plainOrder(8, 3, 1, Taken), after: expect - 1, count: 8, state: fewer},
-		"some were lost":                   {order: plainOrder(8, 3, 1, Taken), after: expect, count: 8, state: fewer, due: true},
-		"refused, the same as held before": {order: plainOrder(9, 8, 1, Refused), after: 60000, count: 8, state: enough},
-		"more were refused, fewer":         {order: plainOrder(9, 8, 1, Refused), count: 7, state: enough, due: true},
-		"fewer were refused, just now":     {order: plainOrder(6, 8, 1, Refused), after: 1999, count: 7, state: enough},
-		"fewer were refused":               {order: plainOrder(6, 8, 1, Refused), after: 2000, count: 7, state: enough, due: true},
+		"nothing changed":                  {order: newOrder(8, 3, 1, Taken), after: 60000, count: 8, state: unchanged},
+		"different count":                  {order: newOrder(8, 3, 1, Taken), count: 9, state: unchanged, due: true},
+		"unanswered, just sent":            {order: newOrder(8, 3, 1, Open), after: 999, count: 8, state: unchanged},
+		"unanswered":                       {order: newOrder(8, 3, 1, Open), after: 1000, count: 8, state: unchanged, due: true},
+		"backends missing before timeout":  {order: newOrder(8, 3, 1, Taken), after: registrationTimeout - 1, count: 8, state: growing},
+		"backends missing after timeout":   {order: newOrder(8, 3, 1, Taken), after: registrationTimeout, count: 8, state: growing, due: true},
+		"scale-up refused, previous count": {order: newOrder(9, 8, 1, Refused), after: 60000, count: 8, state: unchanged},
+		"scale-up refused, lower count":    {order: newOrder(9, 8, 1, Refused), count: 7, state: unchanged, due: true},
+		"scale-down refused, just sent":    {order: newOrder(6, 8, 1, Refused), after: 1999, count: 7, state: unchanged},
+		"scale-down refused":               {order: newOrder(6, 8, 1, Refused), after: 2000, count: 7, state: unchanged, due: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			k := &track{}
-			k.observe(5000, test.order, PoolState{Ready: 8}, expect)
-			require.Equal(t, test.due, k.isDue(5000+test.after, test.count, test.state, fleet))
+			tracker := &orderTracker{}
+			tracker.observe(5000, test.order, PoolState{Ready: 8}, registrationTimeout)
+			require.Equal(t, test.due, tracker.isDue(5000+test.after, test.count, test.state, fleet))
 		})
 	}
-	without := &track{}
-	without.observe(5000, Order{}, PoolState{Ready: 8}, expect)
-	require.False(t, without.isDue(5000, 8, enough, fleet))
-	require.True(t, without.isDue(5000, 9, enough, fleet))
+	withoutOrder := &orderTracker{}
+	withoutOrder.observe(5000, Order{}, PoolState{Ready: 8}, registrationTimeout)
+	require.False(t, withoutOrder.isDue(5000, 8, unchanged, fleet))
+	require.True(t, withoutOrder.isDue(5000, 9, unchanged, fleet))
 }
 
-// TestRepeatedOrderDoesNotMakeItYounger: and is sent less and less often.
-func TestRepeatedOrderDoesNotMakeItYounger(t *testing.T) {
+// TestRepeatedOrderKeepsTimeout also checks that the interval between repetitions doubles up to its maximum.
+func TestRepeatedOrderKeepsTimeout(t *testing.T) {
 	fleet := Fleet{Scale: routing.Scale{BootMillis: bootMillis}}
-	k := &track{}
+	tracker := &orderTracker{}
 	now, number := int64(1000), uint64(1)
-	k.observe(now, plainOrder(8, 3, number, Open), PoolState{Ready: 3}, 4*expect)
+	tracker.observe(now, newOrder(8, 3, number, Open), PoolState{Ready: 3}, 4*registrationTimeout)
 	for _, pause := range []int64{1000, 2000, 4000, 8000, 8000} {
-		require.False(t, k.isDue(now+pause-1, 8, PoolState{}, fleet))
-		require.True(t, k.isDue(now+pause, 8, PoolState{}, fleet))
+		require.False(t, tracker.isDue(now+pause-1, 8, PoolState{}, fleet))
+		require.True(t, tracker.isDue(now+pause, 8, PoolState{}, fleet))
 		now, number = now+pause, number+1
-		k.observe(now, plainOrder(8, 8, number, Open), PoolState{Ready: 3}, 4*expect)
-		require.Equal(t, 5, k.expected())
+		tracker.observe(now, newOrder(8, 8, number, Open), PoolState{Ready: 3}, 4*registrationTimeout)
+		require.Equal(t, 5, tracker.pending())
 	}
-	k.observe(1000+4*expect, plainOrder(8, 8, number, Open), PoolState{Ready: 3}, 4*expect)
-	require.Zero(t, k.expected())
+	tracker.observe(1000+4*registrationTimeout, newOrder(8, 8, number, Open), PoolState{Ready: 3}, 4*registrationTimeout)
+	require.Zero(t, tracker.pending())
 }
--- a/server/scale_keeper.go
+++ b/server/scale_keeper.go
@@ -133,7 +133,7 @@
 	defer k.mutex.Unlock()
 	for name, demand := range k.demands {
 		if planner := k.planners[name]; planner != nil {
-			planner.Hear(nowMillis(), *catalog.Services[name].Scale, demand)
+			planner.RecordDemand(nowMillis(), *catalog.Services[name].Scale, demand)
 			delete(k.demands, name)
 		}
 	}
@@ -151,9 +151,9 @@
 	})
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	fleet.Demand, fleet.Heard = k.demands[name], false
+	fleet.Demand, fleet.HasNewDemand = k.demands[name], false
 	if _, heard := k.demands[name]; heard {
-		fleet.Heard = true
+		fleet.HasNewDemand = true
 		delete(k.demands, name)
 	}
 	planner := k.planners[name]
@@ -172,7 +172,7 @@
 
 // fleetOf returns what the directory knows of the service.
 func fleetOf(catalog *directory.Catalog, service routing.Service, bearsZone bool) capacity.Fleet {
-	fleet := capacity.Fleet{Service: service.Name, Scale: *service.Scale, BearsZone: bearsZone}
+	fleet := capacity.Fleet{Service: service.Name, Scale: *service.Scale, ToleratesZoneLoss: bearsZone}
 	for zone := range service.Scale.ZonePrices {
 		fleet.AddZone(zone)
 	}
