--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -123,7 +123,7 @@
 	Orders []Order
 }
 
-// PoolState holds the numbers of a pool's backends by state.
+// PoolState holds the target (Wanted), the ordered count and the numbers of backends by state of a pool.
 type PoolState struct {
 	Wanted, Ordered, Booting, Ready, Draining, Silent int
 	// Paused is set while the pool must not be scaled up.
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,6 +1,5 @@
-// Package routing holds the configuration by which requests reach services:
-// routes by host and path prefix, weighted splits, time limits and services. It
-// is a pure value package: validation and matching, without clock or network.
+// Package routing defines, validates and matches the routing configuration: routes by
+// host and path prefix, weighted splits between services, timeouts and tenants.
 package routing
 
 import (
@@ -12,34 +11,33 @@
 
 var (
 	namespace = errorx.NewNamespace("routing")
-	// ErrInvalid: a configuration must not be put into force. The message names
-	// the field's path.
+	// ErrInvalid is returned for a configuration that must not be applied. The message
+	// names the path of the invalid field.
 	ErrInvalid = namespace.NewType("invalid")
 )
 
-// Kind says how requests of a route may be repeated.
+// Kind specifies how a route's requests are processed and whether they may be repeated.
 type Kind uint8
 
-// The kinds of routes.
 const (
 	// Unrepeatable requests run at most once.
 	Unrepeatable Kind = iota
 	// Repeatable requests may run more than once.
 	Repeatable
-	// Streaming requests are answered by events.
+	// Streaming requests are answered with a stream of events.
 	Streaming
 	// Rollout routes take steps of samples instead of single requests.
 	Rollout
 )
 
-// Share is a service's part of a route's requests.
+// Share is a service's weighted share of a route's requests.
 type Share struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
 	Weight  float64
 }
 
-// Route sends the requests of a host whose path begins with Prefix to services.
+// Route sends a host's requests whose path begins with Prefix to services.
 type Route struct {
 	Name   string `cbor:"1,keyasint"`
 	Host   string `cbor:"2,keyasint"`
@@ -48,42 +46,41 @@
 	// Resumable streams may be continued by another backend.
 	Resumable bool    `cbor:"5,keyasint"`
 	Shares    []Share `cbor:"6,keyasint"`
-	// TimeoutMillis is the longest time that a request is held.
+	// TimeoutMillis limits the total time of a request.
 	TimeoutMillis int64 `cbor:"7,keyasint"`
-	// TargetMillis is the time within which an answer has its full worth.
+	// TargetMillis is the target response time.
 	TargetMillis int64 `cbor:"8,keyasint"`
-	// Attempts is the largest number of backends that a request is sent to.
+	// Attempts is the maximum number of backends that a request is sent to.
 	Attempts int `cbor:"9,keyasint"`
 	Priority int `cbor:"10,keyasint"`
-	// DueMillis and GiveUpMillis apply to steps: when results are due, and when
-	// a sample may be given up, both since the step was sent.
+	// DueMillis and GiveUpMillis apply to steps: the times, from the submission of the
+	// step, when its results are due and when unfinished samples may be abandoned.
 	DueMillis    int64 `cbor:"11,keyasint"`
 	GiveUpMillis int64 `cbor:"12,keyasint"`
-	// SingleVersion allows only samples made under one version of the weights.
+	// SingleVersion requires each sample to be generated with a single version of the weights.
 	SingleVersion bool `cbor:"13,keyasint"`
-	// Public routes take requests without a key.
+	// Public routes accept requests without a key.
 	Public bool `cbor:"14,keyasint,omitempty"`
 }
 
-// Key identifies the place of a route: no two routes of a configuration share it.
+// Key returns the host and prefix of the route, which are unique in a configuration.
 func (r Route) Key() string { return r.Host + " " + r.Prefix }
 
 // Service is a group of interchangeable backends.
 type Service struct {
 	Name string `cbor:"1,keyasint"`
-	// MaxConnections bounds the connections of all callers to one backend.
+	// MaxConnections limits the connections of all callers to one backend.
 	MaxConnections int `cbor:"2,keyasint"`
-	// Models are the models that the service's engines hold; none for a
-	// service that is not one of engines.
+	// Models lists the models that the service's engines load. It is empty for services
+	// without engines.
 	Models []string `cbor:"3,keyasint"`
-	// EventTokens is the number of tokens that one event of an engine's stream
-	// holds, 0 if unknown.
+	// EventTokens is the number of tokens in one event of an engine's stream, 0 if unknown.
 	EventTokens int `cbor:"4,keyasint,omitempty"`
-	// Scale is nil for a service whose backends cannot be ordered.
+	// Scale is nil if the service is not scaled automatically.
 	Scale *Scale `cbor:"5,keyasint,omitempty"`
 }
 
-// Limits bound what a caller may send and how long it may be idle.
+// Limits restricts the size of requests and the time that callers may take to send them.
 type Limits struct {
 	HeaderBytes       int   `cbor:"1,keyasint"`
 	BodyBytes         int64 `cbor:"2,keyasint"`
@@ -91,8 +88,8 @@
 	IdleTimeoutMillis int64 `cbor:"4,keyasint"`
 }
 
-// Configuration is one version of all routes, services, limits and tenants. Without
-// tenants, no request needs a key.
+// Configuration is one version of all routes, services, limits and tenants. If it has no
+// tenants, requests need no key.
 type Configuration struct {
 	Version  uint64    `cbor:"1,keyasint"`
 	Routes   []Route   `cbor:"2,keyasint"`
@@ -101,28 +98,28 @@
 	Tenants  []Tenant  `cbor:"5,keyasint,omitempty"`
 }
 
-// Validate returns an ErrInvalid error that names the first wrong field.
+// Validate returns an ErrInvalid error that names the first invalid field.
 func (c Configuration) Validate() error {
 	services := make(map[string]bool, len(c.Services))
-	for position, service := range c.Services {
+	for i, service := range c.Services {
 		if service.Name == "" {
-			return ErrInvalid.New("services[%d].name: must not be empty", position)
+			return ErrInvalid.New("services[%d].name: must not be empty", i)
 		}
 		if services[service.Name] {
-			return ErrInvalid.New("services[%d].name: %q is there twice", position, service.Name)
+			return ErrInvalid.New("services[%d].name: duplicate name %q", i, service.Name)
 		}
 		services[service.Name] = true
 	}
-	places := make(map[string]bool, len(c.Routes))
-	for position, route := range c.Routes {
-		path := fmt.Sprintf("routes[%d]", position)
+	keys := make(map[string]bool, len(c.Routes))
+	for i, route := range c.Routes {
+		path := fmt.Sprintf("routes[%d]", i)
 		if err := route.validate(path, services); err != nil {
 			return err
 		}
-		if places[route.Key()] {
+		if keys[route.Key()] {
 			return ErrInvalid.New("%s: another route has host %q and prefix %q", path, route.Host, route.Prefix)
 		}
-		places[route.Key()] = true
+		keys[route.Key()] = true
 	}
 	return validateTenants(c.Tenants)
 }
@@ -142,12 +139,12 @@
 
 func (r Route) validateShares(path string, services map[string]bool) error {
 	total := 0.0
-	for position, share := range r.Shares {
+	for i, share := range r.Shares {
 		if !services[share.Service] {
-			return ErrInvalid.New("%s.shares[%d].service: no service %q", path, position, share.Service)
+			return ErrInvalid.New("%s.shares[%d].service: unknown service %q", path, i, share.Service)
 		}
 		if share.Weight < 0 {
-			return ErrInvalid.New("%s.shares[%d].weight: must not be negative", path, position)
+			return ErrInvalid.New("%s.shares[%d].weight: must not be negative", path, i)
 		}
 		total += share.Weight
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func valid() Configuration {
+func validConfiguration() Configuration {
 	return Configuration{
 		Version:  1,
 		Services: []Service{{Name: "a"}, {Name: "b"}},
@@ -17,10 +17,9 @@
 	}
 }
 
-// TestValidateNamesTheField: each kind of wrong configuration is refused with
-// the path of what is wrong.
+// TestValidateNamesTheField checks that the error contains the path of the invalid field.
 func TestValidateNamesTheField(t *testing.T) {
-	require.NoError(t, valid().Validate())
+	require.NoError(t, validConfiguration().Validate())
 	cases := map[string]func(*Configuration){
 		"routes[1]: another route":     func(c *Configuration) { c.Routes[1].Prefix = "/" },
 		"routes[0].shares[0].service":  func(c *Configuration) { c.Routes[0].Shares[0].Service = "c" },
@@ -29,16 +28,17 @@
 		"routes[0].prefix":             func(c *Configuration) { c.Routes[0].Prefix = "/x" },
 		"services[1].name":             func(c *Configuration) { c.Services[1].Name = "a" },
 	}
-	for reason, spoil := range cases {
-		configuration := valid()
-		spoil(&configuration)
-		require.ErrorContains(t, configuration.Validate(), reason)
+	for want, invalidate := range cases {
+		configuration := validConfiguration()
+		invalidate(&configuration)
+		require.ErrorContains(t, configuration.Validate(), want)
 	}
 }
 
-// TestLongestPrefixMatches: hosts are compared without case and port, paths to the letter.
+// TestLongestPrefixMatches also checks that matching ignores a host's case and port, but not the case of
+// paths.
 func TestLongestPrefixMatches(t *testing.T) {
-	table := NewTable(valid().Routes)
+	table := NewTable(validConfiguration().Routes)
 	for path, prefix := range map[string]string{"/": "/", "/x": "/", "/x/": "/x/", "/x/y": "/x/", "/X/y": "/", "/%78/y": "/"} {
 		route, ok := table.Match("H:80", path)
 		require.True(t, ok)
--- a/routing/tenant_test.go
+++ b/routing/tenant_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestInvalidTenantsNameTheField(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		tenants []Tenant
 		field   string
 	}{
@@ -17,18 +17,18 @@
 		"no name":    {[]Tenant{{Keys: []string{"secret"}}}, "tenants[0].name"},
 		"empty key":  {[]Tenant{{Name: "a", Keys: []string{"secret", ""}}}, "tenants[0].keys[1]"},
 	} {
-		err := Configuration{Version: 1, Tenants: one.tenants}.Validate()
+		err := Configuration{Version: 1, Tenants: test.tenants}.Validate()
 		require.True(t, errorx.IsOfType(err, ErrInvalid), name)
-		require.Contains(t, err.Error(), one.field, name)
-		require.NotContains(t, err.Error(), "secret", "a key stands in no error")
+		require.Contains(t, err.Error(), test.field, name)
+		require.NotContains(t, err.Error(), "secret", "errors must not contain keys")
 	}
 	require.NoError(t, Configuration{Version: 1, Tenants: []Tenant{{Name: "a", Keys: []string{"k", "k2"}}, {Name: "b"}}}.Validate())
 }
 
-func TestPriorityOfATenantGoesBeforeThatOfTheRoute(t *testing.T) {
+func TestTenantPriorityOverridesRoutePriority(t *testing.T) {
 	route := Route{Priority: 3}
-	var none *Tenant
-	require.Equal(t, 3, none.PriorityOn(route))
+	var noTenant *Tenant
+	require.Equal(t, 3, noTenant.PriorityOn(route))
 	require.Equal(t, 3, (&Tenant{Priority: 0}).PriorityOn(route))
 	require.Equal(t, 0, (&Tenant{Priority: 0, Ranked: true}).PriorityOn(route))
 }
