--- a/capacity/history_test.go
+++ b/capacity/history_test.go
@@ -78,8 +78,8 @@
 	require.InDelta(t, 10, history.slotsNeeded(84500, 4900), 1e-9, "usage has left the averaging window")
 }
 
-// TestHistoryIsConclusive checks that a history is conclusive only after a window with work and without a gap,
-// or after the longest window without work.
+// TestHistoryIsConclusive checks that a history is conclusive only after a window with work and without a
+// gap, or after the longest window without work.
 func TestHistoryIsConclusive(t *testing.T) {
 	history := &demandHistory{}
 	require.False(t, history.isFresh(0))
--- a/capacity/losses_test.go
+++ b/capacity/losses_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestZonesLostBeforeFirstOrder checks that backends are replaced if they fail before their pools have an order.
+// TestZonesLostBeforeFirstOrder checks that backends are replaced if they fail before their pools have an
+// order.
 func TestZonesLostBeforeFirstOrder(t *testing.T) {
 	sim := newSettledSimulation(t, 6)
 	sim.toleratesZoneLoss = false
--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -27,7 +27,7 @@
 	// targets in that direction.
 	scaleUpInterval   = time.Second
 	scaleDownInterval = 4 * time.Second
-	// oscillationWindows is the number of demand windows after a scale-down within which a scale-up counts
+	// oscillationWindows is the number of demand windows after a scale-down during which a scale-up counts
 	// as an oscillation.
 	oscillationWindows = 3
 	// maxScaleDownShare is the largest share of the backends that one plan removes. minIdleShare is
--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestReclaimablesOfZoneRevokedTwice checks that revoked engines are replaced elsewhere, and that their pool is
-// retried only after a backoff.
+// TestReclaimablesOfZoneRevokedTwice checks that revoked engines are replaced elsewhere, and that their
+// pool is retried only after a backoff.
 func TestReclaimablesOfZoneRevokedTwice(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
 	sim.run(32000, constantLoad(300))
@@ -243,8 +243,8 @@
 	require.Equal(t, 6, sim.countInZone("b"))
 }
 
-// TestUnansweredOrders checks that an unanswered order is repeated unchanged, counts as one that may be carried
-// out, and has no second effect.
+// TestUnansweredOrders checks that an unanswered order is repeated unchanged, counts as one that may be
+// carried out, and has no second effect.
 func TestUnansweredOrders(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
 	sim.answerOrder = func(Order) (Answer, bool) { return Open, false }
@@ -285,8 +285,8 @@
 	}
 }
 
-// TestDrainingEnginesStopWithoutNotice checks that draining engines which fall silent count as gone and do not
-// block a scale-down.
+// TestDrainingEnginesStopWithoutNotice checks that draining engines which fall silent count as gone and do
+// not block a scale-down.
 func TestDrainingEnginesStopWithoutNotice(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
 	for _, m := range sim.machinesIn(Pool{Zone: "d"})[:6] {
@@ -382,8 +382,8 @@
 	}
 }
 
-// TestLimitIncludesUnansweredOrders checks that a zone stays within its limit even if unanswered orders of both
-// kinds are carried out late.
+// TestLimitIncludesUnansweredOrders checks that a zone stays within its limit even if unanswered orders of
+// both kinds are carried out late.
 func TestLimitIncludesUnansweredOrders(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
 	sim.answerOrder = func(Order) (Answer, bool) { return Open, false }
@@ -397,7 +397,8 @@
 	}
 }
 
-// TestZoneLossTolerance checks that engines are ordered to survive the loss of a zone only if that is required.
+// TestZoneLossTolerance checks that engines are ordered to survive the loss of a zone only if that is
+// required.
 func TestZoneLossTolerance(t *testing.T) {
 	for _, toleratesZoneLoss := range []bool{false, true} {
 		sim := newSimulation(t, 0)
