--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -126,7 +126,7 @@
 }
 
 func TestRunnerTellsHowARunEnds(t *testing.T) {
-	for _, want := range []scheduler.RunEnd{scheduler.Rejected, scheduler.Failed, scheduler.Impossible, scheduler.Unreachable} {
+	for _, want := range []scheduler.RunEnd{scheduler.Rejected, scheduler.Failed, scheduler.Unprocessable, scheduler.Unreachable} {
 		linked := newLinked(t, func(context.Context, Request, func(Event)) scheduler.RunEnd { return want })
 		_, _, end := linked.run(context.Background(), textOf(0, 0))
 		require.Equal(t, want, end)
--- a/scheduler/ahead.go
+++ b/scheduler/ahead.go
@@ -50,7 +50,7 @@
 }
 
 // Ahead starts second runs of samples that will probably come again.
-func (s *Scheduler) Ahead(now int64, serviceOf ServiceOf) []Assignment {
+func (s *Scheduler) StartSpeculative(now int64, serviceOf ServicesFunc) []Assignment {
 	var assignments []Assignment
 	for _, state := range s.stepsInOrder() {
 		oldest, known := s.oldestOnReturn(state.step)
@@ -113,7 +113,7 @@
 
 // startAhead begins a second run of the task under the version or a newer one, if
 // an engine other than that of the first run has room to spare.
-func (s *Scheduler) startAhead(now int64, task *Task, oldest uint64, serviceOf ServiceOf) (Assignment, bool) {
+func (s *Scheduler) startAhead(now int64, task *Task, oldest uint64, serviceOf ServicesFunc) (Assignment, bool) {
 	if fits(task.Text, &ledger.Step{OldestVersion: oldest}) {
 		return Assignment{}, false
 	}
@@ -152,7 +152,7 @@
 }
 
 // TakenOver returns the tasks of a step that were runs ahead of it.
-func (s *Scheduler) TakenOver(step string) []*Task {
+func (s *Scheduler) Promoted(step string) []*Task {
 	var taken []*Task
 	state := s.steps[step]
 	if state == nil {
@@ -167,7 +167,7 @@
 }
 
 // IsAhead tells whether the task runs ahead of the step that will ask for it.
-func (task *Task) IsAhead() bool { return task.ahead }
+func (task *Task) IsSpeculative() bool { return task.ahead }
 
 // adopt returns the run ahead of the sample, as a task of the step that asks for
 // the sample again, or nil if there is none that it can use.
@@ -190,7 +190,7 @@
 func (s *Scheduler) endAhead(task *Task, end RunEnd) {
 	s.leave(task)
 	task.State = Finished
-	task.Text.Whole = end == Complete
+	task.Text.Complete = end == Complete
 	delete(s.ahead, task.Sample.ID)
 	s.kept.keep(task.Step, task.Sample, task.Text)
 	task.Text = Text{}
@@ -198,7 +198,7 @@
 
 // UnwantedAhead returns the runs ahead that no step has asked for in time, or that
 // the step which has cannot use. The caller ends them.
-func (s *Scheduler) UnwantedAhead() []*Task {
+func (s *Scheduler) EndUnusedSpeculative() []*Task {
 	var unwanted []*Task
 	for _, id := range slices.Sorted(maps.Keys(s.ahead)) {
 		task := s.ahead[id]
--- a/scheduler/ahead_test.go
+++ b/scheduler/ahead_test.go
@@ -32,15 +32,15 @@
 
 // runAhead has the long sample run ahead, and returns that run.
 func runAhead(t *testing.T, s *Scheduler, first *Task) *Task {
-	require.Empty(t, s.Ahead(0, anywhere), "no engine holds a version that the later step allows")
+	require.Empty(t, s.StartSpeculative(0, anywhere), "no engine holds a version that the later step allows")
 	s.SyncEngines(0, engines(2, 8, "m"), map[string]uint64{"m": 3})
 	for _, known := range s.engines {
 		known.versions["m"] = 3
 	}
-	assignments := s.Ahead(0, anywhere)
+	assignments := s.StartSpeculative(0, anywhere)
 	require.Len(t, assignments, 1)
 	require.Equal(t, first.Sample.ID, assignments[0].Task.Sample.ID)
-	require.Empty(t, s.Ahead(0, anywhere), "once")
+	require.Empty(t, s.StartSpeculative(0, anywhere), "once")
 	return assignments[0].Task
 }
 
@@ -60,7 +60,7 @@
 	require.Equal(t, Running, ahead.State, "the end of the earlier step leaves it alone")
 	require.Empty(t, comesAgain(s, first, 3))
 	require.Equal(t, []*Task{ahead}, s.steps["y"].tasks)
-	require.False(t, ahead.IsAhead())
+	require.False(t, ahead.IsSpeculative())
 	require.Empty(t, s.Assign(0, anywhere))
 	ahead.Text = Text{Events: []string{"data"}, Last: 1, Versions: []uint64{3}}
 	s.RunEnded(0, ahead, ahead.Run, Complete)
@@ -87,17 +87,17 @@
 func TestRunAheadThatNobodyAsksForEnds(t *testing.T) {
 	s, first := returningStep(t)
 	ahead := runAhead(t, s, first)
-	require.Empty(t, s.UnwantedAhead())
+	require.Empty(t, s.EndUnusedSpeculative())
 	later := entry("z", "m", 4, 1)
 	later.Step.Number = 3
 	s.AddStep(later)
-	require.Equal(t, []*Task{ahead}, s.UnwantedAhead())
+	require.Equal(t, []*Task{ahead}, s.EndUnusedSpeculative())
 	require.Empty(t, s.ahead)
 
 	s, first = returningStep(t)
 	ahead = runAhead(t, s, first)
 	comesAgain(s, first, 4)
-	require.Equal(t, []*Task{ahead}, s.UnwantedAhead(), "the step allows no version as old")
+	require.Equal(t, []*Task{ahead}, s.EndUnusedSpeculative(), "the step allows no version as old")
 
 	s, first = returningStep(t)
 	ahead = runAhead(t, s, first)
@@ -114,5 +114,5 @@
 	for _, known := range s.engines {
 		known.versions["m"] = 9
 	}
-	require.Empty(t, s.Ahead(0, anywhere))
+	require.Empty(t, s.StartSpeculative(0, anywhere))
 }
--- a/scheduler/assigning.go
+++ b/scheduler/assigning.go
@@ -7,7 +7,7 @@
 	scheduler *Scheduler
 	now       int64
 	room      int
-	serviceOf ServiceOf
+	serviceOf ServicesFunc
 	// unplaced holds what no engine may run now.
 	unplaced map[demand]bool
 	// inTimeOnly is set while tasks take no slot in which they would be late.
@@ -37,7 +37,7 @@
 	task.Run++
 	task.Attempts++
 	assignment := s.assignment(task, backend)
-	assignment.Spare = int64(task.latestStart) - a.now
+	assignment.SlackMillis = int64(task.latestStart) - a.now
 	a.assignments = append(a.assignments, assignment)
 	return true
 }
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -13,7 +13,7 @@
 // Demand returns what the samples of the open steps need, for each service. A sample that several
 // services may run counts for the first of them. While the first runs are under way and have not shown
 // how fast engines are, nothing is said of the work; before, these are taken to be as fast as usual.
-func (s *Scheduler) Demand(now int64, serviceOf ServiceOf) []capacity.Demand {
+func (s *Scheduler) Demand(now int64, serviceOf ServicesFunc) []capacity.Demand {
 	demands := map[string]*capacity.Demand{}
 	work := map[string]map[int64]float64{}
 	for _, state := range s.steps {
--- a/scheduler/demand_test.go
+++ b/scheduler/demand_test.go
@@ -61,18 +61,18 @@
 	assignments := s.Assign(0, anywhere)
 	require.Len(t, assignments, 4)
 	for _, assignment := range assignments {
-		s.Observe(1000, assignment.Task, 25)
+		s.ObserveRun(1000, assignment.Task, 25)
 	}
 	s.UpdatePaces()
 	backends[0].Draining = true
 	require.Empty(t, s.SyncEngines(1000, backends, map[string]uint64{"m": 2}), "its runs go on until they are moved")
 	require.Empty(t, s.Assign(1000, anywhere))
-	moves := s.Move(1000, anywhere)
+	moves := s.ChooseMoves(1000, anywhere)
 	require.Len(t, moves, 4)
 	for _, move := range moves {
 		require.Equal(t, "e01", move.To)
 	}
-	for _, order := range s.Orders(1000) {
+	for _, order := range s.LoadOrders(1000) {
 		require.NotEqual(t, "e00", order.Backend.ID)
 	}
 }
--- a/scheduler/kept.go
+++ b/scheduler/kept.go
@@ -56,7 +56,7 @@
 // whether that was all of it; 0 if nothing is known.
 func (k *keptTexts) length(step *ledger.Step, sample *ledger.Sample) (events uint64, whole bool) {
 	known := k.texts[step.Model][sample.ID].text
-	return known.Last, known.Whole
+	return known.Last, known.Complete
 }
 
 // comingAgain returns the step's groups that an earlier step had, with the number
--- a/scheduler/large_bench_test.go
+++ b/scheduler/large_bench_test.go
@@ -42,7 +42,7 @@
 	s := largeScheduler()
 	s.AddStep(entry("step", "a", 1, 100))
 	for b.Loop() {
-		require.Empty(b, s.Orders(0))
+		require.Empty(b, s.LoadOrders(0))
 	}
 }
 
@@ -51,8 +51,8 @@
 	s := largeScheduler()
 	for b.Loop() {
 		s.UpdatePaces()
-		s.Move(0, anywhere)
-		s.Ahead(0, anywhere)
-		s.UnwantedAhead()
+		s.ChooseMoves(0, anywhere)
+		s.StartSpeculative(0, anywhere)
+		s.EndUnusedSpeculative()
 	}
 }
--- a/scheduler/pace.go
+++ b/scheduler/pace.go
@@ -28,7 +28,7 @@
 
 // Observe takes in how many events a running task has had since its run began.
 // The time in which its engine loads weights tells nothing of the pace.
-func (s *Scheduler) Observe(now int64, task *Task, events int) {
+func (s *Scheduler) ObserveRun(now int64, task *Task, events int) {
 	known := s.engines[task.Engine]
 	if task.State != Running || known == nil {
 		return
@@ -38,7 +38,7 @@
 		since = task.startedAt
 	}
 	task.observedAt, task.observedEvents = now, events
-	if s.Loading(task.Engine, task.Step.Model) {
+	if s.IsLoading(task.Engine, task.Step.Model) {
 		return
 	}
 	known.observed.millis += float64(now - since)
@@ -75,7 +75,7 @@
 
 // TakePaces takes in the paces that an earlier leader has observed. They hold
 // until the engines' runs show others.
-func (s *Scheduler) TakePaces(paces map[string]float64) {
+func (s *Scheduler) RestorePaces(paces map[string]float64) {
 	s.earlierPaces = paces
 }
 
@@ -142,7 +142,7 @@
 	From, To         string
 	FromPace, ToPace float64
 	// Expected is the number of events that are expected to come.
-	Expected float64
+	ExpectedEvents float64
 }
 
 // wantedMove is a task that could gain by a move, with the time that it is
@@ -155,7 +155,7 @@
 // Move returns tasks that would be done much earlier on another engine that has
 // room, since theirs is slow or leaves. The caller ends their runs; they go on
 // elsewhere after what they have.
-func (s *Scheduler) Move(now int64, serviceOf ServiceOf) []Move {
+func (s *Scheduler) ChooseMoves(now int64, serviceOf ServicesFunc) []Move {
 	taken := map[*engine]int{}
 	var moves []Move
 	for _, wanted := range s.wantedMoves(now) {
@@ -169,7 +169,7 @@
 		task.moving = true
 		moves = append(moves, Move{
 			Task: task, From: task.Engine, To: to.backend.ID, FromPace: s.engines[task.Engine].pace, ToPace: to.pace,
-			Expected: task.remaining(task.seen()),
+			ExpectedEvents: task.remaining(task.seen()),
 		})
 	}
 	return moves
@@ -199,7 +199,7 @@
 
 // betterEngine returns the engine on which the task would be done the earliest,
 // if that is much earlier than where it runs.
-func (s *Scheduler) betterEngine(now int64, task *Task, serviceOf ServiceOf, taken map[*engine]int) *engine {
+func (s *Scheduler) betterEngine(now int64, task *Task, serviceOf ServicesFunc, taken map[*engine]int) *engine {
 	services, ok := serviceOf(task)
 	if !ok {
 		return nil
--- a/scheduler/pace_test.go
+++ b/scheduler/pace_test.go
@@ -21,7 +21,7 @@
 // moved returns the tasks that are to move.
 func moved(s *Scheduler) []*Task {
 	var tasks []*Task
-	for _, move := range s.Move(minObserveMillis, anywhere) {
+	for _, move := range s.ChooseMoves(minObserveMillis, anywhere) {
 		tasks = append(tasks, move.Task)
 	}
 	return tasks
@@ -37,14 +37,14 @@
 	long := running(s, "long", "e00", 100)
 	running(s, "short", "e00", 10)
 	require.Equal(t, []*Task{long}, moved(s))
-	require.Empty(t, s.Move(minObserveMillis, anywhere), "a move is asked for once")
+	require.Empty(t, s.ChooseMoves(minObserveMillis, anywhere), "a move is asked for once")
 
 	other := running(s, "other", "e00", 100)
 	for _, full := range []string{"e01", "e02"} {
 		running(s, "a", full, 10)
 		running(s, "b", full, 10)
 	}
-	require.Empty(t, s.Move(minObserveMillis, anywhere))
+	require.Empty(t, s.ChooseMoves(minObserveMillis, anywhere))
 	require.False(t, other.moving)
 }
 
@@ -60,7 +60,7 @@
 		for range ticks {
 			now += 100
 			events += each
-			s.Observe(now, task, events)
+			s.ObserveRun(now, task, events)
 			s.UpdatePaces()
 		}
 	}
@@ -70,7 +70,7 @@
 	require.Greater(t, s.engines["e00"].pace, 50.0)
 	observe(20, 4)
 	require.InDelta(t, 25, s.engines["e00"].pace, 2)
-	s.engines["e00"].loading = &Order{Model: "m"}
+	s.engines["e00"].loading = &LoadOrder{Model: "m"}
 	observe(10, 0)
 	require.InDelta(t, 25, s.engines["e00"].pace, 2)
 }
@@ -103,7 +103,7 @@
 	s.engines["e00"].pace, s.engines["e01"].pace, s.middlePace = 40, 40, 40
 	long := running(s, "long", "e00", 100)
 	running(s, "short", "e00", 10)
-	require.Empty(t, s.Move(minObserveMillis, anywhere))
+	require.Empty(t, s.ChooseMoves(minObserveMillis, anywhere))
 	backends[0].Draining = true
 	s.SyncEngines(0, backends, nil)
 	require.Equal(t, []*Task{long}, moved(s))
@@ -115,13 +115,13 @@
 	earlier, s := New(), New()
 	earlier.SyncEngines(0, engines(3, 4, "m"), nil)
 	earlier.engines["e00"].pace, earlier.engines["e01"].pace = 60, 40
-	s.TakePaces(earlier.Paces())
+	s.RestorePaces(earlier.Paces())
 	s.SyncEngines(0, engines(3, 4, "m"), nil)
 	require.InDelta(t, 60, s.engines["e00"].pace, 0)
 	require.InDelta(t, 40, s.middlePace, 0)
 	require.Zero(t, s.engines["e02"].pace)
 	task := running(s, "x", "e00", 100)
-	s.Observe(400, task, 20)
+	s.ObserveRun(400, task, 20)
 	s.UpdatePaces()
 	require.InDelta(t, 20, s.engines["e00"].pace, 1)
 }
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -14,17 +14,17 @@
 	Run     uint64
 	// Expected is the number of events that are expected to come, and Pace the
 	// engine's time between events in milliseconds, 0 if unknown.
-	Expected, Pace float64
+	ExpectedEvents, Pace float64
 	// Spare is how much later the run could have begun, in milliseconds, for its step
 	// to be whole when due, by which waiting tasks are ordered; negative if it is late.
-	Spare int64
+	SlackMillis int64
 }
 
 // ServiceOf tells the services that may run a sample, and whether a route leads there.
-type ServiceOf func(task *Task) (services []string, ok bool)
+type ServicesFunc func(task *Task) (services []string, ok bool)
 
 // Assign starts as many waiting tasks as there is room for, the most urgent first.
-func (s *Scheduler) Assign(now int64, serviceOf ServiceOf) []Assignment {
+func (s *Scheduler) Assign(now int64, serviceOf ServicesFunc) []Assignment {
 	s.noteWaiting()
 	room := s.room(now)
 	if room == 0 {
@@ -90,7 +90,7 @@
 func (s *Scheduler) assignment(task *Task, backend directory.Backend) Assignment {
 	return Assignment{
 		Task: task, Backend: backend, Run: task.Run,
-		Expected: task.remaining(task.Text.Last), Pace: s.engines[backend.ID].pace,
+		ExpectedEvents: task.remaining(task.Text.Last), Pace: s.engines[backend.ID].pace,
 	}
 }
 
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -110,7 +110,7 @@
 // PlanCounts tells of the newest plan how many groups are chosen, are put back for lack of room,
 // and are late.
 type PlanCounts struct {
-	Chosen, PutBack, Late int
+	Chosen, Deferred, Late int
 }
 
 // planGroups ranks the waiting tasks by what can be whole in time. Nothing is ranked while all
@@ -150,7 +150,7 @@
 	case rankChosen:
 		s.plan.counts.Chosen++
 	case rankPutBack:
-		s.plan.counts.PutBack++
+		s.plan.counts.Deferred++
 	case rankLate:
 		s.plan.counts.Late++
 	}
@@ -271,7 +271,7 @@
 }
 
 // Shares tells for logs which part of the engines' time each trainer has had lately.
-func (s *Scheduler) Shares() string {
+func (s *Scheduler) FormatShares() string {
 	total := 0.0
 	shares := map[string]float64{}
 	for trainer, used := range s.plan.used {
--- a/scheduler/progress_test.go
+++ b/scheduler/progress_test.go
@@ -85,7 +85,7 @@
 	step.Step.Wanted = 1
 	s.AddStep(step)
 	for _, task := range s.steps["x"].tasks {
-		task.Text = Text{Events: []string{"data"}, Last: 1, Versions: []uint64{1}, Whole: true}
+		task.Text = Text{Events: []string{"data"}, Last: 1, Versions: []uint64{1}, Complete: true}
 	}
 	require.True(t, finishGroup(s, "x", 0))
 	finishGroup(s, "x", 1)
@@ -114,7 +114,7 @@
 // step itself waits for the groups that it had as well.
 func TestGroupsComeAgainUnderTheNextLeader(t *testing.T) {
 	s := New()
-	s.NoteEnded(entry("x", "m", 1, 4).Step)
+	s.RecordEndedStep(entry("x", "m", 1, 4).Step)
 	s.AddStep(laterStep(2))
 	require.False(t, finishGroup(s, "y", 0))
 	require.True(t, finishGroup(s, "y", 2))
@@ -126,7 +126,7 @@
 	first := entry("x", "m", 1, 4)
 	s.AddStep(first)
 	for number, task := range s.steps["x"].tasks[:2] {
-		task.Text = Text{Events: make([]string, 30), Last: 30, Versions: []uint64{1}, Whole: number == 0}
+		task.Text = Text{Events: make([]string, 30), Last: 30, Versions: []uint64{1}, Complete: number == 0}
 	}
 	s.EndStep("x")
 	step := entry("y", "m", 2, 0)
--- a/scheduler/run.go
+++ b/scheduler/run.go
@@ -18,13 +18,13 @@
 	// Rejected: the engine did not run the sample for lack of room.
 	Rejected
 	// Elsewhere: another engine has the address.
-	Elsewhere
+	Misdirected
 	// Unreachable: the engine cannot be reached.
 	Unreachable
 	// Failed: the engine ran the sample and failed.
 	Failed
 	// Impossible: the sample can never be done.
-	Impossible
+	Unprocessable
 	// Interrupted: the process that held the stream was lost, which tells nothing of
 	// the engine; what came may be continued.
 	Interrupted
@@ -49,7 +49,7 @@
 	case Complete:
 		known.recover()
 		s.observePace(now, task)
-		task.Text.Whole = true
+		task.Text.Complete = true
 		task.State = Scoring
 		if !fits(task.Text, task.Step) {
 			s.restart(task)
@@ -57,11 +57,11 @@
 	case Failed:
 		task.Failures.Runs++
 		task.Text = Text{}
-	case Impossible:
+	case Unprocessable:
 		task.State = Finished
 	case Rejected:
 		known.reject(now)
-	case Broken, Crashed, Unreachable, Elsewhere:
+	case Broken, Crashed, Unreachable, Misdirected:
 		if !task.moving {
 			known.fail(now)
 		}
--- a/scheduler/scarce_fleet_test.go
+++ b/scheduler/scarce_fleet_test.go
@@ -142,7 +142,7 @@
 	for _, trainer := range f.trainers {
 		for _, step := range trainer.steps {
 			if step.ended {
-				f.s.NoteEnded(step.entry.Step)
+				f.s.RecordEndedStep(step.entry.Step)
 				continue
 			}
 			f.s.AddStep(step.entry)
@@ -291,7 +291,7 @@
 		task.Text.AddVersion(1)
 	}
 	if task.Text.Last >= uint64(sample.length) {
-		ahead := task.IsAhead()
+		ahead := task.IsSpeculative()
 		require.True(f.t, f.s.RunEnded(f.now, task, task.Run, Complete))
 		if !ahead {
 			f.scoring = append(f.scoring, scoredTask{task: task, at: f.now + fleetScoring})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -34,7 +34,7 @@
 	versions map[string]uint64
 	running  map[*Task]bool
 	// loading is the order under way, or nil.
-	loading      *Order
+	loading      *LoadOrder
 	avoidedUntil int64
 	failures     int
 	rejections   int
@@ -163,7 +163,7 @@
 		task.Failures = entry.Failures[sample.ID]
 		task.seenBefore, task.lengthKnown = s.kept.length(step, sample)
 		state.tasks = append(state.tasks, task)
-		if task.Text.Whole {
+		if task.Text.Complete {
 			task.State = Scoring
 			whole = append(whole, task)
 		}
@@ -187,13 +187,13 @@
 
 // NoteEnded takes in a step that had ended before this scheduler began: groups of
 // it that were not whole by then may come again.
-func (s *Scheduler) NoteEnded(step *ledger.Step) { s.kept.note(step) }
+func (s *Scheduler) RecordEndedStep(step *ledger.Step) { s.kept.note(step) }
 
 // firstText returns what there is of a sample's text: what an earlier step has
 // left, or what an earlier leader has kept of its run.
 func (s *Scheduler) firstText(entry *ledger.Entry, sample *ledger.Sample) Text {
 	text, ok := s.kept.take(entry.Step, sample)
-	if ok && text.Whole {
+	if ok && text.Complete {
 		return text
 	}
 	partial := entry.Partials[sample.ID]
@@ -205,7 +205,7 @@
 }
 
 // Steps returns the IDs of the steps that are known.
-func (s *Scheduler) Steps() []string {
+func (s *Scheduler) StepIDs() []string {
 	ids := make([]string, 0, len(s.steps))
 	for id := range s.steps {
 		ids = append(ids, id)
@@ -234,14 +234,14 @@
 
 // Keep takes in how far a run had come whose step has ended meanwhile: the
 // sample may come again in a later step.
-func (s *Scheduler) Keep(task *Task, text Text) { s.kept.keep(task.Step, task.Sample, text) }
+func (s *Scheduler) KeepText(task *Task, text Text) { s.kept.keep(task.Step, task.Sample, text) }
 
 // giveUpMargin is added to the time at which a sample may be given up: the clock
 // of the leader that took the step in may have been behind this one.
 const giveUpMargin = 5000
 
 // Overdue returns the tasks that may be given up by now and have no result.
-func (s *Scheduler) Overdue(now int64) []*Task {
+func (s *Scheduler) OverdueTasks(now int64) []*Task {
 	var overdue []*Task
 	for _, state := range s.steps {
 		if state.step.GiveUpAt == 0 || now < state.step.GiveUpAt+giveUpMargin {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -42,13 +42,13 @@
 func TestLoadTouchesOneModel(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 8, "a", "b"), map[string]uint64{"a": 2})
-	require.Len(t, s.Orders(0), 1)
+	require.Len(t, s.LoadOrders(0), 1)
 	s.AddStep(entry("of-a", "a", 1, 2))
 	s.AddStep(entry("of-b", "b", 1, 2))
 	for _, assignment := range s.Assign(0, anywhere) {
 		require.Equal(t, "b", assignment.Task.Step.Model)
 	}
-	s.LoadEnded(0, "e00", "a", 2, true)
+	s.LoadCompleted(0, "e00", "a", 2, true)
 	require.Len(t, s.Assign(0, anywhere), 2)
 }
 
@@ -61,7 +61,7 @@
 	backends := engines(9, 8, "a", "b", "c")
 	newest := map[string]uint64{"a": 1, "b": 1, "c": 1}
 	s.SyncEngines(0, backends, newest)
-	underWay := map[int64][]Order{}
+	underWay := map[int64][]LoadOrder{}
 	for now := int64(0); now < 60*interval; now += 100 {
 		if now%interval == 0 && now > 0 {
 			for model := range newest {
@@ -76,9 +76,9 @@
 			}
 		}
 		for _, order := range underWay[now] {
-			s.LoadEnded(now, order.Backend.ID, order.Model, order.Version, true)
+			s.LoadCompleted(now, order.Backend.ID, order.Model, order.Version, true)
 		}
-		underWay[now+loadMillis] = append(underWay[now+loadMillis], s.Orders(now)...)
+		underWay[now+loadMillis] = append(underWay[now+loadMillis], s.LoadOrders(now)...)
 		require.LessOrEqual(t, s.loadsUnderWay(now), 2)
 	}
 }
@@ -99,11 +99,11 @@
 	s := New()
 	backends := engines(4, 8, "a", "b")
 	s.SyncEngines(0, backends, map[string]uint64{"a": 1, "b": 3})
-	s.LoadEnded(0, "e00", "b", 3, true)
-	s.LoadEnded(0, "e01", "b", 3, true)
+	s.LoadCompleted(0, "e00", "b", 3, true)
+	s.LoadCompleted(0, "e01", "b", 3, true)
 	s.AddStep(entry("x", "b", 3, 300))
 	s.Assign(0, anywhere)
-	orders := s.Orders(0)
+	orders := s.LoadOrders(0)
 	require.Len(t, orders, 1)
 	require.Equal(t, "b", orders[0].Model)
 	require.Equal(t, "e02", orders[0].Backend.ID)
@@ -142,13 +142,13 @@
 // orders to are left alone.
 func TestOrdersWaitForTheLeaseOfAnEarlierHolder(t *testing.T) {
 	s := New()
-	s.DeferOrders("e00", 1000)
+	s.DeferLoads("e00", 1000)
 	s.SyncEngines(0, engines(2, 8, "a"), map[string]uint64{"a": 2})
-	orders := s.Orders(999)
+	orders := s.LoadOrders(999)
 	require.Len(t, orders, 1)
 	require.Equal(t, "e01", orders[0].Backend.ID)
-	s.LoadEnded(999, "e01", "a", 2, true)
-	orders = s.Orders(1000)
+	s.LoadCompleted(999, "e01", "a", 2, true)
+	orders = s.LoadOrders(1000)
 	require.Len(t, orders, 1)
 	require.Equal(t, "e00", orders[0].Backend.ID)
 }
@@ -158,9 +158,9 @@
 func TestLoadsSpread(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(4, 8, "a", "b"), map[string]uint64{"a": 2, "b": 2})
-	s.LoadEnded(0, "e00", "a", 2, true)
-	s.LoadEnded(0, "e01", "a", 2, true)
-	order := s.Orders(0)[0]
+	s.LoadCompleted(0, "e00", "a", 2, true)
+	s.LoadCompleted(0, "e01", "a", 2, true)
+	order := s.LoadOrders(0)[0]
 	require.Equal(t, "b", order.Model)
 	require.Equal(t, "e02", order.Backend.ID)
 }
@@ -204,7 +204,7 @@
 func TestPlacementLeavesRoomForOthers(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(2, 1, "a", "b"), map[string]uint64{"b": 2})
-	s.LoadEnded(0, "e00", "b", 2, true)
+	s.LoadCompleted(0, "e00", "b", 2, true)
 	s.AddStep(entry("of-a", "a", 1, 1))
 	s.AddStep(entry("of-b", "b", 2, 1))
 	placed := map[string]string{}
@@ -250,14 +250,14 @@
 		if assignment.Backend.ID == "e00" {
 			events = 10
 		}
-		s.Observe(1000, assignment.Task, events)
+		s.ObserveRun(1000, assignment.Task, events)
 	}
 	s.UpdatePaces()
-	moves := s.Move(1000, anywhere)
+	moves := s.ChooseMoves(1000, anywhere)
 	require.Len(t, moves, 1)
 	task := moves[0].Task
 	require.Equal(t, "e00", task.Engine)
-	require.Empty(t, s.Move(1000, anywhere), "a move is asked for once")
+	require.Empty(t, s.ChooseMoves(1000, anywhere), "a move is asked for once")
 	task.Text = Text{Events: []string{"x"}, Last: 1, Versions: []uint64{1}}
 	s.RunEnded(1000, task, task.Run, Broken)
 	moved := s.Assign(1000, anywhere)
@@ -288,8 +288,8 @@
 	step := entry("x", "a", 1, 2)
 	step.Step.GiveUpAt = 1000
 	s.AddStep(step)
-	require.Empty(t, s.Overdue(1000+giveUpMargin-1))
-	require.Len(t, s.Overdue(1000+giveUpMargin), 2)
+	require.Empty(t, s.OverdueTasks(1000+giveUpMargin-1))
+	require.Len(t, s.OverdueTasks(1000+giveUpMargin), 2)
 }
 
 // TestRunGoesOnAfterACheckpoint: a new leader continues a sample after what an
@@ -312,7 +312,7 @@
 	stale.Partials = map[string]ledger.Partial{"b-0": {Events: []string{"1"}, Versions: []uint64{1}}}
 	fresh := New()
 	fresh.SyncEngines(0, engines(1, 4, "m"), nil)
-	fresh.NoteVersion("e00", "m", 2)
+	fresh.RecordVersion("e00", "m", 2)
 	fresh.AddStep(stale)
 	assignments := fresh.Assign(0, anywhere)
 	require.Len(t, assignments, 1)
@@ -369,16 +369,16 @@
 	s := New()
 	s.SyncEngines(0, engines(12, 8, "m"), map[string]uint64{"m": 2})
 	s.AddStep(entry("x", "m", 2, 400))
-	underWay := s.Orders(0)
+	underWay := s.LoadOrders(0)
 	require.Len(t, underWay, most)
 	for _, order := range underWay {
-		s.LoadEnded(10, order.Backend.ID, order.Model, order.Version, false)
+		s.LoadCompleted(10, order.Backend.ID, order.Model, order.Version, false)
 	}
-	underWay = s.Orders(20)
+	underWay = s.LoadOrders(20)
 	require.Len(t, underWay, most)
-	require.Empty(t, s.Orders(40))
+	require.Empty(t, s.LoadOrders(40))
 	for now := int64(40); now < 5000; now += 20 {
-		underWay = append(underWay, s.Orders(now)...)
+		underWay = append(underWay, s.LoadOrders(now)...)
 		require.LessOrEqual(t, len(underWay), 2*most, "none of them has ended")
 	}
 }
@@ -388,14 +388,14 @@
 	s := New()
 	s.SyncEngines(0, engines(1, 8, "m"), map[string]uint64{"m": 2})
 	s.AddStep(entry("x", "m", 1, 1))
-	s.NoteBusy(0, "e00")
+	s.MarkLoading(0, "e00")
 	require.Empty(t, s.Assign(0, anywhere))
-	require.Empty(t, s.Orders(0))
-	s.NoteIdle("e00")
+	require.Empty(t, s.LoadOrders(0))
+	s.ClearLoading("e00")
 	require.Len(t, s.Assign(0, anywhere), 1)
-	require.Len(t, s.Orders(0), 1)
-	s.NoteIdle("e00")
-	require.True(t, s.Loading("e00", "m"), "an order of its own goes on")
+	require.Len(t, s.LoadOrders(0), 1)
+	s.ClearLoading("e00")
+	require.True(t, s.IsLoading("e00", "m"), "an order of its own goes on")
 }
 
 // TestEngineThatGoesOnRefusingIsAskedLess: up to a bound, and a run that ends well
@@ -433,7 +433,7 @@
 	first := s.Assign(0, anywhere)[0]
 	require.Equal(t, "earlier-4", first.Task.Sample.ID)
 	require.False(t, first.Task.needed)
-	require.Equal(t, int64(3000-100*defaultPace+unneededMillis), first.Spare)
+	require.Equal(t, int64(3000-100*defaultPace+unneededMillis), first.SlackMillis)
 }
 
 // TestSamplesWithoutAnEngineHoldUpNoOthers: samples that no engine may run leave those
--- a/scheduler/task.go
+++ b/scheduler/task.go
@@ -15,7 +15,7 @@
 	Last     uint64
 	Versions []uint64
 	// Whole is set once the engine has ended the text.
-	Whole bool
+	Complete bool
 }
 
 // AddVersion notes that the version made an event.
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -107,7 +107,7 @@
 
 // closeStep ends an open step and has what runs of it end.
 func (w *waitingWorld) closeStep() {
-	ids := w.scheduler.Steps()
+	ids := w.scheduler.StepIDs()
 	if len(ids) == 0 {
 		return
 	}
--- a/scheduler/weights.go
+++ b/scheduler/weights.go
@@ -36,12 +36,12 @@
 )
 
 // Order is an order to an engine to load a version of a model's weights.
-type Order struct {
+type LoadOrder struct {
 	Backend directory.Backend
 	Model   string
 	Version uint64
 	// Keep lets running samples go on under the new version; otherwise they end first.
-	Keep bool
+	KeepRuns bool
 	// SentAt is when it was given.
 	SentAt int64
 }
@@ -104,16 +104,16 @@
 // other down, so that there is time for a few only, and they are spent where
 // they help most: first on models whose samples wait for engines, then on
 // models that too few engines could serve after the next publication.
-func (s *Scheduler) Orders(now int64) []Order {
+func (s *Scheduler) LoadOrders(now int64) []LoadOrder {
 	most := max((max(s.fleet, len(s.engines))+loadDivisor/2)/loadDivisor, 1)
-	var orders []Order
+	var orders []LoadOrder
 	for s.loadsUnderWay(now) < most {
 		known, model := s.nextLoad(now, most)
 		if known == nil {
 			break
 		}
-		order := Order{
-			Backend: known.backend, Model: model.name, Version: model.newest, Keep: known.mayChangeVersion(), SentAt: now,
+		order := LoadOrder{
+			Backend: known.backend, Model: model.name, Version: model.newest, KeepRuns: known.mayChangeVersion(), SentAt: now,
 		}
 		known.loading = &order
 		orders = append(orders, order)
@@ -262,7 +262,7 @@
 
 // DeferOrders has the engine that calls itself by the name given no orders before the time, also
 // if it starts again meanwhile.
-func (s *Scheduler) DeferOrders(name string, until int64) { s.orderAfter[name] = until }
+func (s *Scheduler) DeferLoads(name string, until int64) { s.orderAfter[name] = until }
 
 // mayChangeVersion tells whether no running sample needs a single version.
 func (e *engine) mayChangeVersion() bool {
@@ -276,7 +276,7 @@
 
 // LoadEnded takes in that the engine holds the version now. Only a load that took
 // place tells how long loads take: the engine may have held the version before.
-func (s *Scheduler) LoadEnded(now int64, id, model string, version uint64, tookPlace bool) {
+func (s *Scheduler) LoadCompleted(now int64, id, model string, version uint64, tookPlace bool) {
 	known := s.engines[id]
 	if known == nil {
 		return
@@ -308,14 +308,14 @@
 }
 
 // NoteBusy takes in that the engine loads by an order of another leader.
-func (s *Scheduler) NoteBusy(now int64, id string) {
+func (s *Scheduler) MarkLoading(now int64, id string) {
 	if known := s.engines[id]; known != nil && known.loading == nil {
-		known.loading = &Order{Backend: known.backend, Model: anyModel, SentAt: now}
+		known.loading = &LoadOrder{Backend: known.backend, Model: anyModel, SentAt: now}
 	}
 }
 
 // NoteIdle takes in that the engine loads no more by an order of another leader.
-func (s *Scheduler) NoteIdle(id string) {
+func (s *Scheduler) ClearLoading(id string) {
 	if known := s.engines[id]; known != nil && known.loading != nil && known.loading.Model == anyModel {
 		known.loading = nil
 	}
@@ -333,14 +333,14 @@
 }
 
 // NoteVersion takes in the version that an engine says it holds.
-func (s *Scheduler) NoteVersion(id, model string, version uint64) {
+func (s *Scheduler) RecordVersion(id, model string, version uint64) {
 	if known := s.engines[id]; known != nil {
 		known.versions[model] = max(known.versions[model], version)
 	}
 }
 
 // Loading tells whether the engine loads the model's weights.
-func (s *Scheduler) Loading(id, model string) bool {
+func (s *Scheduler) IsLoading(id, model string) bool {
 	known := s.engines[id]
 	return known != nil && known.loads(model)
 }
--- a/scheduler/workingset.go
+++ b/scheduler/workingset.go
@@ -128,7 +128,7 @@
 }
 
 // SamplesAtOnce returns how many samples the models' newest steps have together.
-func (s *Scheduler) SamplesAtOnce() int {
+func (s *Scheduler) ConcurrentSamples() int {
 	samples := 0
 	for _, model := range s.models {
 		samples += model.samples
@@ -138,4 +138,4 @@
 
 // SetFleet tells how many engines there are, used or not: loads slow each other down where many
 // of them load.
-func (s *Scheduler) SetFleet(engines int) { s.fleet = engines }
+func (s *Scheduler) SetFleetSize(engines int) { s.fleet = engines }
--- a/scheduler/workingset_test.go
+++ b/scheduler/workingset_test.go
@@ -111,9 +111,9 @@
 			fleet, w, s := fleetOf(engines), NewWorkingSet(nil), New()
 			for b.Loop() {
 				s.AddStep(entry("step", "m", 1, 106))
-				s.SetFleet(engines)
-				s.SyncEngines(0, w.Choose(fleet, s.SamplesAtOnce()), map[string]uint64{"m": 1})
-				s.Orders(0)
+				s.SetFleetSize(engines)
+				s.SyncEngines(0, w.Choose(fleet, s.ConcurrentSamples()), map[string]uint64{"m": 1})
+				s.LoadOrders(0)
 				s.Assign(0, anywhere)
 				s.EndStep("step")
 			}
--- a/server/checkpoint.go
+++ b/server/checkpoint.go
@@ -121,7 +121,7 @@
 	var texts []checkpointedText
 	bytes := 0
 	for task, progress := range t.progress {
-		if now.Sub(progress.checkpointedAt) < checkpointInterval || task.State != scheduler.Running || task.IsAhead() || bytes > checkpointBytes {
+		if now.Sub(progress.checkpointedAt) < checkpointInterval || task.State != scheduler.Running || task.IsSpeculative() || bytes > checkpointBytes {
 			continue
 		}
 		text, _ := progress.read()
--- a/server/engine.go
+++ b/server/engine.go
@@ -38,7 +38,7 @@
 
 // LoadRequest orders an engine to load a version.
 type LoadRequest struct {
-	Order scheduler.Order
+	Order scheduler.LoadOrder
 	// Holder and Fence name who orders; a higher fence voids lower ones.
 	Holder string
 	Fence  uint64
--- a/server/followed_run.go
+++ b/server/followed_run.go
@@ -44,7 +44,7 @@
 		delete(t.checkpointed, task)
 	}
 	stall := stallTimeout
-	if t.scheduler.Loading(assignment.Backend.ID, task.Step.Model) {
+	if t.scheduler.IsLoading(assignment.Backend.ID, task.Step.Model) {
 		stall = loadStall
 	}
 	verdict, trial := t.clearedFor(task)
@@ -91,7 +91,7 @@
 	switch {
 	case end == scheduler.Complete && !guard.IsIdle():
 		guard.NoteServed(subject())
-	case f.trial && (end == scheduler.Rejected || end == scheduler.Elsewhere || end == scheduler.Unreachable):
+	case f.trial && (end == scheduler.Rejected || end == scheduler.Misdirected || end == scheduler.Unreachable):
 		// It has not run: the trial is still to come.
 		guard.Permit(subject().Content)
 	case end == scheduler.Crashed:
--- a/server/inspect.go
+++ b/server/inspect.go
@@ -55,8 +55,8 @@
 		return
 	}
 	if err == nil && report.Busy {
-		t.loop.Call(func() { t.scheduler.NoteBusy(nowMillis(), backend.ID) })
-		defer t.loop.Call(func() { t.scheduler.NoteIdle(backend.ID) })
+		t.loop.Call(func() { t.scheduler.MarkLoading(nowMillis(), backend.ID) })
+		defer t.loop.Call(func() { t.scheduler.ClearLoading(backend.ID) })
 	}
 	for err == nil && report.Busy {
 		sleep(limited, loadPoll)
@@ -67,7 +67,7 @@
 	}
 	t.loop.Call(func() {
 		for _, held := range report.Models {
-			t.scheduler.NoteVersion(backend.ID, held.Model, held.Version)
+			t.scheduler.RecordVersion(backend.ID, held.Model, held.Version)
 		}
 	})
 }
--- a/server/load.go
+++ b/server/load.go
@@ -29,7 +29,7 @@
 // load carries an order through: it is sent until the engine holds the version.
 // Each send names the sequence that the engine must be at, so that of an order
 // which is carried out late and its repetition only one takes effect.
-func (t *tenure) load(order scheduler.Order) {
+func (t *tenure) load(order scheduler.LoadOrder) {
 	limited, cancel := context.WithTimeout(t.context, loadLimit)
 	defer cancel()
 	began := clock.Now()
@@ -45,7 +45,7 @@
 			Uint("version", order.Version).Uint("held", held)
 		line.Send()
 		if held >= order.Version {
-			t.scheduler.LoadEnded(nowMillis(), order.Backend.ID, order.Model, held, tookPlace)
+			t.scheduler.LoadCompleted(nowMillis(), order.Backend.ID, order.Model, held, tookPlace)
 			return
 		}
 		t.scheduler.LoadFailed(nowMillis(), order.Backend.ID)
@@ -54,7 +54,7 @@
 
 // loadUntilHeld returns the version that the engine holds in the end, 0 if none is
 // known, and whether it loaded it by this order.
-func (t *tenure) loadUntilHeld(ctx context.Context, order scheduler.Order) (held uint64, tookPlace bool) {
+func (t *tenure) loadUntilHeld(ctx context.Context, order scheduler.LoadOrder) (held uint64, tookPlace bool) {
 	for ctx.Err() == nil {
 		report, err := t.report(ctx, order.Backend)
 		if err != nil || !t.isSameLife(order.Backend, report) {
@@ -118,7 +118,7 @@
 }
 
 // awaitLoad asks the engine until it has loaded, and returns what it holds.
-func (t *tenure) awaitLoad(ctx context.Context, order scheduler.Order) uint64 {
+func (t *tenure) awaitLoad(ctx context.Context, order scheduler.LoadOrder) uint64 {
 	for ctx.Err() == nil {
 		report, err := t.report(ctx, order.Backend)
 		held := report.version(order.Model)
--- a/server/moves.go
+++ b/server/moves.go
@@ -14,12 +14,12 @@
 	now := nowMillis()
 	for task, progress := range t.progress {
 		at, events := progress.observed(now)
-		t.scheduler.Observe(at, task, events)
+		t.scheduler.ObserveRun(at, task, events)
 	}
 	t.scheduler.UpdatePaces()
-	for _, move := range t.scheduler.Move(now, t.servicesOf) {
+	for _, move := range t.scheduler.ChooseMoves(now, t.servicesOf) {
 		event.SampleMoved.On(t.logger).Str("sample", move.Task.Sample.ID).Str("engine", move.From).Str("to", move.To).
-			Uint("pace", micros(move.FromPace)).Uint("to_pace", micros(move.ToPace)).Uint("expected", uint64(move.Expected)).Send()
+			Uint("pace", micros(move.FromPace)).Uint("to_pace", micros(move.ToPace)).Uint("expected", uint64(move.ExpectedEvents)).Send()
 		t.cancel(move.Task)
 	}
 }
@@ -38,11 +38,11 @@
 		return
 	}
 	t.aheadAt = time.Now()
-	for _, task := range t.scheduler.UnwantedAhead() {
+	for _, task := range t.scheduler.EndUnusedSpeculative() {
 		event.RunAheadEnded.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Send()
 		t.cancel(task)
 	}
-	for _, assignment := range t.scheduler.Ahead(nowMillis(), t.servicesOf) {
+	for _, assignment := range t.scheduler.StartSpeculative(nowMillis(), t.servicesOf) {
 		t.start(assignment)
 	}
 }
--- a/server/plan.go
+++ b/server/plan.go
@@ -16,12 +16,12 @@
 func (t *tenure) notePlan() {
 	counts := t.scheduler.PlanCounts()
 	t.plan.Store(&counts)
-	if counts.PutBack+counts.Late == 0 || clock.Since(t.planLoggedAt) < planLogInterval {
+	if counts.Deferred+counts.Late == 0 || clock.Since(t.planLoggedAt) < planLogInterval {
 		return
 	}
 	t.planLoggedAt = clock.Now()
-	event.GroupsPutBack.On(t.logger).Uint("chosen", uint64(counts.Chosen)).Uint("put_back", uint64(counts.PutBack)).
-		Uint("late", uint64(counts.Late)).Str("shares", t.scheduler.Shares()).Send()
+	event.GroupsPutBack.On(t.logger).Uint("chosen", uint64(counts.Chosen)).Uint("put_back", uint64(counts.Deferred)).
+		Uint("late", uint64(counts.Late)).Str("shares", t.scheduler.FormatShares()).Send()
 }
 
 // collectPlan emits what the newest plan of a leader has chosen.
@@ -31,6 +31,6 @@
 		return
 	}
 	gauge(emit, "ledger_groups_chosen", "On a leader, open groups that are to be whole in time.", float64(counts.Chosen))
-	gauge(emit, "ledger_groups_put_back", "On a leader, open groups that wait since others fill the engines until they are due.", float64(counts.PutBack))
+	gauge(emit, "ledger_groups_put_back", "On a leader, open groups that wait since others fill the engines until they are due.", float64(counts.Deferred))
 	gauge(emit, "ledger_groups_late", "On a leader, open groups that can be whole in time no more.", float64(counts.Late))
 }
--- a/server/record_test.go
+++ b/server/record_test.go
@@ -14,7 +14,7 @@
 func TestResultsHoldWhatNoCheckpointHas(t *testing.T) {
 	task := &scheduler.Task{
 		Step: &ledger.Step{ID: "s"}, Sample: &ledger.Sample{ID: "x"},
-		Text: scheduler.Text{Events: []string{"a", "b", "c"}, Last: 3, Versions: []uint64{1}, Whole: true},
+		Text: scheduler.Text{Events: []string{"a", "b", "c"}, Last: 3, Versions: []uint64{1}, Complete: true},
 	}
 	result := wholeResult(task, "score")
 	shortened := newPendingResult(task, result, 2)
--- a/server/run.go
+++ b/server/run.go
@@ -34,8 +34,8 @@
 	link := t.runners.For(assignment.Backend)
 	event.SampleStarted.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).
 		Str("engine", assignment.Backend.ID).Str("runner", link.Name()).Uint("attempt", uint64(task.Attempts)).Uint("after", task.Text.Last).
-		Uint("expected", uint64(assignment.Expected)).Uint("pace", micros(assignment.Pace)).Uint("ahead", boolToUint(task.IsAhead())).
-		Int("spare_ms", assignment.Spare).Send()
+		Uint("expected", uint64(assignment.ExpectedEvents)).Uint("pace", micros(assignment.Pace)).Uint("ahead", boolToUint(task.IsSpeculative())).
+		Int("spare_ms", assignment.SlackMillis).Send()
 	followed := t.followRun(assignment)
 	request := runner.Request{
 		Backend: assignment.Backend, Step: task.Step.ID, Host: task.Step.Host, Tenant: task.Step.Tenant,
@@ -85,8 +85,8 @@
 		delete(t.progress, task)
 	}
 	if task.State == scheduler.Finished && task.Run == assignment.Run {
-		text.Whole = end == scheduler.Complete
-		t.scheduler.Keep(task, text)
+		text.Complete = end == scheduler.Complete
+		t.scheduler.KeepText(task, text)
 		return
 	}
 	if task.State != scheduler.Running || task.Run != assignment.Run {
@@ -94,10 +94,10 @@
 	}
 	delete(t.cancels, task)
 	if version > 0 {
-		t.scheduler.NoteVersion(assignment.Backend.ID, task.Step.Model, version)
+		t.scheduler.RecordVersion(assignment.Backend.ID, task.Step.Model, version)
 	}
 	task.Text = text
-	ahead := task.IsAhead()
+	ahead := task.IsSpeculative()
 	t.scheduler.RunEnded(nowMillis(), task, assignment.Run, end)
 	t.metrics.runs.WithLabelValues(strconv.Itoa(int(end))).Inc()
 	event.SampleRunEnded.On(t.logger).Str("sample", task.Sample.ID).Str("engine", assignment.Backend.ID).
@@ -107,7 +107,7 @@
 	}
 	switch {
 	case ahead:
-	case end == scheduler.Impossible:
+	case end == scheduler.Unprocessable:
 		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.Dead}, "impossible")
 	case end == scheduler.Failed && task.Failures.Runs >= max(task.Step.Attempts, 1):
 		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.Dead}, "failed")
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -79,7 +79,7 @@
 	wait := (t.settings.OrderLease + duty.Margin).Milliseconds()
 	t.replica.Do(func() { t.orders.Note(nowMillis(), t.machine.Orders()) })
 	for id, learnt := range t.orders.HeldByOthers(t.settings.Name) {
-		t.scheduler.DeferOrders(id, learnt+wait)
+		t.scheduler.DeferLoads(id, learnt+wait)
 	}
 }
 
@@ -87,11 +87,11 @@
 // and of the engines' paces that it has observed.
 func (t *tenure) loadHistory() {
 	t.replica.Do(func() {
-		t.scheduler.TakePaces(t.machine.Paces())
+		t.scheduler.RestorePaces(t.machine.Paces())
 		t.usedBefore = orderedLately(t.machine.Orders())
 		for _, entry := range t.machine.Steps() {
 			if entry.Ended {
-				t.scheduler.NoteEnded(entry.Step)
+				t.scheduler.RecordEndedStep(entry.Step)
 			}
 		}
 	})
@@ -118,7 +118,7 @@
 }
 
 func (t *tenure) tick() {
-	for _, task := range t.scheduler.Overdue(nowMillis()) {
+	for _, task := range t.scheduler.OverdueTasks(nowMillis()) {
 		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.Dead}, "overdue")
 	}
 	t.moveSlow()
@@ -182,7 +182,7 @@
 	if !unchanged {
 		t.endClosed(open)
 		t.logTakenOver(open)
-		if t.catalog != nil && t.scheduler.SamplesAtOnce() > t.engagedFor {
+		if t.catalog != nil && t.scheduler.ConcurrentSamples() > t.engagedFor {
 			t.syncEngines()
 		}
 	}
@@ -199,7 +199,7 @@
 			continue
 		}
 		t.known[entry.Step.ID] = true
-		for _, task := range t.scheduler.TakenOver(entry.Step.ID) {
+		for _, task := range t.scheduler.Promoted(entry.Step.ID) {
 			event.SampleTakenOver.On(t.logger).Str("sample", task.Sample.ID).Str("step", entry.Step.ID).
 				Str("engine", task.Engine).Uint("after", t.eventsOf(task)).Send()
 		}
@@ -208,7 +208,7 @@
 
 // syncEngines has the scheduler use the engines that its steps need of those that there are.
 func (t *tenure) syncEngines() {
-	t.engaged, t.engagedFor = nil, t.scheduler.SamplesAtOnce()
+	t.engaged, t.engagedFor = nil, t.scheduler.ConcurrentSamples()
 	fleet := 0
 	for name, service := range t.catalog.Services {
 		if len(service.Models) == 0 {
@@ -218,7 +218,7 @@
 		fleet += len(backends)
 		t.engaged = append(t.engaged, t.workingSet(name).Choose(backends, t.engagedFor)...)
 	}
-	t.scheduler.SetFleet(fleet)
+	t.scheduler.SetFleetSize(fleet)
 	for _, task := range t.scheduler.SyncEngines(nowMillis(), t.engaged, t.catalog.Models) {
 		// It waits again once its run has told what there is of its text.
 		t.cancel(task)
@@ -241,7 +241,7 @@
 	for _, entry := range open {
 		isOpen[entry.Step.ID] = true
 	}
-	for _, id := range t.scheduler.Steps() {
+	for _, id := range t.scheduler.StepIDs() {
 		if isOpen[id] {
 			continue
 		}
@@ -281,7 +281,7 @@
 		return
 	}
 	t.ordersAt = time.Now()
-	for _, order := range t.scheduler.Orders(now) {
+	for _, order := range t.scheduler.LoadOrders(now) {
 		go t.load(order)
 	}
 }
