--- a/scheduler/adopt.go
+++ b/scheduler/adopt.go
@@ -1,21 +1,22 @@
 package scheduler
 
-// Adopt has a waiting task go on with a run of an earlier leader, which has the text by
-// now. It fails where the task does not wait, or the text would not do for its step.
+// Adopt continues a run of an earlier leader as the current run of a waiting task. The text is the
+// run's output so far. It returns false if the engine is unknown, the task is not waiting, or its
+// step does not allow the text's versions.
 func (s *Scheduler) Adopt(now int64, step, sample, engine string, text Text) (Assignment, bool) {
-	known := s.engines[engine]
+	e := s.engines[engine]
 	task := s.waitingTask(step, sample)
-	if known == nil || task == nil || len(text.Versions) > 0 && !fits(text, task.Step) {
+	if e == nil || task == nil || len(text.Versions) > 0 && !versionsAllowed(text, task.Step) {
 		return Assignment{}, false
 	}
 	task.Text = text
 	task.Run++
 	task.Attempts++
-	s.occupy(now, known, task)
-	return s.assignment(task, known.backend), true
+	s.startRun(now, e, task)
+	return s.newAssignment(task, e.backend), true
 }
 
-// waitingTask returns the task of the step's sample, or nil if there is none that waits.
+// waitingTask returns the waiting task of the step's sample, or nil.
 func (s *Scheduler) waitingTask(step, sample string) *Task {
 	state := s.steps[step]
 	if state == nil {
--- a/scheduler/ahead_test.go
+++ b/scheduler/ahead_test.go
@@ -15,10 +15,10 @@
 func returningStep(t *testing.T) (*Scheduler, *Task) {
 	s := New()
 	s.SyncEngines(0, engines(2, 8, "m"), map[string]uint64{"m": 2})
-	for _, known := range s.engines {
-		known.pace = 40
+	for _, e := range s.engines {
+		e.pace = 40
 	}
-	s.model("m").noteReturn(2)
+	s.model("m").recordResubmission(2)
 	step := entry("x", "m", 1, 3)
 	step.Step.Wanted = 2
 	for position := range step.Step.Samples {
@@ -34,8 +34,8 @@
 func runAhead(t *testing.T, s *Scheduler, first *Task) *Task {
 	require.Empty(t, s.StartSpeculative(0, anywhere), "no engine holds a version that the later step allows")
 	s.SyncEngines(0, engines(2, 8, "m"), map[string]uint64{"m": 3})
-	for _, known := range s.engines {
-		known.versions["m"] = 3
+	for _, e := range s.engines {
+		e.versions["m"] = 3
 	}
 	assignments := s.StartSpeculative(0, anywhere)
 	require.Len(t, assignments, 1)
@@ -92,7 +92,7 @@
 	later.Step.Number = 3
 	s.AddStep(later)
 	require.Equal(t, []*Task{ahead}, s.EndUnusedSpeculative())
-	require.Empty(t, s.ahead)
+	require.Empty(t, s.speculative)
 
 	s, first = returningStep(t)
 	ahead = runAhead(t, s, first)
@@ -103,16 +103,16 @@
 	ahead = runAhead(t, s, first)
 	require.True(t, s.RunEnded(0, ahead, ahead.Run, Broken))
 	require.Equal(t, Finished, ahead.State)
-	require.Empty(t, s.ahead)
+	require.Empty(t, s.speculative)
 }
 
 // TestNothingRunsAheadWhereNoGroupComesAgain: as long as none has.
 func TestNothingRunsAheadWhereNoGroupComesAgain(t *testing.T) {
 	s, _ := returningStep(t)
-	s.model("m").returnSteps = 0
+	s.model("m").resubmissionSteps = 0
 	s.model("m").newest = 9
-	for _, known := range s.engines {
-		known.versions["m"] = 9
+	for _, e := range s.engines {
+		e.versions["m"] = 9
 	}
 	require.Empty(t, s.StartSpeculative(0, anywhere))
 }
--- a/scheduler/assigning.go
+++ b/scheduler/assigning.go
@@ -1,54 +1,54 @@
 package scheduler
 
-// assigning is one look through the waiting tasks, or two where more wait than find room: a slot
-// of a slow engine goes first to a task that is in time there, so that a long one of a chosen
-// group gets the next slot of another engine instead of being late; but no slot stays free.
-type assigning struct {
-	scheduler *Scheduler
-	now       int64
-	room      int
-	serviceOf ServicesFunc
-	// unplaced holds what no engine may run now.
-	unplaced map[demand]bool
-	// inTimeOnly is set while tasks take no slot in which they would be late.
+// assignPass offers free slots to the waiting tasks. If there are more tasks than slots, a first
+// pass gives a slow engine's slot only to tasks that would be in time on it, so that a long task
+// waits for a faster engine instead of being late. A second pass then fills the remaining slots.
+type assignPass struct {
+	scheduler  *Scheduler
+	now        int64
+	freeSlots  int
+	servicesOf ServicesFunc
+	// unplaceable holds the requirements that no engine can meet now.
+	unplaceable map[requirements]bool
+	// inTimeOnly is set if tasks skip slots in which they would be late.
 	inTimeOnly bool
-	// held is set once a task was held back for that.
-	held        bool
+	// skippedLate is set once a task was skipped for that reason.
+	skippedLate bool
 	assignments []Assignment
 }
 
-// offer starts the task if there is an engine for it.
-func (a *assigning) offer(task *Task) (taken bool) {
-	if len(a.assignments) == a.room {
+// offer starts the task if an engine can run it.
+func (a *assignPass) offer(task *Task) (taken bool) {
+	if len(a.assignments) == a.freeSlots {
 		return false
 	}
 	s := a.scheduler
-	services, ok := a.serviceOf(task)
-	wanted := demandOf(task, services)
-	if !ok || a.unplaced[wanted] || s.triesKind(task) {
+	services, ok := a.servicesOf(task)
+	required := requirementsOf(task, services)
+	if !ok || a.unplaceable[required] || s.runsSuspectedKind(task) {
 		return false
 	}
-	backend, found := s.place(a.now, task, services, a.inTimeOnly)
-	if found != placed {
-		a.unplaced[wanted] = found == noEngine
-		a.held = a.held || found == onlyLate
+	backend, result := s.place(a.now, task, services, a.inTimeOnly)
+	if result != placed {
+		a.unplaceable[required] = result == noEngine
+		a.skippedLate = a.skippedLate || result == lateOnly
 		return false
 	}
 	task.Run++
 	task.Attempts++
-	assignment := s.assignment(task, backend)
+	assignment := s.newAssignment(task, backend)
 	assignment.SlackMillis = int64(task.latestStart) - a.now
 	a.assignments = append(a.assignments, assignment)
 	return true
 }
 
-// isLateOn tells whether the task would be late if it began now on this engine, but not on a fast
-// one.
-func (s *Scheduler) isLateOn(now int64, known *engine, task *Task) bool {
-	if task.rank != rankChosen || known.pace <= s.fastPace {
+// isLateOn reports whether the task would be late if it started now on this engine, but not on a
+// fast one.
+func (s *Scheduler) isLateOn(now int64, e *engine, task *Task) bool {
+	if task.rank != rankChosen || e.pace <= s.fastPace {
 		return false
 	}
-	left := dueOf(task.Step) - float64(now)
-	events := task.remaining(task.Text.Last)
-	return events*known.pace > left && events*s.fastPace <= left
+	left := deadlineOf(task.Step) - float64(now)
+	events := task.remainingEvents(task.Text.Last)
+	return events*e.pace > left && events*s.fastPace <= left
 }
--- a/scheduler/choice.go
+++ b/scheduler/choice.go
@@ -6,65 +6,66 @@
 	"slices"
 )
 
-// choice chooses groups that can be whole in time together. Groups are taken in the order of
-// their due times; when those taken so far want more time of slots than there is until then, one
-// is put back: the one that saves most, of the trainers whose shares are the largest.
-type choice struct {
+// groupSelection selects groups that can complete in time together. Groups are added in order of
+// their due times. When the selected groups need more slot time than there is until a due time, the
+// selection defers the group that frees the most, among the trainers with the largest usage.
+type groupSelection struct {
 	now   int64
 	slots float64
-	// committed is the slots' time that runs of groups which are not chosen still take.
-	committed float64
-	// dues holds the due times of the groups in order, with the work of those chosen.
-	dues   []dueWork
-	shares map[trainerKey]*share
+	// reservedWork is the slot time that running tasks of unselected groups still take.
+	reservedWork float64
+	// workByDue holds the work of the chosen groups, ordered by due time.
+	workByDue []dueWork
+	shares    map[trainerKey]*trainerShare
 }
 
-// dueWork is the time of slots that chosen groups with one due time want.
+// dueWork is the slot time that the chosen groups with one due time need.
 type dueWork struct{ at, work float64 }
 
-// share is what one trainer has and is to have of the slots' time.
-type share struct {
+// trainerShare is the slot time that a trainer has used or is planned to use, with its chosen
+// groups that can still be deferred.
+type trainerShare struct {
 	millis float64
-	chosen groupHeap
+	chosen deferralHeap
 }
 
-func newChoice(now int64, slots float64, used map[trainerKey]float64) *choice {
-	c := &choice{now: now, slots: slots * plannedRoom, shares: map[trainerKey]*share{}}
-	for trainer, millis := range used {
-		c.shares[trainer] = &share{millis: millis}
+func newGroupSelection(now int64, slots float64, usage map[trainerKey]float64) *groupSelection {
+	c := &groupSelection{now: now, slots: slots * plannedSlotShare, shares: map[trainerKey]*trainerShare{}}
+	for trainer, millis := range usage {
+		c.shares[trainer] = &trainerShare{millis: millis}
 	}
 	return c
 }
 
-// take ranks the groups beside those that were chosen before, which stay.
-func (c *choice) take(groups []*groupPlan) {
-	c.settle()
-	inOrder := slices.Clone(groups)
-	slices.SortStableFunc(inOrder, func(a, b *groupPlan) int {
+// add ranks the groups, keeping those that were chosen before.
+func (c *groupSelection) add(groups []*groupPlan) {
+	c.lockChosen()
+	sorted := slices.Clone(groups)
+	slices.SortStableFunc(sorted, func(a, b *groupPlan) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.dueAt, b.dueAt))
 	})
-	for _, group := range inOrder {
-		if !group.isPossible(c.now) {
+	for _, group := range sorted {
+		if !group.canMeetDue(c.now) {
 			group.rank = rankLate
 			continue
 		}
 		c.choose(group)
-		for !c.fits(group.dueAt) && c.putBack() {
+		for !c.fits(group.dueAt) && c.deferGroup() {
 		}
 	}
 }
 
-// takeLate ranks the groups that are late, as if they were due later: a trainer waits for them.
-func (c *choice) takeLate(groups []*groupPlan) {
+// addLate ranks the late groups again with an extended due time, because a trainer waits for them.
+func (c *groupSelection) addLate(groups []*groupPlan) {
 	var late []*groupPlan
 	for _, group := range groups {
 		if group.rank == rankLate {
-			group.dueAt += afterDueMillis
-			group.lateBy = afterDueMillis
+			group.dueAt += lateExtensionMillis
+			group.dueExtension = lateExtensionMillis
 			late = append(late, group)
 		}
 	}
-	c.take(late)
+	c.add(late)
 	for _, group := range late {
 		if group.rank != rankChosen {
 			group.rank = rankLate
@@ -72,91 +73,92 @@
 	}
 }
 
-// settle makes what is chosen so far stay.
-func (c *choice) settle() {
-	for _, of := range c.shares {
-		of.chosen = nil
+// lockChosen keeps the groups chosen so far from being deferred.
+func (c *groupSelection) lockChosen() {
+	for _, share := range c.shares {
+		share.chosen = nil
 	}
 }
 
-func (c *choice) choose(group *groupPlan) {
-	of := c.shares[group.trainer]
-	if of == nil {
-		of = &share{}
-		c.shares[group.trainer] = of
+func (c *groupSelection) choose(group *groupPlan) {
+	share := c.shares[group.trainer]
+	if share == nil {
+		share = &trainerShare{}
+		c.shares[group.trainer] = share
 	}
 	group.rank = rankChosen
 	c.addWork(group.dueAt, group.work)
-	of.millis += group.work
-	heap.Push(&of.chosen, group)
+	share.millis += group.work
+	heap.Push(&share.chosen, group)
 }
 
-// addWork counts work that is due then.
-func (c *choice) addWork(due, work float64) {
-	position, found := slices.BinarySearchFunc(c.dues, due, func(a dueWork, at float64) int { return cmp.Compare(a.at, at) })
+// addWork adds work with the given due time.
+func (c *groupSelection) addWork(due, work float64) {
+	position, found := slices.BinarySearchFunc(c.workByDue, due, func(a dueWork, at float64) int { return cmp.Compare(a.at, at) })
 	if !found {
-		c.dues = slices.Insert(c.dues, position, dueWork{at: due})
+		c.workByDue = slices.Insert(c.workByDue, position, dueWork{at: due})
 	}
-	c.dues[position].work += work
+	c.workByDue[position].work += work
 }
 
-// fits tells whether what is due from the given time on fits into the slots' time until then.
-func (c *choice) fits(due float64) bool {
-	work := c.committed
-	for _, of := range c.dues {
-		work += of.work
-		if of.at >= due && work > c.slots*(of.at-float64(c.now)) {
+// fits reports whether, for all due times starting at from, the work due by then fits into the
+// available slot time.
+func (c *groupSelection) fits(from float64) bool {
+	work := c.reservedWork
+	for _, entry := range c.workByDue {
+		work += entry.work
+		if entry.at >= from && work > c.slots*(entry.at-float64(c.now)) {
 			return false
 		}
 	}
 	return true
 }
 
-// putBack puts one group back, and tells whether there was one.
-func (c *choice) putBack() bool {
+// deferGroup defers one chosen group. It returns false if there is none.
+func (c *groupSelection) deferGroup() bool {
 	largest := 0.0
-	for _, of := range c.shares {
-		if len(of.chosen) > 0 {
-			largest = max(largest, of.millis)
+	for _, share := range c.shares {
+		if len(share.chosen) > 0 {
+			largest = max(largest, share.millis)
 		}
 	}
-	var from *share
-	for _, of := range c.shares {
-		if len(of.chosen) == 0 || of.millis < shareTolerance*largest {
+	var next *trainerShare
+	for _, share := range c.shares {
+		if len(share.chosen) == 0 || share.millis < shareTolerance*largest {
 			continue
 		}
-		if from == nil || precedes(of.chosen[0], from.chosen[0]) {
-			from = of
+		if next == nil || deferredBefore(share.chosen[0], next.chosen[0]) {
+			next = share
 		}
 	}
-	if from == nil {
+	if next == nil {
 		return false
 	}
-	group, _ := heap.Pop(&from.chosen).(*groupPlan)
-	group.rank = rankPutBack
+	group, _ := heap.Pop(&next.chosen).(*groupPlan)
+	group.rank = rankDeferred
 	c.addWork(group.dueAt, -group.work)
-	c.committed += group.running
-	from.millis -= group.work - group.running
+	c.reservedWork += group.runningWork
+	next.millis -= group.work - group.runningWork
 	return true
 }
 
-// groupHeap holds groups, the one to be put back next first.
-type groupHeap []*groupPlan
+// deferralHeap holds groups, with the one to defer next at the top.
+type deferralHeap []*groupPlan
 
-// precedes tells whether a is put back before b.
-func precedes(a, b *groupPlan) bool {
-	return cmp.Or(-cmp.Compare(a.priority, b.priority), compareFirst(!a.again, !b.again), -cmp.Compare(a.cost(), b.cost()), cmp.Compare(a.name, b.name)) < 0
+// deferredBefore reports whether a is deferred before b.
+func deferredBefore(a, b *groupPlan) bool {
+	return cmp.Or(-cmp.Compare(a.priority, b.priority), compareTrueFirst(!a.resubmitted, !b.resubmitted), -cmp.Compare(a.savings(), b.savings()), cmp.Compare(a.name, b.name)) < 0
 }
 
-func (h groupHeap) Len() int           { return len(h) }
-func (h groupHeap) Less(i, j int) bool { return precedes(h[i], h[j]) }
-func (h groupHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h deferralHeap) Len() int           { return len(h) }
+func (h deferralHeap) Less(i, j int) bool { return deferredBefore(h[i], h[j]) }
+func (h deferralHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push is part of heap.Interface.
-func (h *groupHeap) Push(group any) { *h = append(*h, group.(*groupPlan)) }
+// Push implements heap.Interface.
+func (h *deferralHeap) Push(group any) { *h = append(*h, group.(*groupPlan)) }
 
-// Pop is part of heap.Interface.
-func (h *groupHeap) Pop() any {
+// Pop implements heap.Interface.
+func (h *deferralHeap) Pop() any {
 	last := len(*h) - 1
 	group := (*h)[last]
 	*h = (*h)[:last]
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -7,13 +7,13 @@
 	"github.com/dillchute/dillchute/capacity"
 )
 
-// demandGrain is the difference between times due, in milliseconds, that are told as one.
-const demandGrain = 500
+// dueGranularityMillis is the granularity to which due times are rounded.
+const dueGranularityMillis = 500
 
-// Demand returns what the samples of the open steps need, for each service. A sample that several
-// services may run counts for the first of them. While the first runs are under way and have not shown
-// how fast engines are, nothing is said of the work; before, these are taken to be as fast as usual.
-func (s *Scheduler) Demand(now int64, serviceOf ServicesFunc) []capacity.Demand {
+// Demand returns the demand of the open steps for each service. A sample that several services may
+// run counts for the first of them. Before the first runs start, engines are assumed to have the
+// default pace; while these run and no pace is known yet, the work is omitted.
+func (s *Scheduler) Demand(now int64, servicesOf ServicesFunc) []capacity.Demand {
 	demands := map[string]*capacity.Demand{}
 	work := map[string]map[int64]float64{}
 	for _, state := range s.steps {
@@ -21,7 +21,7 @@
 			if task.State != Waiting && task.State != Running {
 				continue
 			}
-			services, ok := serviceOf(task)
+			services, ok := servicesOf(task)
 			if !ok || len(services) == 0 {
 				continue
 			}
@@ -34,14 +34,14 @@
 			} else {
 				demands[name].Waiting++
 			}
-			due := (task.Step.DueAt - now) / demandGrain * demandGrain
-			work[name][due] += task.remaining(task.seen()) * s.paceOrDefault()
+			due := (task.Step.DueAt - now) / dueGranularityMillis * dueGranularityMillis
+			work[name][due] += task.remainingEvents(task.eventsSoFar()) * s.paceOrDefault()
 		}
 	}
-	paced := s.middlePace > 0
+	paceKnown := s.medianPace > 0
 	list := make([]capacity.Demand, 0, len(demands))
 	for name, demand := range demands {
-		if !paced && demand.Running > 0 {
+		if !paceKnown && demand.Running > 0 {
 			work[name] = nil
 		}
 		for due, millis := range work[name] {
--- a/scheduler/kept.go
+++ b/scheduler/kept.go
@@ -4,20 +4,20 @@
 	"github.com/dillchute/dillchute/ledger"
 )
 
-// keptSteps is how many later steps of a model a text is kept for.
-const keptSteps = 2
+// keptTextSteps is the number of later steps of a model for which a text is kept.
+const keptTextSteps = 2
 
-// keptText is what a sample had produced when its step ended.
+// keptText is the text of a sample when its step ended.
 type keptText struct {
-	text   Text
-	number int
+	text       Text
+	stepNumber int
 }
 
-// keptTexts holds texts of samples that may come again in a later step, and the
-// groups that earlier steps had.
+// keptTexts holds the texts of samples that a later step may resubmit, and the groups of earlier
+// steps.
 type keptTexts struct {
 	texts map[string]map[string]keptText
-	// groups holds, for each model, the number of the last step with the group.
+	// groups holds, for each model, the number of the latest step with the group.
 	groups map[string]map[string]int
 }
 
@@ -25,8 +25,8 @@
 	return &keptTexts{texts: map[string]map[string]keptText{}, groups: map[string]map[string]int{}}
 }
 
-// keep remembers a text, unless one under newer versions, or a longer one under
-// the same, is there already.
+// keep stores the text, unless the stored one has newer versions or is longer under the same
+// versions.
 func (k *keptTexts) keep(step *ledger.Step, sample *ledger.Sample, text Text) {
 	if text.Last == 0 {
 		return
@@ -36,56 +36,57 @@
 		texts = map[string]keptText{}
 		k.texts[step.Model] = texts
 	}
-	if known, ok := texts[sample.ID]; ok && (known.text.oldest() > text.oldest() ||
-		known.text.oldest() == text.oldest() && known.text.Last > text.Last) {
+	if earlier, ok := texts[sample.ID]; ok && (earlier.text.oldest() > text.oldest() ||
+		earlier.text.oldest() == text.oldest() && earlier.text.Last > text.Last) {
 		return
 	}
-	texts[sample.ID] = keptText{text: text, number: step.Number}
+	texts[sample.ID] = keptText{text: text, stepNumber: step.Number}
 }
 
-// take returns the text of a sample if all its versions are allowed by the step.
-func (k *keptTexts) take(step *ledger.Step, sample *ledger.Sample) (Text, bool) {
-	known, ok := k.texts[step.Model][sample.ID]
-	if !ok || !fits(known.text, step) {
+// usableText returns the sample's text if the step allows all its versions.
+func (k *keptTexts) usableText(step *ledger.Step, sample *ledger.Sample) (Text, bool) {
+	earlier, ok := k.texts[step.Model][sample.ID]
+	if !ok || !versionsAllowed(earlier.text, step) {
 		return Text{}, false
 	}
-	return known.text, true
+	return earlier.text, true
 }
 
-// length returns how many events a sample's text had in an earlier step, and
-// whether that was all of it; 0 if nothing is known.
-func (k *keptTexts) length(step *ledger.Step, sample *ledger.Sample) (events uint64, whole bool) {
-	known := k.texts[step.Model][sample.ID].text
-	return known.Last, known.Complete
+// knownLength returns how many events the sample's text had in an earlier step and whether it was
+// complete.
+func (k *keptTexts) knownLength(step *ledger.Step, sample *ledger.Sample) (events uint64, complete bool) {
+	earlier := k.texts[step.Model][sample.ID].text
+	return earlier.Last, earlier.Complete
 }
 
-// comingAgain returns the step's groups that an earlier step had, with the number
-// of the last one. The trainer waits for such groups whichever others are whole.
-func (k *keptTexts) comingAgain(step *ledger.Step) map[string]int {
-	again := map[string]int{}
+// resubmittedGroups returns the step's groups that an earlier step also had, with the number of the
+// latest such step. The trainer always waits for these groups.
+func (k *keptTexts) resubmittedGroups(step *ledger.Step) map[string]int {
+	groups := map[string]int{}
 	for position := range step.Samples {
 		group := step.Samples[position].Group
-		if number, ok := k.groups[step.Model][group]; ok && number < step.Number {
-			again[group] = number
+		if stepNumber, ok := k.groups[step.Model][group]; ok && stepNumber < step.Number {
+			groups[group] = stepNumber
 		}
 	}
-	return again
+	return groups
 }
 
-// note takes in a step's groups, and forgets what is too old to come again.
-func (k *keptTexts) note(step *ledger.Step) {
+// recordGroups records the step's groups and drops groups and texts that are too old to be
+// resubmitted.
+func (k *keptTexts) recordGroups(step *ledger.Step) {
 	groups := k.groups[step.Model]
 	if groups == nil {
 		groups = map[string]int{}
 		k.groups[step.Model] = groups
 	}
-	for group, number := range groups {
-		if number+keptSteps < step.Number {
+	for group, stepNumber := range groups {
+		if stepNumber+keptTextSteps < step.Number {
 			delete(groups, group)
 		}
 	}
-	for id, known := range k.texts[step.Model] {
-		if known.number+keptSteps < step.Number {
+	for id, kept := range k.texts[step.Model] {
+		if kept.stepNumber+keptTextSteps < step.Number {
 			delete(k.texts[step.Model], id)
 		}
 	}
--- a/scheduler/kind_test.go
+++ b/scheduler/kind_test.go
@@ -19,7 +19,7 @@
 	}
 	s.AddStep(step)
 	suspected := true
-	serviceOf := func(task *Task) ([]string, bool) {
+	servicesOf := func(task *Task) ([]string, bool) {
 		task.KindSuspected = suspected && task.Sample.Path == "/deadly"
 		return []string{"engines"}, true
 	}
@@ -33,14 +33,14 @@
 		}
 		return deadly, others
 	}
-	deadly, others := split(s.Assign(0, serviceOf))
+	deadly, others := split(s.Assign(0, servicesOf))
 	require.Len(t, deadly, 1)
 	require.Len(t, others, 4)
-	require.Empty(t, s.Assign(1, serviceOf))
+	require.Empty(t, s.Assign(1, servicesOf))
 	s.RunEnded(2, deadly[0].Task, deadly[0].Run, Crashed)
-	deadly, _ = split(s.Assign(3, serviceOf))
+	deadly, _ = split(s.Assign(3, servicesOf))
 	require.Len(t, deadly, 1)
 	suspected = false
-	deadly, _ = split(s.Assign(4, serviceOf))
+	deadly, _ = split(s.Assign(4, servicesOf))
 	require.Len(t, deadly, 3)
 }
--- a/scheduler/pace.go
+++ b/scheduler/pace.go
@@ -6,31 +6,30 @@
 )
 
 const (
-	// usualRatio is how much slower than the middle one an engine may be to count
-	// as usual.
-	usualRatio = 1.4
-	// minObserveMillis is the time of runs that must be observed to tell an
-	// engine's pace, and how long a run must last before it is moved.
-	minObserveMillis = 300
-	// maxMoves bounds how often a sample is moved for its engine's pace.
+	// maxNormalSlowdown is the slowdown relative to the median engine up to which an engine counts
+	// as normal.
+	maxNormalSlowdown = 1.4
+	// minObservationMillis is the run time that must be observed to determine an engine's pace, and
+	// the minimum duration of a run before it is moved.
+	minObservationMillis = 300
+	// maxMoves is how often a sample may be moved.
 	maxMoves = 3
-	// paceMemory is the weight of what was observed before, at each update.
-	paceMemory = 0.7
-	// fastDivisor tells the pace of a fast engine: that part of all are as fast.
-	fastDivisor = 8
+	// paceDecay is the weight of earlier observations at each update.
+	paceDecay = 0.7
+	// fastPaceDivisor defines fastPace: one in fastPaceDivisor engines is at least that fast.
+	fastPaceDivisor = 8
 )
 
-// paceWindow is the time of an engine's runs and the events they have had in it,
-// of which the newest weigh the most.
+// paceWindow holds run time and the number of events in that time, weighted towards the newest.
 type paceWindow struct {
 	millis, events float64
 }
 
-// Observe takes in how many events a running task has had since its run began.
-// The time in which its engine loads weights tells nothing of the pace.
+// ObserveRun records how many events the task's current run has had so far. Time in which the
+// engine loads weights is not counted.
 func (s *Scheduler) ObserveRun(now int64, task *Task, events int) {
-	known := s.engines[task.Engine]
-	if task.State != Running || known == nil {
+	e := s.engines[task.Engine]
+	if task.State != Running || e == nil {
 		return
 	}
 	since, before := task.observedAt, task.observedEvents
@@ -41,179 +40,173 @@
 	if s.IsLoading(task.Engine, task.Step.Model) {
 		return
 	}
-	known.observed.millis += float64(now - since)
-	known.observed.events += float64(events - before)
+	e.observed.millis += float64(now - since)
+	e.observed.events += float64(events - before)
 }
 
-// UpdatePaces makes the engines' paces out of what was observed since the last call.
+// UpdatePaces computes the engines' paces from the observations since the last call.
 func (s *Scheduler) UpdatePaces() {
-	for _, known := range s.engines {
-		if known.observed.millis == 0 {
+	for _, e := range s.engines {
+		if e.observed.millis == 0 {
 			continue
 		}
-		known.recent.millis = paceMemory*known.recent.millis + known.observed.millis
-		known.recent.events = paceMemory*known.recent.events + known.observed.events
-		known.observed = paceWindow{}
-		if known.recent.millis >= minObserveMillis {
-			known.pace = known.recent.millis / max(known.recent.events, 1)
+		e.recent.millis = paceDecay*e.recent.millis + e.observed.millis
+		e.recent.events = paceDecay*e.recent.events + e.observed.events
+		e.observed = paceWindow{}
+		if e.recent.millis >= minObservationMillis {
+			e.pace = e.recent.millis / max(e.recent.events, 1)
 		}
 	}
-	s.updatePaces()
+	s.updateReferencePaces()
 }
 
-// Paces returns the paces that are known, in milliseconds between events, by the
-// engines' IDs.
+// Paces returns the known paces, in milliseconds between events, by engine ID.
 func (s *Scheduler) Paces() map[string]float64 {
 	paces := map[string]float64{}
-	for id, known := range s.engines {
-		if known.pace > 0 {
-			paces[id] = known.pace
+	for id, e := range s.engines {
+		if e.pace > 0 {
+			paces[id] = e.pace
 		}
 	}
 	return paces
 }
 
-// TakePaces takes in the paces that an earlier leader has observed. They hold
-// until the engines' runs show others.
+// RestorePaces sets the initial paces of engines to those that an earlier leader observed.
 func (s *Scheduler) RestorePaces(paces map[string]float64) {
-	s.earlierPaces = paces
+	s.restoredPaces = paces
 }
 
-// updatePaces finds the pace of the middle engine and that of a fast one.
-func (s *Scheduler) updatePaces() {
+// updateReferencePaces computes the median pace and the pace of a fast engine.
+func (s *Scheduler) updateReferencePaces() {
 	paces := s.sortedPaces()
-	s.middlePace, s.fastPace = 0, 0
+	s.medianPace, s.fastPace = 0, 0
 	if len(paces) > 0 {
-		s.middlePace = paces[(len(paces)-1)/2]
-		s.fastPace = paces[(len(paces)-1)/fastDivisor]
+		s.medianPace = paces[(len(paces)-1)/2]
+		s.fastPace = paces[(len(paces)-1)/fastPaceDivisor]
 	}
 }
 
 func (s *Scheduler) sortedPaces() []float64 {
 	var paces []float64
-	for _, known := range s.engines {
-		if known.pace > 0 {
-			paces = append(paces, known.pace)
+	for _, e := range s.engines {
+		if e.pace > 0 {
+			paces = append(paces, e.pace)
 		}
 	}
 	slices.Sort(paces)
 	return paces
 }
 
-// ratio returns how much slower than the middle one the engine is.
-func (s *Scheduler) ratio(known *engine) float64 {
-	if known.pace == 0 || s.middlePace == 0 {
+// slowdown returns the engine's pace relative to the median.
+func (s *Scheduler) slowdown(e *engine) float64 {
+	if e.pace == 0 || s.medianPace == 0 {
 		return 1
 	}
-	return known.pace / s.middlePace
+	return e.pace / s.medianPace
 }
 
 const (
-	// leavingMillis is how much longer samples may take on an engine that leaves to
-	// be left there, and leavingCost what is added for the others: their runs will
-	// be cut.
-	leavingMillis = 1000
-	leavingCost   = 3000
+	// drainingGraceMillis is the expected remaining time up to which a sample stays on a draining
+	// engine. drainingCostMillis is added to longer ones, since their runs will be cut off.
+	drainingGraceMillis = 1000
+	drainingCostMillis  = 3000
 )
 
-// expectedMillis returns how long the task is expected to take still on the
-// engine after the given event.
-func (s *Scheduler) expectedMillis(known *engine, task *Task, after uint64) float64 {
-	expected := task.remaining(after) * s.ratio(known) * s.middlePace
-	if known.backend.Draining && expected > leavingMillis {
-		expected += leavingCost
+// expectedMillis returns the task's expected remaining time on the engine after the given event.
+func (s *Scheduler) expectedMillis(e *engine, task *Task, after uint64) float64 {
+	expected := task.remainingEvents(after) * s.slowdown(e) * s.medianPace
+	if e.backend.Draining && expected > drainingGraceMillis {
+		expected += drainingCostMillis
 	}
 	return expected
 }
 
 const (
-	// moveMillis is what a move costs a sample: another engine must read what there
-	// is of it.
-	moveMillis = 150
-	// minGainMillis is what a move must gain beyond that.
-	minGainMillis = 300
+	// moveCostMillis is the time a move costs, as the other engine must process the text so far.
+	moveCostMillis = 150
+	// minMoveGainMillis is the minimum time that a move must save beyond its cost.
+	minMoveGainMillis = 300
 )
 
-// Move is a task that is to go on on another engine.
+// Move is a task that should continue on another engine.
 type Move struct {
 	Task *Task
-	// From is its engine and To the best other one now; FromPace and ToPace are their
-	// times between events in milliseconds, 0 if unknown.
+	// From is the task's engine and To currently the best other one. FromPace and ToPace are their
+	// times between events in milliseconds, or 0 if unknown.
 	From, To         string
 	FromPace, ToPace float64
-	// Expected is the number of events that are expected to come.
-	ExpectedEvents float64
+	ExpectedEvents   float64
 }
 
-// wantedMove is a task that could gain by a move, with the time that it is
-// expected to take where it runs.
-type wantedMove struct {
+// moveCandidate is a task that could gain from a move, with its expected remaining time on its
+// engine.
+type moveCandidate struct {
 	task   *Task
 	millis float64
 }
 
-// Move returns tasks that would be done much earlier on another engine that has
-// room, since theirs is slow or leaves. The caller ends their runs; they go on
-// elsewhere after what they have.
-func (s *Scheduler) ChooseMoves(now int64, serviceOf ServicesFunc) []Move {
-	taken := map[*engine]int{}
+// ChooseMoves returns tasks that would finish much earlier on another engine with a free slot,
+// because their engine is slow or draining. The caller ends their runs; the tasks then continue
+// elsewhere.
+func (s *Scheduler) ChooseMoves(now int64, servicesOf ServicesFunc) []Move {
+	reserved := map[*engine]int{}
 	var moves []Move
-	for _, wanted := range s.wantedMoves(now) {
-		task := wanted.task
-		to := s.betterEngine(now, task, serviceOf, taken)
+	for _, candidate := range s.moveCandidates(now) {
+		task := candidate.task
+		to := s.fasterEngine(now, task, servicesOf, reserved)
 		if to == nil {
 			continue
 		}
-		taken[to]++
+		reserved[to]++
 		task.moves++
 		task.moving = true
 		moves = append(moves, Move{
 			Task: task, From: task.Engine, To: to.backend.ID, FromPace: s.engines[task.Engine].pace, ToPace: to.pace,
-			ExpectedEvents: task.remaining(task.seen()),
+			ExpectedEvents: task.remainingEvents(task.eventsSoFar()),
 		})
 	}
 	return moves
 }
 
-// wantedMoves returns the tasks that could gain by a move, the longest first.
-func (s *Scheduler) wantedMoves(now int64) []wantedMove {
-	var wanted []wantedMove
-	for _, known := range s.order {
-		for task := range known.running {
-			if task.ahead || task.moves >= maxMoves || task.moving || now-task.startedAt < minObserveMillis {
+// moveCandidates returns the tasks that could gain from a move, the longest first.
+func (s *Scheduler) moveCandidates(now int64) []moveCandidate {
+	var candidates []moveCandidate
+	for _, e := range s.sortedEngines {
+		for task := range e.running {
+			if task.speculative || task.moves >= maxMoves || task.moving || now-task.startedAt < minObservationMillis {
 				continue
 			}
-			after := task.seen()
-			expected := s.expectedMillis(known, task, after)
-			gain := expected - task.remaining(after)*s.middlePace
-			if gain >= moveMillis+minGainMillis {
-				wanted = append(wanted, wantedMove{task: task, millis: expected})
+			after := task.eventsSoFar()
+			expected := s.expectedMillis(e, task, after)
+			gain := expected - task.remainingEvents(after)*s.medianPace
+			if gain >= moveCostMillis+minMoveGainMillis {
+				candidates = append(candidates, moveCandidate{task: task, millis: expected})
 			}
 		}
 	}
-	slices.SortStableFunc(wanted, func(a, b wantedMove) int {
+	slices.SortStableFunc(candidates, func(a, b moveCandidate) int {
 		return cmp.Or(cmp.Compare(b.millis, a.millis), cmp.Compare(a.task.Sample.ID, b.task.Sample.ID))
 	})
-	return wanted
+	return candidates
 }
 
-// betterEngine returns the engine on which the task would be done the earliest,
-// if that is much earlier than where it runs.
-func (s *Scheduler) betterEngine(now int64, task *Task, serviceOf ServicesFunc, taken map[*engine]int) *engine {
-	services, ok := serviceOf(task)
+// fasterEngine returns the engine on which the task would finish earliest, or nil if none is fast
+// enough to justify a move.
+func (s *Scheduler) fasterEngine(now int64, task *Task, servicesOf ServicesFunc, reserved map[*engine]int) *engine {
+	services, ok := servicesOf(task)
 	if !ok {
 		return nil
 	}
-	after := task.seen()
-	least := s.expectedMillis(s.engines[task.Engine], task, after) - moveMillis - minGainMillis
+	after := task.eventsSoFar()
+	earliest := s.expectedMillis(s.engines[task.Engine], task, after) - moveCostMillis - minMoveGainMillis
 	var best *engine
-	for _, known := range s.order {
-		if known.backend.ID == task.Engine || known.backend.Silent || len(known.running)+taken[known] >= known.backend.Slots ||
-			!s.mayRun(now, known, task, services) {
+	for _, e := range s.sortedEngines {
+		if e.backend.ID == task.Engine || e.backend.Silent || len(e.running)+reserved[e] >= e.backend.Slots ||
+			!s.canRun(now, e, task, services) {
 			continue
 		}
-		if expected := s.expectedMillis(known, task, after); expected < least {
-			best, least = known, expected
+		if expected := s.expectedMillis(e, task, after); expected < earliest {
+			best, earliest = e, expected
 		}
 	}
 	return best
--- a/scheduler/pace_test.go
+++ b/scheduler/pace_test.go
@@ -21,7 +21,7 @@
 // moved returns the tasks that are to move.
 func moved(s *Scheduler) []*Task {
 	var tasks []*Task
-	for _, move := range s.ChooseMoves(minObserveMillis, anywhere) {
+	for _, move := range s.ChooseMoves(minObservationMillis, anywhere) {
 		tasks = append(tasks, move.Task)
 	}
 	return tasks
@@ -33,18 +33,18 @@
 	s := New()
 	s.SyncEngines(0, engines(3, 2, "m"), nil)
 	s.engines["e00"].pace, s.engines["e01"].pace, s.engines["e02"].pace = 60, 40, 40
-	s.middlePace = 40
+	s.medianPace = 40
 	long := running(s, "long", "e00", 100)
 	running(s, "short", "e00", 10)
 	require.Equal(t, []*Task{long}, moved(s))
-	require.Empty(t, s.ChooseMoves(minObserveMillis, anywhere), "a move is asked for once")
+	require.Empty(t, s.ChooseMoves(minObservationMillis, anywhere), "a move is asked for once")
 
 	other := running(s, "other", "e00", 100)
 	for _, full := range []string{"e01", "e02"} {
 		running(s, "a", full, 10)
 		running(s, "b", full, 10)
 	}
-	require.Empty(t, s.ChooseMoves(minObserveMillis, anywhere))
+	require.Empty(t, s.ChooseMoves(minObservationMillis, anywhere))
 	require.False(t, other.moving)
 }
 
@@ -80,7 +80,7 @@
 	s := New()
 	s.SyncEngines(0, engines(2, 8, "m"), nil)
 	fast, slow := s.engines["e00"], s.engines["e01"]
-	fast.pace, slow.pace, s.middlePace = 36, 47, 36
+	fast.pace, slow.pace, s.medianPace = 36, 47, 36
 	for _, id := range []string{"a", "b", "c"} {
 		running(s, id, "e00", 10)
 	}
@@ -100,10 +100,10 @@
 	s := New()
 	backends := engines(2, 4, "m")
 	s.SyncEngines(0, backends, nil)
-	s.engines["e00"].pace, s.engines["e01"].pace, s.middlePace = 40, 40, 40
+	s.engines["e00"].pace, s.engines["e01"].pace, s.medianPace = 40, 40, 40
 	long := running(s, "long", "e00", 100)
 	running(s, "short", "e00", 10)
-	require.Empty(t, s.ChooseMoves(minObserveMillis, anywhere))
+	require.Empty(t, s.ChooseMoves(minObservationMillis, anywhere))
 	backends[0].Draining = true
 	s.SyncEngines(0, backends, nil)
 	require.Equal(t, []*Task{long}, moved(s))
@@ -118,7 +118,7 @@
 	s.RestorePaces(earlier.Paces())
 	s.SyncEngines(0, engines(3, 4, "m"), nil)
 	require.InDelta(t, 60, s.engines["e00"].pace, 0)
-	require.InDelta(t, 40, s.middlePace, 0)
+	require.InDelta(t, 40, s.medianPace, 0)
 	require.Zero(t, s.engines["e02"].pace)
 	task := running(s, "x", "e00", 100)
 	s.ObserveRun(400, task, 20)
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -7,61 +7,62 @@
 	"github.com/dillchute/dillchute/directory"
 )
 
-// Assignment is a task to be run on an engine.
+// Assignment starts a run of a task on an engine.
 type Assignment struct {
 	Task    *Task
 	Backend directory.Backend
 	Run     uint64
-	// Expected is the number of events that are expected to come, and Pace the
-	// engine's time between events in milliseconds, 0 if unknown.
+	// ExpectedEvents is the number of events that are expected to come. Pace is the engine's time
+	// between events in milliseconds, or 0 if unknown.
 	ExpectedEvents, Pace float64
-	// Spare is how much later the run could have begun, in milliseconds, for its step
-	// to be whole when due, by which waiting tasks are ordered; negative if it is late.
+	// SlackMillis is the time left until the task's latest start; it is negative if the task is
+	// late.
 	SlackMillis int64
 }
 
-// ServiceOf tells the services that may run a sample, and whether a route leads there.
+// ServicesFunc returns the services that may run the task. It returns false if the task must not
+// run now.
 type ServicesFunc func(task *Task) (services []string, ok bool)
 
-// Assign starts as many waiting tasks as there is room for, the most urgent first.
-func (s *Scheduler) Assign(now int64, serviceOf ServicesFunc) []Assignment {
-	s.noteWaiting()
-	room := s.room(now)
-	if room == 0 {
-		s.noteScarcity(true)
+// Assign starts as many waiting tasks as there are free slots, the most urgent first.
+func (s *Scheduler) Assign(now int64, servicesOf ServicesFunc) []Assignment {
+	s.updateWaitingModels()
+	freeSlots := s.countFreeSlots(now)
+	if freeSlots == 0 {
+		s.updateChosenWaiting(true)
 		return nil
 	}
-	s.planGroups(now, room)
+	s.planGroups(now, freeSlots)
 	s.waiting.sort(s.paceOrDefault())
-	pass := assigning{
-		scheduler: s, now: now, room: room, serviceOf: serviceOf, unplaced: map[demand]bool{},
-		inTimeOnly: len(s.waiting.tasks) > room,
+	pass := assignPass{
+		scheduler: s, now: now, freeSlots: freeSlots, servicesOf: servicesOf, unplaceable: map[requirements]bool{},
+		inTimeOnly: len(s.waiting.tasks) > freeSlots,
 	}
 	s.waiting.take(pass.offer)
-	if pass.held {
+	if pass.skippedLate {
 		pass.inTimeOnly = false
 		s.waiting.take(pass.offer)
 	}
-	s.noteScarcity(len(pass.assignments) == room)
+	s.updateChosenWaiting(len(pass.assignments) == freeSlots)
 	return pass.assignments
 }
 
-// noteScarcity finds out whether tasks of chosen groups wait since the engines are full.
-func (s *Scheduler) noteScarcity(full bool) {
-	s.plan.chosenWait = full && slices.ContainsFunc(s.waiting.tasks, func(task *Task) bool {
+// updateChosenWaiting records whether tasks of chosen groups wait because all slots are taken.
+func (s *Scheduler) updateChosenWaiting(full bool) {
+	s.plan.chosenWaiting = full && slices.ContainsFunc(s.waiting.tasks, func(task *Task) bool {
 		return task.State == Waiting && task.rank == rankChosen
 	})
 }
 
-// triesKind tells whether the task's kind is suspected and a sample of it runs already: they run
-// one at a time, so that each knows what the one before has done, until one of them is whole.
-func (s *Scheduler) triesKind(task *Task) bool {
+// runsSuspectedKind reports whether the task's kind is suspected and another sample of it is
+// running. Samples of a suspected kind run one at a time until one of them completes.
+func (s *Scheduler) runsSuspectedKind(task *Task) bool {
 	if !task.KindSuspected {
 		return false
 	}
 	kind := task.Subject().Kind
-	for _, known := range s.engines {
-		for other := range known.running {
+	for _, e := range s.engines {
+		for other := range e.running {
 			if other.KindSuspected && other.Subject().Kind == kind {
 				return true
 			}
@@ -70,31 +71,31 @@
 	return false
 }
 
-// room returns the number of slots in which runs could begin, and notes the engines that have them.
-func (s *Scheduler) room(now int64) int {
-	room := 0
-	s.free = s.free[:0]
-	for _, known := range s.order {
-		if !known.backend.Draining && now >= known.avoidedUntil && known.freeSlots() > 0 {
-			room += known.freeSlots()
-			s.free = append(s.free, known)
+// countFreeSlots returns the number of free slots on available engines and updates freeEngines.
+func (s *Scheduler) countFreeSlots(now int64) int {
+	slots := 0
+	s.freeEngines = s.freeEngines[:0]
+	for _, e := range s.sortedEngines {
+		if !e.backend.Draining && now >= e.avoidedUntil && e.freeSlots() > 0 {
+			slots += e.freeSlots()
+			s.freeEngines = append(s.freeEngines, e)
 		}
 	}
-	return room
+	return slots
 }
 
-// freeSlots returns the number of further runs that the engine has room for.
+// freeSlots returns the number of further runs that the engine can take.
 func (e *engine) freeSlots() int { return max(e.backend.Slots, 1) - len(e.running) }
 
-// assignment returns the task's current run with what it was decided by.
-func (s *Scheduler) assignment(task *Task, backend directory.Backend) Assignment {
+// newAssignment returns the assignment of the task's current run to the engine.
+func (s *Scheduler) newAssignment(task *Task, backend directory.Backend) Assignment {
 	return Assignment{
 		Task: task, Backend: backend, Run: task.Run,
-		ExpectedEvents: task.remaining(task.Text.Last), Pace: s.engines[backend.ID].pace,
+		ExpectedEvents: task.remainingEvents(task.Text.Last), Pace: s.engines[backend.ID].pace,
 	}
 }
 
-func (s *Scheduler) stepsInOrder() []*stepState {
+func (s *Scheduler) stepsByUrgency() []*stepState {
 	states := make([]*stepState, 0, len(s.steps))
 	for _, state := range s.steps {
 		states = append(states, state)
@@ -114,131 +115,131 @@
 	return states
 }
 
-// demand is what decides whether an engine may run a task. Where there is none for one
-// task there is none for others with the same demand, until room is made.
-type demand struct {
+// requirements determines which engines may run a task. If none can run one task, none can run
+// others with the same requirements until a slot becomes free.
+type requirements struct {
 	services string
 	model    string
-	// oldest is the oldest version that will do, and only the one that must be held
-	// where a text has begun that allows one alone, or 0.
-	oldest, only uint64
+	// oldestVersion is the oldest version allowed. requiredVersion is the only version allowed if a
+	// single-version text has already begun, or 0.
+	oldestVersion, requiredVersion uint64
 }
 
-func demandOf(task *Task, services []string) demand {
-	wanted := demand{services: strings.Join(services, " "), model: task.Step.Model, oldest: task.Step.OldestVersion}
+func requirementsOf(task *Task, services []string) requirements {
+	required := requirements{services: strings.Join(services, " "), model: task.Step.Model, oldestVersion: task.Step.OldestVersion}
 	if task.Step.SingleVersion && len(task.Text.Versions) > 0 {
-		wanted.only = task.Text.Versions[0]
+		required.requiredVersion = task.Text.Versions[0]
 	}
-	return wanted
+	return required
 }
 
-// placing is what became of the search for an engine.
-type placing uint8
+// placement is the result of the search for an engine.
+type placement uint8
 
 const (
-	// noEngine may run the task now.
-	noEngine placing = iota
-	// onlyLate engines may, on which it would be late.
-	onlyLate
-	// placed on an engine.
+	// noEngine: no engine can run the task now.
+	noEngine placement = iota
+	// lateOnly: only engines on which the task would be late can run it.
+	lateOnly
+	// placed: the task was placed on an engine.
 	placed
 )
 
-// place chooses an engine for the task and counts it there. With inTimeOnly it passes over engines
+// place chooses an engine for the task and starts a run on it. With inTimeOnly it skips engines
 // that are too slow for the task to be in time.
-func (s *Scheduler) place(now int64, task *Task, services []string, inTimeOnly bool) (directory.Backend, placing) {
-	found := noEngine
-	var least, mate *engine
-	leastCost, mateCost := 0.0, 0.0
-	rivals := s.rivals(task)
-	for _, known := range s.free {
-		if !s.mayRun(now, known, task, services) {
+func (s *Scheduler) place(now int64, task *Task, services []string, inTimeOnly bool) (directory.Backend, placement) {
+	result := noEngine
+	var cheapest, groupEngine *engine
+	cheapestCost, groupCost := 0.0, 0.0
+	competing := s.competingModels(task)
+	for _, e := range s.freeEngines {
+		if !s.canRun(now, e, task, services) {
 			continue
 		}
-		if inTimeOnly && s.isLateOn(now, known, task) {
-			found = onlyLate
+		if inTimeOnly && s.isLateOn(now, e, task) {
+			result = lateOnly
 			continue
 		}
-		cost := s.placeCost(known, task, rivals)
-		if least == nil || cost < leastCost {
-			least, leastCost = known, cost
+		cost := s.placeCost(e, task, competing)
+		if cheapest == nil || cost < cheapestCost {
+			cheapest, cheapestCost = e, cost
 		}
-		if known.runsGroup(task) && (mate == nil || cost < mateCost) {
-			mate, mateCost = known, cost
+		if e.runsGroup(task) && (groupEngine == nil || cost < groupCost) {
+			groupEngine, groupCost = e, cost
 		}
 	}
-	if least == nil {
-		return directory.Backend{}, found
+	if cheapest == nil {
+		return directory.Backend{}, result
 	}
-	if mate != nil && mateCost <= leastCost+groupSlack {
-		least = mate
+	if groupEngine != nil && groupCost <= cheapestCost+maxAffinityCost {
+		cheapest = groupEngine
 	}
-	s.occupy(now, least, task)
-	return least.backend, placed
+	s.startRun(now, cheapest, task)
+	return cheapest.backend, placed
 }
 
-// occupy counts the task on the engine.
-func (s *Scheduler) occupy(now int64, known *engine, task *Task) {
-	known.running[task] = true
-	task.State, task.Engine = Running, known.backend.ID
-	task.startedAt, task.from, task.moving = now, task.Text.Last, false
+// startRun takes a slot of the engine for the task and resets the state of its run.
+func (s *Scheduler) startRun(now int64, e *engine, task *Task) {
+	e.running[task] = true
+	task.State, task.Engine = Running, e.backend.ID
+	task.startedAt, task.startedAfter, task.moving = now, task.Text.Last, false
 	task.observedAt, task.observedEvents = 0, 0
 }
 
 const (
-	// failedCost is added for the engine that has just failed the task, and
-	// silentCost for one that sends no heartbeats.
+	// failedCost is added for the engine that last failed the task, and silentCost for one that
+	// sends no heartbeats.
 	failedCost = 1000
 	silentCost = 100
-	// contentionCost is added for each other model with waiting samples that
-	// the engine could serve as well: what can run elsewhere leaves it to them.
+	// contentionCost is added for each other model with waiting samples that the engine could
+	// serve, so that samples prefer engines which the other models cannot use.
 	contentionCost = 1.5
-	// slowCost is added for each time that an engine is slower than the middle
-	// one, beyond what is usual: how many samples run there matters far less.
+	// slowCost is multiplied by the engine's slowdown beyond maxNormalSlowdown. It far outweighs
+	// the number of runs.
 	slowCost = 20
-	// runMillis is how much longer than on the engine of middle pace a sample may
-	// take, in milliseconds, to weigh as much as one more run on the engine: long
-	// samples go to the fastest engines, and short ones to the emptiest.
-	runMillis = 50
+	// millisPerRun is the extra time compared to an engine of median pace that costs as much as one
+	// more run on the engine. Long samples thus prefer fast engines and short ones prefer idle
+	// engines.
+	millisPerRun = 50
 )
 
-// rivals returns the other models with samples that wait.
-func (s *Scheduler) rivals(task *Task) []*modelState {
-	var rivals []*modelState
+// competingModels returns the other models with waiting samples.
+func (s *Scheduler) competingModels(task *Task) []*modelState {
+	var models []*modelState
 	for name, model := range s.models {
-		if name != task.Step.Model && model.waiting {
-			rivals = append(rivals, model)
+		if name != task.Step.Model && model.hasWaiting {
+			models = append(models, model)
 		}
 	}
-	return rivals
+	return models
 }
 
-// placeCost rates an engine that may run the task, beside the rivals; the lowest is chosen.
-func (s *Scheduler) placeCost(known *engine, task *Task, rivals []*modelState) float64 {
-	cost := float64(len(known.running)) + slowCost*max(s.ratio(known)-usualRatio, 0)
-	cost += task.remaining(task.Text.Last) * (s.ratio(known) - 1) * s.middlePace / runMillis
-	if task.Attempts > 0 && known.backend.ID == task.Engine {
+// placeCost returns the cost of running the task on the engine; the cheapest engine is chosen.
+func (s *Scheduler) placeCost(e *engine, task *Task, competing []*modelState) float64 {
+	cost := float64(len(e.running)) + slowCost*max(s.slowdown(e)-maxNormalSlowdown, 0)
+	cost += task.remainingEvents(task.Text.Last) * (s.slowdown(e) - 1) * s.medianPace / millisPerRun
+	if task.Attempts > 0 && e.backend.ID == task.Engine {
 		cost += failedCost
 	}
-	if known.backend.Silent {
+	if e.backend.Silent {
 		cost += silentCost
 	}
-	for _, model := range rivals {
-		if known.versions[model.name]+model.lag >= model.newest {
+	for _, model := range competing {
+		if e.versions[model.name]+model.allowedLag >= model.newest {
 			cost += contentionCost
 		}
 	}
 	return cost
 }
 
-// noteWaiting finds out which models have samples that wait.
-func (s *Scheduler) noteWaiting() {
+// updateWaitingModels records which models have waiting samples.
+func (s *Scheduler) updateWaitingModels() {
 	for _, model := range s.models {
-		model.waiting = false
+		model.hasWaiting = false
 	}
 	for _, task := range s.waiting.tasks {
 		if task.State == Waiting {
-			s.model(task.Step.Model).waiting = true
+			s.model(task.Step.Model).hasWaiting = true
 		}
 	}
 }
@@ -252,18 +253,18 @@
 	return false
 }
 
-func (s *Scheduler) mayRun(now int64, known *engine, task *Task, services []string) bool {
+func (s *Scheduler) canRun(now int64, e *engine, task *Task, services []string) bool {
 	switch {
-	case known.freeSlots() <= 0:
+	case e.freeSlots() <= 0:
 		return false
-	case known.backend.Draining || now < known.avoidedUntil:
+	case e.backend.Draining || now < e.avoidedUntil:
 		return false
-	case !slices.Contains(services, known.backend.Service):
+	case !slices.Contains(services, e.backend.Service):
 		return false
-	case known.loads(task.Step.Model):
+	case e.isLoading(task.Step.Model):
 		return false
 	}
-	version := known.versions[task.Step.Model]
+	version := e.versions[task.Step.Model]
 	if version < task.Step.OldestVersion {
 		return false
 	}
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -11,50 +11,49 @@
 	"github.com/dillchute/dillchute/ledger"
 )
 
-// Where the open steps ask for more than the engines can do by the due times, the order of the
-// latest starts has all groups finish at once, and late. So a plan chooses groups that can be
-// whole in time together, and only the others wait behind them. It is made of the same samples
-// and the same expected work, so that it chooses all groups, and changes nothing, while all fit.
+// If the open steps need more work than the engines can do by the due times, ordering by latest
+// start alone makes all groups complete at about the same time, and late. The plan therefore
+// chooses groups that can complete in time together, and the others wait behind them. While all
+// groups fit, all are chosen and the order does not change.
 
 const (
-	// planMillis is the least time between two plans.
-	planMillis = 100
-	// lateMillis is how long after the due time of its step a group still counts as in time.
-	lateMillis = 500
-	// afterDueMillis is how long after the due time of its step a late group should be whole: its
-	// trainer waits for it, and asks for no further step meanwhile.
-	afterDueMillis = 4000
-	// possibleShare is the part of its longest sample's expected time that must be left for a group
-	// to count as possible: samples may be shorter than predicted, and a group that counts as late
-	// waits.
-	possibleShare = 0.3
-	// plannedRoom is the part of the slots' time that is planned. The rest makes up for samples
-	// that are longer than predicted, and for the time between two runs in a slot.
-	plannedRoom = 0.6
-	// begunWeight is the weight of the work of a group that has begun, against that of one that has
-	// not, when a group must be put back.
-	begunWeight = 0.5
-	// shareTolerance is the part of the largest trainer's share from which on a trainer's groups
-	// may be put back: those of a trainer with less are not.
+	// minPlanIntervalMillis is the minimum time between two plans.
+	minPlanIntervalMillis = 100
+	// graceMillis is how long after its step's due time a group still counts as in time.
+	graceMillis = 500
+	// lateExtensionMillis is added to the due time of a late group that the trainer waits for,
+	// since the trainer submits no further step meanwhile.
+	lateExtensionMillis = 4000
+	// minTimeShare is the share of its longest sample's expected time that must be left for a group
+	// to count as achievable. It is below 1 because samples may be shorter than predicted.
+	minTimeShare = 0.3
+	// plannedSlotShare is the share of the slots' time that is planned. The rest allows for samples
+	// that are longer than predicted and for the time between two runs in a slot.
+	plannedSlotShare = 0.6
+	// startedWeight scales the work of a started or resubmitted group when choosing which group to
+	// defer.
+	startedWeight = 0.5
+	// shareTolerance is the share of the largest trainer's usage above which a trainer's groups may
+	// be deferred.
 	shareTolerance = 0.9
-	// shareMillis is the time in which a trainer's use of the engines fades out of its share.
-	shareMillis = 12000
+	// usageDecayMillis is the time over which past usage of engines decays.
+	usageDecayMillis = 12000
 )
 
-// rank is a task's place in the plan. Tasks of a lower rank start first.
+// rank is the rank of a task's group in the plan. Lower ranks start first.
 type rank uint8
 
 const (
-	// rankChosen groups can be whole in time.
+	// rankChosen groups can complete in time.
 	rankChosen rank = iota
-	// rankPutBack groups could be whole in time, but not beside those that are chosen.
-	rankPutBack
-	// rankLate groups can be whole in time no more.
+	// rankDeferred groups could complete in time, but not together with the chosen ones.
+	rankDeferred
+	// rankLate groups can no longer complete in time.
 	rankLate
 )
 
-// trainerKey names whom the engines' room is shared among: tenants where there are any, models
-// otherwise.
+// trainerKey identifies a party among which engine time is shared: the tenant if there is one, the
+// model otherwise.
 type trainerKey struct{ tenant, model string }
 
 func trainerOf(step *ledger.Step) trainerKey {
@@ -64,104 +63,107 @@
 	return trainerKey{model: step.Model}
 }
 
-// groupPlan is a group that is not whole, as the plan sees it.
+// groupPlan is an incomplete group as the plan sees it.
 type groupPlan struct {
 	name    string
 	trainer trainerKey
 	tasks   []*Task
-	// priority is that of the step, and dueAt when it must be whole.
+	// priority is the priority of the step, and dueAt the time by which the group must complete.
 	priority int
 	dueAt    float64
-	// work is the time of slots that it is expected to take still, running the part of it that
-	// has a slot, and longest what its longest sample takes, in milliseconds.
-	work, running, longest float64
-	begun, again           bool
-	// lateBy is how much later than its step's due time it is to be whole.
-	lateBy float64
-	rank   rank
+	// work is the expected slot time that the group still needs, runningWork the part of it in
+	// tasks that already run, and longestMillis the time for its longest sample on a fast engine,
+	// all in milliseconds.
+	work, runningWork, longestMillis float64
+	started, resubmitted             bool
+	// dueExtension is how much later than its step's due time the group is expected, in
+	// milliseconds.
+	dueExtension float64
+	rank         rank
 }
 
-// cost is what putting the group back would save.
-func (g *groupPlan) cost() float64 {
-	if g.begun || g.again {
-		return g.work * begunWeight
+// savings returns the weighted slot time that deferring the group frees.
+func (g *groupPlan) savings() float64 {
+	if g.started || g.resubmitted {
+		return g.work * startedWeight
 	}
 	return g.work
 }
 
-// isPossible tells whether the group can be whole in time if it begins now on fast engines.
-func (g *groupPlan) isPossible(now int64) bool {
-	return float64(now)+possibleShare*g.longest <= g.dueAt
+// canMeetDue reports whether the group can complete in time if it starts now on fast engines.
+func (g *groupPlan) canMeetDue(now int64) bool {
+	return float64(now)+minTimeShare*g.longestMillis <= g.dueAt
 }
 
-// plan is what was chosen last, and the shares of trainers.
+// plan is the state of the latest plan and of the trainers' usage.
 type plan struct {
-	// madeAt is when it was made, and stale is set once the steps are others.
+	// madeAt is when the plan was made. stale is set when the set of steps has changed since.
 	madeAt int64
 	stale  bool
-	// used is the time of slots that each trainer has had lately, in milliseconds.
-	used   map[trainerKey]float64
-	usedAt int64
-	counts PlanCounts
-	// chosenWait is set while tasks of chosen groups wait.
-	chosenWait bool
+	// usage is the decaying slot time that each trainer has used, in milliseconds.
+	usage          map[trainerKey]float64
+	usageUpdatedAt int64
+	counts         PlanCounts
+	// chosenWaiting is set while tasks of chosen groups wait because all slots are taken.
+	chosenWaiting bool
 }
 
-// PlanCounts tells of the newest plan how many groups are chosen, are put back for lack of room,
-// and are late.
+// PlanCounts holds the number of groups that the latest plan chose, deferred for lack of slots, or
+// found late.
 type PlanCounts struct {
 	Chosen, Deferred, Late int
 }
 
-// planGroups ranks the waiting tasks by what can be whole in time. Nothing is ranked while all
-// of them find room.
-func (s *Scheduler) planGroups(now int64, room int) {
-	s.noteUse(now)
-	if len(s.waiting.tasks) <= room {
+// planGroups ranks the groups of the waiting tasks by whether they can complete in time. It does
+// nothing while there is a free slot for every waiting task.
+func (s *Scheduler) planGroups(now int64, freeSlots int) {
+	s.updateUsage(now)
+	if len(s.waiting.tasks) <= freeSlots {
 		s.plan.counts = PlanCounts{}
 		return
 	}
-	if !s.plan.stale && now-s.plan.madeAt < planMillis {
+	if !s.plan.stale && now-s.plan.madeAt < minPlanIntervalMillis {
 		return
 	}
 	s.plan.madeAt, s.plan.stale = now, false
-	var candidates, others []*groupPlan
-	for _, state := range s.stepsInOrder() {
-		needed, rest := s.groupsOf(now, state)
-		candidates = append(candidates, needed...)
-		others = append(others, rest...)
+	var needed, others []*groupPlan
+	for _, state := range s.stepsByUrgency() {
+		stepNeeded, stepOthers := s.unfinishedGroups(now, state)
+		needed = append(needed, stepNeeded...)
+		others = append(others, stepOthers...)
 	}
-	choice := newChoice(now, s.slotsAtMiddlePace(), s.plan.used)
+	selection := newGroupSelection(now, s.effectiveSlots(), s.plan.usage)
 	for _, group := range others {
-		choice.committed += group.running
+		selection.reservedWork += group.runningWork
 	}
-	choice.take(candidates)
-	choice.takeLate(candidates)
-	choice.take(others)
+	selection.add(needed)
+	selection.addLate(needed)
+	selection.add(others)
 	s.plan.counts = PlanCounts{}
-	for _, group := range slices.Concat(candidates, others) {
+	for _, group := range slices.Concat(needed, others) {
 		s.rankTasks(group)
 	}
 }
 
-// rankTasks tells the group's tasks where they stand.
+// rankTasks copies the group's rank to its tasks and updates the counts.
 func (s *Scheduler) rankTasks(group *groupPlan) {
 	switch group.rank {
 	case rankChosen:
 		s.plan.counts.Chosen++
-	case rankPutBack:
+	case rankDeferred:
 		s.plan.counts.Deferred++
 	case rankLate:
 		s.plan.counts.Late++
 	}
 	for _, task := range group.tasks {
-		task.rank, task.groupWork, task.lateBy = group.rank, group.work, group.lateBy
+		task.rank, task.groupWork, task.dueExtension = group.rank, group.work, group.dueExtension
 	}
 }
 
-// groupsOf returns the step's groups that are not whole: those that its trainer waits for, and
-// the others. It waits for those that come again, then those with the least work.
-func (s *Scheduler) groupsOf(now int64, state *stepState) (needed, others []*groupPlan) {
+// unfinishedGroups returns the step's groups with unfinished texts: those that its trainer is
+// expected to wait for, and the others. Resubmitted groups are needed first, then those with the
+// least work.
+func (s *Scheduler) unfinishedGroups(now int64, state *stepState) (needed, others []*groupPlan) {
 	byName := map[string]*groupPlan{}
 	pace, fastPace := s.paceOrDefault(), cmp.Or(s.fastPace, defaultPace)
 	for _, task := range state.tasks {
@@ -170,10 +172,10 @@
 		}
 		group := byName[task.Sample.Group]
 		if group == nil {
-			_, again := state.again[task.Sample.Group]
+			_, resubmitted := state.resubmitted[task.Sample.Group]
 			group = &groupPlan{
 				name: task.Sample.Group, trainer: trainerOf(state.step), priority: state.step.Priority,
-				dueAt: dueOf(state.step), again: again,
+				dueAt: deadlineOf(state.step), resubmitted: resubmitted,
 			}
 			byName[group.name] = group
 		}
@@ -184,35 +186,36 @@
 		groups = append(groups, byName[name])
 	}
 	slices.SortStableFunc(groups, func(a, b *groupPlan) int {
-		return cmp.Or(compareFirst(a.again, b.again), compareFirst(a.isPossible(now), b.isPossible(now)), cmp.Compare(a.cost(), b.cost()))
+		return cmp.Or(compareTrueFirst(a.resubmitted, b.resubmitted), compareTrueFirst(a.canMeetDue(now), b.canMeetDue(now)), cmp.Compare(a.savings(), b.savings()))
 	})
-	missing := s.missing(state, byName)
+	missing := s.missingGroups(state, byName)
 	return groups[:min(missing, len(groups))], groups[min(missing, len(groups)):]
 }
 
-// missing returns how many of the groups with unfinished texts the trainer waits for.
-func (s *Scheduler) missing(state *stepState, unfinished map[string]*groupPlan) int {
-	if state.progress.reported {
+// missingGroups returns how many of the groups with unfinished texts the trainer waits for.
+func (s *Scheduler) missingGroups(state *stepState, unfinishedTexts map[string]*groupPlan) int {
+	if state.progress.satisfied {
 		return 0
 	}
-	missing := max(state.progress.missing, len(state.progress.again))
-	for name, open := range state.progress.open {
-		if open > 0 && unfinished[name] == nil {
+	missing := max(state.progress.missing, len(state.progress.resubmitted))
+	for name, count := range state.progress.unfinished {
+		if count > 0 && unfinishedTexts[name] == nil {
 			missing--
 		}
 	}
 	return max(missing, 0)
 }
 
-// dueOf returns until when the step's groups count as in time; a step may have no due time.
-func dueOf(step *ledger.Step) float64 {
+// deadlineOf returns the time until which the step's groups count as in time, or infinity if the
+// step has no due time.
+func deadlineOf(step *ledger.Step) float64 {
 	if step.DueAt <= step.SubmittedAt {
 		return math.Inf(1)
 	}
-	return float64(step.DueAt + lateMillis)
+	return float64(step.DueAt + graceMillis)
 }
 
-func compareFirst(a, b bool) int {
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -222,59 +225,59 @@
 	return 1
 }
 
-// add counts the task's expected work.
+// add adds the task's expected work.
 func (g *groupPlan) add(task *Task, pace, fastPace float64) {
-	events := task.remaining(task.seen())
+	events := task.remainingEvents(task.eventsSoFar())
 	millis := events * pace
 	g.tasks = append(g.tasks, task)
 	g.work += millis
-	g.longest = max(g.longest, events*fastPace)
+	g.longestMillis = max(g.longestMillis, events*fastPace)
 	if task.State == Running {
-		g.running += millis
+		g.runningWork += millis
 	}
 	if task.State == Running || task.Text.Last > 0 {
-		g.begun = true
+		g.started = true
 	}
 }
 
-// slotsAtMiddlePace returns the slots of the engines that may run samples, those of slower
-// engines counting for less.
-func (s *Scheduler) slotsAtMiddlePace() float64 {
+// effectiveSlots returns the number of slots on available engines, weighted by their pace relative
+// to the median.
+func (s *Scheduler) effectiveSlots() float64 {
 	slots := 0.0
-	for _, known := range s.order {
-		if !known.backend.Draining && !known.backend.Silent {
-			slots += float64(max(known.backend.Slots, 1)) / s.ratio(known)
+	for _, e := range s.sortedEngines {
+		if !e.backend.Draining && !e.backend.Silent {
+			slots += float64(max(e.backend.Slots, 1)) / s.slowdown(e)
 		}
 	}
 	return slots
 }
 
-// noteUse takes in the time of slots that trainers have had since the last call.
-func (s *Scheduler) noteUse(now int64) {
-	elapsed := float64(now - s.plan.usedAt)
-	if elapsed < planMillis {
+// updateUsage adds the slot time that trainers have used since the last call.
+func (s *Scheduler) updateUsage(now int64) {
+	elapsed := float64(now - s.plan.usageUpdatedAt)
+	if elapsed < minPlanIntervalMillis {
 		return
 	}
-	s.plan.usedAt = now
-	fading := max(1-elapsed/shareMillis, 0)
-	for trainer, used := range s.plan.used {
-		if s.plan.used[trainer] = used * fading; used < 1 {
-			delete(s.plan.used, trainer)
+	s.plan.usageUpdatedAt = now
+	remaining := max(1-elapsed/usageDecayMillis, 0)
+	for trainer, used := range s.plan.usage {
+		if s.plan.usage[trainer] = used * remaining; used < 1 {
+			delete(s.plan.usage, trainer)
 		}
 	}
-	elapsed = min(elapsed, shareMillis)
-	for _, known := range s.order {
-		for task := range known.running {
-			s.plan.used[trainerOf(task.Step)] += elapsed
+	elapsed = min(elapsed, usageDecayMillis)
+	for _, e := range s.sortedEngines {
+		for task := range e.running {
+			s.plan.usage[trainerOf(task.Step)] += elapsed
 		}
 	}
 }
 
-// Shares tells for logs which part of the engines' time each trainer has had lately.
+// FormatShares returns each trainer's share of recent slot time, formatted for logs.
 func (s *Scheduler) FormatShares() string {
 	total := 0.0
 	shares := map[string]float64{}
-	for trainer, used := range s.plan.used {
+	for trainer, used := range s.plan.usage {
 		shares[cmp.Or(trainer.tenant, trainer.model)] += used
 		total += used
 	}
@@ -285,5 +288,5 @@
 	return strings.TrimSpace(text.String())
 }
 
-// PlanCounts returns how the newest plan has ranked the groups that are not whole.
+// PlanCounts returns the group counts of the latest plan.
 func (s *Scheduler) PlanCounts() PlanCounts { return s.plan.counts }
--- a/scheduler/progress_test.go
+++ b/scheduler/progress_test.go
@@ -102,12 +102,12 @@
 func TestRemainingCountsEvents(t *testing.T) {
 	task := &Task{Step: &ledger.Step{EventTokens: 50}, Sample: &ledger.Sample{Predicted: 5000, MostTokens: 6000}}
 	for after, expected := range map[uint64]float64{0: 100, 10: 90, 70: 40, 100: 20, 119: 1} {
-		require.InDelta(t, expected, task.remaining(after), 0.01, "after %d events", after)
+		require.InDelta(t, expected, task.remainingEvents(after), 0.01, "after %d events", after)
 	}
 	longer := &Task{Step: &ledger.Step{EventTokens: 50}, Sample: &ledger.Sample{Predicted: 50000, MostTokens: 6000}}
-	require.InDelta(t, 120, longer.remaining(0), 0.01)
+	require.InDelta(t, 120, longer.remainingEvents(0), 0.01)
 	unknown := &Task{Step: &ledger.Step{}, Sample: &ledger.Sample{}}
-	require.InDelta(t, 1, unknown.remaining(0), 0.01)
+	require.InDelta(t, 1, unknown.remainingEvents(0), 0.01)
 }
 
 // TestGroupsComeAgainUnderTheNextLeader: a leader that has not seen the earlier
@@ -135,11 +135,11 @@
 	var expected []float64
 	for _, task := range s.steps["y"].tasks {
 		require.Zero(t, task.Text.Last)
-		expected = append(expected, task.remaining(0))
+		expected = append(expected, task.remainingEvents(0))
 	}
 	require.Equal(t, []float64{30, 30, 3, 4}, expected)
-	require.InDelta(t, 1, s.steps["y"].tasks[0].remaining(30), 0.01)
-	require.Greater(t, s.steps["y"].tasks[1].remaining(30), 4.0)
+	require.InDelta(t, 1, s.steps["y"].tasks[0].remainingEvents(30), 0.01)
+	require.Greater(t, s.steps["y"].tasks[1].remainingEvents(30), 4.0)
 }
 
 // TestGroupsComeAgainMoreThanOnce: also long after the first step that had them.
@@ -157,7 +157,7 @@
 		if number%2 == 0 && number > 0 {
 			require.False(t, finishGroup(s, step.Step.ID, 1), "step %d waits for the group that comes again", number)
 			require.True(t, finishGroup(s, step.Step.ID, 0))
-			require.InDelta(t, 2, s.model("m").returnSteps, 0.01)
+			require.InDelta(t, 2, s.model("m").resubmissionSteps, 0.01)
 		}
 		s.EndStep(step.Step.ID)
 	}
--- a/scheduler/run.go
+++ b/scheduler/run.go
@@ -6,52 +6,52 @@
 	"github.com/dillchute/dillchute/ledger"
 )
 
-// RunEnd is how a run ended.
+// RunEnd says how a run ended.
 type RunEnd uint8
 
-// The ends of a run.
+// The ways in which a run can end.
 const (
-	// Complete: the text is whole.
+	// Complete: the text is complete.
 	Complete RunEnd = iota + 1
-	// Broken: the stream broke off; what came may be continued.
+	// Broken: the stream broke off; the text so far can be continued.
 	Broken
-	// Rejected: the engine did not run the sample for lack of room.
+	// Rejected: the engine did not run the sample for lack of capacity.
 	Rejected
-	// Elsewhere: another engine has the address.
+	// Misdirected: another engine has the address.
 	Misdirected
 	// Unreachable: the engine cannot be reached.
 	Unreachable
-	// Failed: the engine ran the sample and failed.
+	// Failed: the engine failed to run the sample.
 	Failed
-	// Impossible: the sample can never be done.
+	// Unprocessable: no engine can ever run the sample.
 	Unprocessable
-	// Interrupted: the process that held the stream was lost, which tells nothing of
-	// the engine; what came may be continued.
+	// Interrupted: the process that held the stream was lost, which is no fault of the engine; the
+	// text so far can be continued.
 	Interrupted
-	// Crashed: the stream broke off since the engine has ended; what came may be continued.
+	// Crashed: the stream broke off because the engine exited; the text so far can be continued.
 	Crashed
 )
 
-// RunEnded takes in the end of a run. It tells whether the run was the task's
-// current one; if so the task's state says what comes next.
+// RunEnded records the end of a run. It reports whether the run was the task's current one; if so,
+// the task's state is updated.
 func (s *Scheduler) RunEnded(now int64, task *Task, run uint64, end RunEnd) bool {
 	if task.Run != run || task.State != Running {
 		return false
 	}
-	if task.ahead {
-		s.endAhead(task, end)
+	if task.speculative {
+		s.endSpeculativeRun(task, end)
 		return true
 	}
-	s.leave(task)
-	known := s.engines[task.Engine]
+	s.release(task)
+	e := s.engines[task.Engine]
 	task.State = Waiting
 	switch end {
 	case Complete:
-		known.recover()
-		s.observePace(now, task)
+		e.resetBackoff()
+		s.observeTokenTime(now, task)
 		task.Text.Complete = true
 		task.State = Scoring
-		if !fits(task.Text, task.Step) {
+		if !versionsAllowed(task.Text, task.Step) {
 			s.restart(task)
 		}
 	case Failed:
@@ -60,13 +60,13 @@
 	case Unprocessable:
 		task.State = Finished
 	case Rejected:
-		known.reject(now)
+		e.recordRejection(now)
 	case Broken, Crashed, Unreachable, Misdirected:
 		if !task.moving {
-			known.fail(now)
+			e.recordFailure(now)
 		}
 		if end == Broken || end == Crashed {
-			s.noteBroken(task)
+			s.countStalledRun(task)
 		}
 	}
 	if task.State == Waiting {
@@ -75,37 +75,37 @@
 	return true
 }
 
-// observePace takes in how long a whole run took.
-func (s *Scheduler) observePace(now int64, task *Task) {
-	if task.from > 0 {
+// observeTokenTime updates the average time per token with a run that produced a complete text.
+func (s *Scheduler) observeTokenTime(now int64, task *Task) {
+	if task.startedAfter > 0 {
 		return
 	}
-	pace := float64(now-task.startedAt) / float64(max(task.Sample.Predicted, 1))
-	s.tokenMillis += paceSmoothing * (pace - s.tokenMillis)
+	tokenMillis := float64(now-task.startedAt) / float64(max(task.Sample.Predicted, 1))
+	s.tokenMillis += tokenTimeSmoothing * (tokenMillis - s.tokenMillis)
 }
 
-// fits tells whether the text was made under versions that the step allows.
-func fits(text Text, step *ledger.Step) bool {
+// versionsAllowed reports whether the step allows the versions that produced the text.
+func versionsAllowed(text Text, step *ledger.Step) bool {
 	if len(text.Versions) == 0 || slices.Min(text.Versions) < step.OldestVersion {
 		return false
 	}
 	return !step.SingleVersion || len(text.Versions) == 1
 }
 
-// maxFruitless bounds the runs in a row that broke off without a further event,
-// after which a text that was to be continued is begun anew.
-const maxFruitless = 4
+// maxStalledRuns is the number of consecutive runs without a new event after which a kept text is
+// discarded and the sample starts over.
+const maxStalledRuns = 4
 
-// noteBroken counts runs that add nothing to a kept text: an engine may be unable
-// to continue it.
-func (s *Scheduler) noteBroken(task *Task) {
-	if task.Text.Last > task.from || task.from == 0 {
-		task.fruitless = 0
+// countStalledRun counts runs that add nothing to a kept text, since engines may be unable to
+// continue it.
+func (s *Scheduler) countStalledRun(task *Task) {
+	if task.Text.Last > task.startedAfter || task.startedAfter == 0 {
+		task.stalledRuns = 0
 		return
 	}
-	task.fruitless++
-	if task.fruitless >= maxFruitless {
-		task.fruitless = 0
+	task.stalledRuns++
+	if task.stalledRuns >= maxStalledRuns {
+		task.stalledRuns = 0
 		s.restart(task)
 	}
 }
@@ -115,24 +115,24 @@
 	task.State = Waiting
 }
 
-// requeue has the task wait for another run.
+// requeue returns the task to the queue if its step is still open.
 func (s *Scheduler) requeue(task *Task) {
 	if s.steps[task.Step.ID] != nil {
 		s.waiting.add(task)
 	}
 }
 
-// Finish marks a task as done. It tells whether the trainer has the whole groups
-// that it waits for by that.
-func (s *Scheduler) Finish(task *Task) (stepWhole bool) {
-	s.leave(task)
+// Finish marks the task as finished. It reports whether this completes the groups that the trainer
+// waits for.
+func (s *Scheduler) Finish(task *Task) (stepComplete bool) {
+	s.release(task)
 	task.State = Finished
 	state := s.steps[task.Step.ID]
 	if state == nil || task.counted {
 		return false
 	}
 	task.counted = true
-	return state.progress.finish(task.Sample.Group)
+	return state.progress.finishTask(task.Sample.Group)
 }
 
 func (e *engine) avoid(now, millis int64) {
@@ -141,25 +141,26 @@
 	}
 }
 
-// reject takes in that the engine refused a run for lack of room. One that goes on
-// refusing is asked less and less often: it may load by an order that was late.
-func (e *engine) reject(now int64) {
+// recordRejection backs off from an engine that rejected a run for lack of capacity. The backoff
+// grows with consecutive rejections, since the engine may be loading weights on an order that this
+// leader does not know of.
+func (e *engine) recordRejection(now int64) {
 	if e == nil {
 		return
 	}
-	e.avoid(now, min(int64(fullMillis)<<min(e.rejections, 8), maxFullMillis))
+	e.avoid(now, min(int64(rejectionBackoffMillis)<<min(e.rejections, 8), maxRejectionBackoffMillis))
 	e.rejections++
 }
 
-func (e *engine) fail(now int64) {
+func (e *engine) recordFailure(now int64) {
 	if e == nil {
 		return
 	}
-	e.avoid(now, min(int64(avoidMillis)<<min(e.failures, 8), maxAvoidMillis))
+	e.avoid(now, min(int64(failureBackoffMillis)<<min(e.failures, 8), maxFailureBackoffMillis))
 	e.failures++
 }
 
-func (e *engine) recover() {
+func (e *engine) resetBackoff() {
 	if e != nil {
 		e.failures, e.rejections = 0, 0
 	}
--- a/scheduler/scarce_fleet_test.go
+++ b/scheduler/scarce_fleet_test.go
@@ -151,10 +151,10 @@
 }
 
 func (f *fleet) setPaces() {
-	for id, known := range f.s.engines {
-		known.pace = f.paces[id]
+	for id, e := range f.s.engines {
+		e.pace = f.paces[id]
 	}
-	f.s.updatePaces()
+	f.s.updateReferencePaces()
 }
 
 // slots returns the slots as so many of the usual pace.
@@ -225,7 +225,7 @@
 		ID: id, Model: trainer.load.name, OldestVersion: 1, Attempts: 3, Number: number, Host: trainer.load.name,
 		SubmittedAt: f.now, DueAt: f.now + fleetDue, GiveUpAt: f.now + 60000,
 	}
-	known := &fleetStep{trainer: trainer, groups: map[string]*fleetGroup{}, again: map[string]bool{}, sent: f.now}
+	submitted := &fleetStep{trainer: trainer, groups: map[string]*fleetGroup{}, again: map[string]bool{}, sent: f.now}
 	names := trainer.carried
 	trainer.carried = nil
 	for len(names) < trainer.load.groups {
@@ -234,13 +234,13 @@
 	step.Wanted = int(math.Ceil(fleetWanted * float64(len(names))))
 	for position, name := range names {
 		group := &fleetGroup{open: trainer.load.size}
-		known.groups[name] = group
+		submitted.groups[name] = group
 		for member := range trainer.load.size {
 			sample := fmt.Sprintf("%s/%d", name, member)
 			if f.samples[sample] == nil {
 				f.samples[sample] = &fleetSample{length: f.length(trainer.load.events)}
 			} else if position < len(names) {
-				known.again[name] = true
+				submitted.again[name] = true
 			}
 			group.work += float64(f.samples[sample].length) * fleetPace
 			predicted := f.prediction(f.samples[sample].length)
@@ -248,26 +248,26 @@
 			step.Samples = append(step.Samples, ledger.Sample{ID: sample, Group: name, Predicted: predicted})
 		}
 	}
-	known.wanted = step.Wanted
+	submitted.wanted = step.Wanted
 	machine := ledger.NewMachine()
 	machine.Apply(ledger.Command{Submit: step}.Encode())
-	known.machine, known.entry = machine, machine.Step(id)
-	trainer.steps = append(trainer.steps, known)
-	f.steps[id] = known
-	for _, task := range f.s.AddStep(known.entry) {
+	submitted.machine, submitted.entry = machine, machine.Step(id)
+	trainer.steps = append(trainer.steps, submitted)
+	f.steps[id] = submitted
+	for _, task := range f.s.AddStep(submitted.entry) {
 		f.finish(task)
 	}
 }
 
 // run has the engines go on with their samples.
 func (f *fleet) run() {
-	for _, known := range f.s.order {
-		pace := known.pace
+	for _, e := range f.s.sortedEngines {
+		pace := e.pace
 		if pace == 0 {
 			pace = fleetPace
 		}
-		tasks := make([]*Task, 0, len(known.running))
-		for task := range known.running {
+		tasks := make([]*Task, 0, len(e.running))
+		for task := range e.running {
 			tasks = append(tasks, task)
 		}
 		slices.SortFunc(tasks, func(a, b *Task) int { return cmp.Compare(a.Sample.ID, b.Sample.ID) })
@@ -374,8 +374,8 @@
 		f.samples[assignment.Task.Sample.ID].done = float64(assignment.Task.Text.Last)
 	}
 	free, waiting := 0, 0
-	for _, known := range f.s.engines {
-		free += max(known.freeSlots(), 0)
+	for _, e := range f.s.engines {
+		free += max(e.freeSlots(), 0)
 	}
 	for _, task := range f.s.waiting.tasks {
 		if task.State == Waiting {
--- a/scheduler/scarce_test.go
+++ b/scheduler/scarce_test.go
@@ -180,7 +180,7 @@
 	s.steps["begun"].tasks[1].Text = Text{Events: []string{"x"}, Last: 1, Versions: []uint64{1}}
 	require.Equal(t, "begun", s.Assign(200, anywhere)[0].Task.Step.ID)
 	require.Equal(t, rankChosen, s.steps["begun"].tasks[1].rank)
-	require.Equal(t, rankPutBack, s.steps["newer"].tasks[0].rank)
+	require.Equal(t, rankDeferred, s.steps["newer"].tasks[0].rank)
 }
 
 // TestLoadsFollowChosenWork: weights are loaded for the groups that are chosen while those wait.
@@ -204,20 +204,20 @@
 	step.Step.Samples[0].Predicted = 150
 	s := New()
 	s.SyncEngines(0, engines(8, 1, "a"), nil)
-	for id, known := range s.engines {
-		known.pace = 70
+	for id, e := range s.engines {
+		e.pace = 70
 		if id == "e00" {
-			known.pace = 30
+			e.pace = 30
 		}
 	}
-	s.updatePaces()
+	s.updateReferencePaces()
 	s.AddStep(step)
 	fast := &Task{Step: step.Step, Sample: &ledger.Sample{ID: "other"}, State: Running, Engine: "e00"}
 	s.engines["e00"].running[fast] = true
 	for _, assignment := range s.Assign(0, anywhere) {
 		require.NotEqual(t, "x-0", assignment.Task.Sample.ID)
 	}
-	s.leave(fast)
+	s.release(fast)
 	assignments := s.Assign(10, anywhere)
 	require.Len(t, assignments, 1)
 	require.Equal(t, "x-0", assignments[0].Task.Sample.ID)
@@ -238,14 +238,14 @@
 			now += rapid.Int64Range(0, 2000).Draw(r, "pause")
 			s.Assign(now, anywhere)
 			checkPlan(r, s)
-			for _, known := range s.order {
-				for task := range known.running {
+			for _, e := range s.sortedEngines {
+				for task := range e.running {
 					s.Finish(task)
 				}
 			}
 		}
-		for range 100000 / planMillis {
-			now += planMillis
+		for range 100000 / minPlanIntervalMillis {
+			now += minPlanIntervalMillis
 			for _, assignment := range s.Assign(now, anywhere) {
 				s.Finish(assignment.Task)
 			}
@@ -254,18 +254,18 @@
 		for id := range s.steps {
 			s.EndStep(id)
 		}
-		for range 2 * shareMillis / planMillis {
-			now += planMillis
+		for range 2 * usageDecayMillis / minPlanIntervalMillis {
+			now += minPlanIntervalMillis
 			s.Assign(now, anywhere)
 		}
-		require.Empty(r, s.plan.used)
+		require.Empty(r, s.plan.usage)
 	})
 }
 
 func checkPlan(r *rapid.T, s *Scheduler) {
 	free, waiting := 0, 0
-	for _, known := range s.order {
-		free += known.freeSlots()
+	for _, e := range s.sortedEngines {
+		free += e.freeSlots()
 	}
 	ranks := map[string]rank{}
 	for _, task := range s.waiting.tasks {
@@ -284,17 +284,17 @@
 
 // TestGroupsThatComeAgainArePutBackLast: their trainers wait for them whichever others are whole.
 func TestGroupsThatComeAgainArePutBackLast(t *testing.T) {
-	again, other := &groupPlan{name: "again", work: 100, again: true}, &groupPlan{name: "other", work: 1}
-	require.True(t, precedes(other, again))
-	require.False(t, precedes(again, other))
+	again, other := &groupPlan{name: "again", work: 100, resubmitted: true}, &groupPlan{name: "other", work: 1}
+	require.True(t, deferredBefore(other, again))
+	require.False(t, deferredBefore(again, other))
 }
 
 // TestUseFadesAway: nothing is kept of a trainer that has had no slot for long.
 func TestUseFadesAway(t *testing.T) {
 	s := New()
-	s.plan.used[trainerKey{model: "a"}] = 10000
-	for now := int64(0); now < 20*shareMillis; now += shareMillis / 3 {
-		s.noteUse(now)
+	s.plan.usage[trainerKey{model: "a"}] = 10000
+	for now := int64(0); now < 20*usageDecayMillis; now += usageDecayMillis / 3 {
+		s.updateUsage(now)
 	}
-	require.Empty(t, s.plan.used)
+	require.Empty(t, s.plan.usage)
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,7 +1,6 @@
-// Package scheduler decides which engine runs each sample, and which engines
-// load which version of the weights. It is a pure state machine: the caller
-// tells it what exists and what has happened, with the current time in
-// milliseconds, and asks what to do.
+// Package scheduler assigns samples to engines and decides which engines load which model versions.
+// It is a deterministic state machine without I/O: the caller reports what exists and what has
+// happened, passes the current time in milliseconds, and asks what to do.
 package scheduler
 
 import (
@@ -13,164 +12,164 @@
 )
 
 const (
-	// avoidMillis is how long an engine that failed is avoided, doubled with
-	// each further failure in a row up to maxAvoidMillis.
-	avoidMillis    = 300
-	maxAvoidMillis = 3000
-	// fullMillis is how long an engine that refused for lack of room is avoided,
-	// doubled with each further refusal in a row up to maxFullMillis.
-	fullMillis    = 100
-	maxFullMillis = 800
-	// groupSlack is how much more than the cheapest engine, in runs, one may cost
-	// to be preferred for holding the group's prompt.
-	groupSlack = 2
-	// paceSmoothing is the weight of the newest run in the usual pace.
-	paceSmoothing = 0.02
+	// failureBackoffMillis is how long an engine is avoided after a failure. It doubles with each
+	// consecutive failure, up to maxFailureBackoffMillis.
+	failureBackoffMillis    = 300
+	maxFailureBackoffMillis = 3000
+	// rejectionBackoffMillis is how long an engine is avoided after it rejected a run for lack of
+	// capacity. It doubles with each consecutive rejection, up to maxRejectionBackoffMillis.
+	rejectionBackoffMillis    = 100
+	maxRejectionBackoffMillis = 800
+	// maxAffinityCost is how much more than the cheapest engine an engine may cost and still be
+	// preferred because it already runs the group and so holds its prompt. One unit is one run.
+	maxAffinityCost = 2
+	// tokenTimeSmoothing is the weight of the newest run in the moving average of the time per
+	// token.
+	tokenTimeSmoothing = 0.02
 )
 
-// engine is what is known of one engine.
+// engine is the scheduler's state of one engine.
 type engine struct {
 	backend  directory.Backend
 	versions map[string]uint64
 	running  map[*Task]bool
-	// loading is the order under way, or nil.
+	// loading is the load in progress, or nil.
 	loading      *LoadOrder
 	avoidedUntil int64
 	failures     int
 	rejections   int
-	// pace is the time between events of a run, in milliseconds, 0 if unknown.
+	// pace is the time between events of a run, in milliseconds, or 0 if unknown.
 	pace float64
-	// observed is what runs have shown since pace was made, and recent what it was
-	// made of.
+	// observed collects the observations since pace was last computed; recent holds those it was
+	// computed from.
 	observed, recent paceWindow
 }
 
-// Scheduler decides for the steps of one group. Its methods must not be called
-// concurrently.
+// Scheduler schedules the steps of one ledger group. Its methods must not be called concurrently.
 type Scheduler struct {
 	engines map[string]*engine
-	// order lists the engines by their IDs.
-	order []*engine
-	// free lists those with room for runs, as of the last look.
-	free  []*engine
-	steps map[string]*stepState
-	// waiting holds the tasks that wait for an engine.
-	waiting queue
-	models  map[string]*modelState
-	// orderAfter is the time before which an engine gets no orders.
-	orderAfter map[string]int64
-	kept       *keptTexts
-	// ahead holds the runs that no step has asked for yet, by their samples' IDs.
-	ahead map[string]*Task
-	// loadMillis is the usual time that a load takes, shortestLoad the shortest
-	// lately, and tokenMillis the time of a predicted token in one slot.
-	loadMillis, shortestLoad, tokenMillis float64
-	// earlierPaces are those that an earlier leader has observed.
-	earlierPaces map[string]float64
-	// middlePace is the median of the engines' paces, and fastPace that of a fast engine.
-	middlePace, fastPace float64
-	// fleet is the number of engines that there are, of which those that are known are used.
-	fleet int
-	plan  plan
+	// sortedEngines holds the engines ordered by ID.
+	sortedEngines []*engine
+	// freeEngines holds the engines with free slots, as of the last call to countFreeSlots.
+	freeEngines []*engine
+	steps       map[string]*stepState
+	waiting     queue
+	models      map[string]*modelState
+	// loadsDeferredUntil holds, by engine name, the time before which the engine gets no load
+	// orders.
+	loadsDeferredUntil map[string]int64
+	kept               *keptTexts
+	// speculative holds the speculative runs that no step has claimed yet, by sample ID.
+	speculative map[string]*Task
+	// loadMillis is the average load time, shortestLoadMillis the shortest recent one, and
+	// tokenMillis the average time per predicted token in one slot.
+	loadMillis, shortestLoadMillis, tokenMillis float64
+	// restoredPaces holds the paces that an earlier leader observed, by engine ID.
+	restoredPaces map[string]float64
+	// medianPace is the median of the engines' paces; fastPace is the pace of a fast engine.
+	medianPace, fastPace float64
+	// fleetSize is the number of existing engines, including those outside the working set.
+	fleetSize int
+	plan      plan
 }
 
 type stepState struct {
 	step  *ledger.Step
 	tasks []*Task
-	// again holds the groups that an earlier step had, with the number of the last one.
-	again map[string]int
-	// progress follows what the trainer waits for.
-	progress *progress
+	// resubmitted maps each group that an earlier step also had to the number of the latest such
+	// step.
+	resubmitted map[string]int
+	progress    *progress
 }
 
-// New returns a scheduler that knows nothing.
+// New returns an empty scheduler.
 func New() *Scheduler {
 	return &Scheduler{
 		engines: map[string]*engine{}, steps: map[string]*stepState{}, models: map[string]*modelState{},
-		orderAfter: map[string]int64{}, kept: newKeptTexts(), ahead: map[string]*Task{}, loadMillis: defaultLoadMillis, shortestLoad: defaultLoadMillis, tokenMillis: defaultTokenMillis,
-		plan: plan{used: map[trainerKey]float64{}},
+		loadsDeferredUntil: map[string]int64{}, kept: newKeptTexts(), speculative: map[string]*Task{}, loadMillis: defaultLoadMillis, shortestLoadMillis: defaultLoadMillis, tokenMillis: defaultTokenMillis,
+		plan: plan{usage: map[trainerKey]float64{}},
 	}
 }
 
-// SyncEngines takes in the engines that exist and the newest versions. It
-// returns the tasks that run on engines which are gone: the caller ends their runs.
+// SyncEngines updates the set of engines and the newest model versions. It returns the tasks that
+// were running on removed engines; the caller ends their runs.
 func (s *Scheduler) SyncEngines(now int64, backends []directory.Backend, newest map[string]uint64) []*Task {
 	present := make(map[string]bool, len(backends))
 	before := len(s.engines)
 	for _, backend := range backends {
 		present[backend.ID] = true
-		known := s.engines[backend.ID]
-		if known == nil {
-			known = &engine{versions: map[string]uint64{}, running: map[*Task]bool{}, pace: s.earlierPaces[backend.ID]}
-			s.engines[backend.ID] = known
+		e := s.engines[backend.ID]
+		if e == nil {
+			e = &engine{versions: map[string]uint64{}, running: map[*Task]bool{}, pace: s.restoredPaces[backend.ID]}
+			s.engines[backend.ID] = e
 		}
-		known.backend = backend
+		e.backend = backend
 		for _, held := range backend.Models {
-			known.versions[held.Model] = max(known.versions[held.Model], held.Version)
+			e.versions[held.Model] = max(e.versions[held.Model], held.Version)
 		}
 	}
 	var stopped []*Task
 	sameEngines := len(s.engines) == before && len(present) == before
-	for id, known := range s.engines {
+	for id, e := range s.engines {
 		if sameEngines {
 			break
 		}
 		if present[id] {
 			continue
 		}
-		for task := range known.running {
+		for task := range e.running {
 			stopped = append(stopped, task)
 		}
 		delete(s.engines, id)
 	}
 	for model, version := range newest {
-		s.model(model).noteNewest(now, version)
+		s.model(model).recordNewest(now, version)
 	}
 	if !sameEngines {
-		s.list()
+		s.sortEngines()
 	}
-	s.updatePaces()
+	s.updateReferencePaces()
 	return stopped
 }
 
-// list puts the engines in the order of their IDs.
-func (s *Scheduler) list() {
-	s.order = s.order[:0]
-	for _, known := range s.engines {
-		s.order = append(s.order, known)
+// sortEngines rebuilds the list of engines ordered by ID.
+func (s *Scheduler) sortEngines() {
+	s.sortedEngines = s.sortedEngines[:0]
+	for _, e := range s.engines {
+		s.sortedEngines = append(s.sortedEngines, e)
 	}
-	slices.SortFunc(s.order, func(a, b *engine) int { return cmp.Compare(a.backend.ID, b.backend.ID) })
+	slices.SortFunc(s.sortedEngines, func(a, b *engine) int { return cmp.Compare(a.backend.ID, b.backend.ID) })
 }
 
-// AddStep takes in a step whose results so far are listed. It returns the tasks
-// whose text is whole already: an earlier step has left it.
+// AddStep adds a step with the results recorded so far. It returns the tasks whose text an earlier
+// step has already completed.
 func (s *Scheduler) AddStep(entry *ledger.Entry) []*Task {
 	step := entry.Step
 	if s.steps[step.ID] != nil || entry.Ended {
 		return nil
 	}
 	state := &stepState{step: step}
-	var whole []*Task
+	var complete []*Task
 	for position := range step.Samples {
 		sample := &step.Samples[position]
 		if entry.Listed(sample.ID) {
 			continue
 		}
-		task := s.adopt(step, sample)
+		task := s.promote(step, sample)
 		if task == nil {
-			task = &Task{Step: step, Sample: sample, Text: s.firstText(entry, sample)}
+			task = &Task{Step: step, Sample: sample, Text: s.initialText(entry, sample)}
 		}
 		task.Failures = entry.Failures[sample.ID]
-		task.seenBefore, task.lengthKnown = s.kept.length(step, sample)
+		task.earlierEvents, task.lengthKnown = s.kept.knownLength(step, sample)
 		state.tasks = append(state.tasks, task)
 		if task.Text.Complete {
 			task.State = Scoring
-			whole = append(whole, task)
+			complete = append(complete, task)
 		}
 	}
-	state.again = s.kept.comingAgain(step)
-	s.model(step.Model).noteReturns(step, state.again)
-	s.kept.note(step)
+	state.resubmitted = s.kept.resubmittedGroups(step)
+	s.model(step.Model).recordResubmissions(step, state.resubmitted)
+	s.kept.recordGroups(step)
 	needed := neededGroups(state)
 	for _, task := range state.tasks {
 		task.needed = needed[task.Sample.Group]
@@ -178,33 +177,33 @@
 			s.waiting.add(task)
 		}
 	}
-	state.progress = progressOf(state)
+	state.progress = newStepProgress(state)
 	s.steps[step.ID] = state
 	s.plan.stale = true
-	s.model(step.Model).noteStep(step)
-	return whole
+	s.model(step.Model).recordStep(step)
+	return complete
 }
 
-// NoteEnded takes in a step that had ended before this scheduler began: groups of
-// it that were not whole by then may come again.
-func (s *Scheduler) RecordEndedStep(step *ledger.Step) { s.kept.note(step) }
+// RecordEndedStep records a step that ended before this scheduler started. Its incomplete groups
+// may be resubmitted.
+func (s *Scheduler) RecordEndedStep(step *ledger.Step) { s.kept.recordGroups(step) }
 
-// firstText returns what there is of a sample's text: what an earlier step has
-// left, or what an earlier leader has kept of its run.
-func (s *Scheduler) firstText(entry *ledger.Entry, sample *ledger.Sample) Text {
-	text, ok := s.kept.take(entry.Step, sample)
+// initialText returns the text from which the sample's first run continues: the text kept from an
+// earlier step, or what an earlier leader has checkpointed.
+func (s *Scheduler) initialText(entry *ledger.Entry, sample *ledger.Sample) Text {
+	text, ok := s.kept.usableText(entry.Step, sample)
 	if ok && text.Complete {
 		return text
 	}
 	partial := entry.Partials[sample.ID]
 	saved := Text{Events: partial.Events, Last: uint64(len(partial.Events)), Versions: partial.Versions}
-	if saved.Last > text.Last && fits(saved, entry.Step) {
+	if saved.Last > text.Last && versionsAllowed(saved, entry.Step) {
 		return saved
 	}
 	return text
 }
 
-// Steps returns the IDs of the steps that are known.
+// StepIDs returns the IDs of the open steps.
 func (s *Scheduler) StepIDs() []string {
 	ids := make([]string, 0, len(s.steps))
 	for id := range s.steps {
@@ -213,7 +212,7 @@
 	return ids
 }
 
-// EndStep forgets a step and returns its tasks.
+// EndStep removes a step and returns its tasks.
 func (s *Scheduler) EndStep(id string) []*Task {
 	state := s.steps[id]
 	if state == nil {
@@ -222,9 +221,9 @@
 	delete(s.steps, id)
 	s.plan.stale = true
 	for _, task := range state.tasks {
-		s.leave(task)
+		s.release(task)
 		task.State = Finished
-		if !state.progress.taken[task.Sample.Group] {
+		if !state.progress.delivered[task.Sample.Group] {
 			s.kept.keep(task.Step, task.Sample, task.Text)
 		}
 		task.Text = Text{}
@@ -232,15 +231,14 @@
 	return state.tasks
 }
 
-// Keep takes in how far a run had come whose step has ended meanwhile: the
-// sample may come again in a later step.
+// KeepText keeps the text of a run whose step has ended, in case a later step resubmits the sample.
 func (s *Scheduler) KeepText(task *Task, text Text) { s.kept.keep(task.Step, task.Sample, text) }
 
-// giveUpMargin is added to the time at which a sample may be given up: the clock
-// of the leader that took the step in may have been behind this one.
+// giveUpMargin is added to the time at which a sample may be given up. It allows for clock skew
+// between this leader and the one that accepted the step.
 const giveUpMargin = 5000
 
-// Overdue returns the tasks that may be given up by now and have no result.
+// OverdueTasks returns the unfinished tasks whose give-up time has passed.
 func (s *Scheduler) OverdueTasks(now int64) []*Task {
 	var overdue []*Task
 	for _, state := range s.steps {
@@ -256,9 +254,9 @@
 	return overdue
 }
 
-// leave takes the task off its engine.
-func (s *Scheduler) leave(task *Task) {
-	if known := s.engines[task.Engine]; known != nil {
-		delete(known.running, task)
+// release frees the task's slot on its engine.
+func (s *Scheduler) release(task *Task) {
+	if e := s.engines[task.Engine]; e != nil {
+		delete(e.running, task)
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -79,14 +79,14 @@
 			s.LoadCompleted(now, order.Backend.ID, order.Model, order.Version, true)
 		}
 		underWay[now+loadMillis] = append(underWay[now+loadMillis], s.LoadOrders(now)...)
-		require.LessOrEqual(t, s.loadsUnderWay(now), 2)
+		require.LessOrEqual(t, s.activeLoads(now), 2)
 	}
 }
 
 func serving(s *Scheduler, name string) int {
 	count := 0
-	for _, known := range s.engines {
-		if known.versions[name]+s.models[name].lag >= s.models[name].newest {
+	for _, e := range s.engines {
+		if e.versions[name]+s.models[name].allowedLag >= s.models[name].newest {
 			count++
 		}
 	}
@@ -273,7 +273,7 @@
 	s := New()
 	s.SyncEngines(0, engines(2, 8, "a"), nil)
 	usual, slow := s.engines["e00"], s.engines["e01"]
-	usual.pace, slow.pace, s.middlePace = 30, 90, 30
+	usual.pace, slow.pace, s.medianPace = 30, 90, 30
 	for range 4 {
 		usual.running[&Task{Step: &ledger.Step{ID: "other"}, Sample: &ledger.Sample{}}] = true
 	}
@@ -328,12 +328,12 @@
 	taken.Partials = map[string]ledger.Partial{"a-0": {Events: []string{"1", "2"}, Versions: []uint64{1}}}
 	s.AddStep(taken)
 	now := int64(0)
-	for range maxFruitless {
+	for range maxStalledRuns {
 		assignments := s.Assign(now, anywhere)
 		require.Len(t, assignments, 1)
 		require.Equal(t, uint64(2), assignments[0].Task.Text.Last)
 		s.RunEnded(now, assignments[0].Task, assignments[0].Run, Broken)
-		now += 2 * maxAvoidMillis
+		now += 2 * maxFailureBackoffMillis
 	}
 	assignments := s.Assign(now, anywhere)
 	require.Len(t, assignments, 1)
@@ -433,7 +433,7 @@
 	first := s.Assign(0, anywhere)[0]
 	require.Equal(t, "earlier-4", first.Task.Sample.ID)
 	require.False(t, first.Task.needed)
-	require.Equal(t, int64(3000-100*defaultPace+unneededMillis), first.SlackMillis)
+	require.Equal(t, int64(3000-100*defaultPace+unneededDelayMillis), first.SlackMillis)
 }
 
 // TestSamplesWithoutAnEngineHoldUpNoOthers: samples that no engine may run leave those
@@ -446,14 +446,14 @@
 	s.AddStep(entry("other", "b", 1, 4))
 	elsewhere := entry("elsewhere", "b", 1, 4)
 	s.AddStep(elsewhere)
-	serviceOf := func(task *Task) ([]string, bool) {
+	servicesOf := func(task *Task) ([]string, bool) {
 		if task.Step == elsewhere.Step {
 			return []string{"unknown"}, true
 		}
 		return []string{"engines"}, true
 	}
 	started := map[string]int{}
-	for _, assignment := range s.Assign(0, serviceOf) {
+	for _, assignment := range s.Assign(0, servicesOf) {
 		started[assignment.Task.Step.ID]++
 	}
 	require.Equal(t, map[string]int{"older": 4, "other": 4}, started)
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -33,7 +33,7 @@
 }
 
 // calm is longer than any engine is avoided after its runs have failed.
-const calm = 10 * maxAvoidMillis
+const calm = 10 * maxFailureBackoffMillis
 
 func newWaitingWorld(t *rapid.T) *waitingWorld {
 	w := &waitingWorld{
@@ -83,7 +83,7 @@
 	w.scheduler.AddStep(entry)
 }
 
-func (w *waitingWorld) serviceOf(task *Task) ([]string, bool) {
+func (w *waitingWorld) servicesOf(task *Task) ([]string, bool) {
 	task.KindSuspected = w.suspected[task.Sample.Path]
 	return []string{"engines"}, !w.held[task.Sample.ID]
 }
@@ -131,7 +131,7 @@
 // assign starts what can be started, and checks that nothing else could.
 func (w *waitingWorld) assign() {
 	w.now += calm
-	for _, assignment := range w.scheduler.Assign(w.now, w.serviceOf) {
+	for _, assignment := range w.scheduler.Assign(w.now, w.servicesOf) {
 		w.running[assignment.Task] = assignment
 	}
 	perEngine, tried := map[string]int{}, map[string]int{}
--- a/scheduler/workingset.go
+++ b/scheduler/workingset.go
@@ -9,82 +9,82 @@
 )
 
 const (
-	// leastWorkingSet is the number of a service's engines up to which all of them are used. Of
-	// more, as many are as the open steps need, so that the time of each look and the number of
-	// loads follow the work and not the fleet.
-	leastWorkingSet = 128
-	// workingSetSpare is how many times the engines are used that the samples of the models'
-	// newest steps would fill: samples run faster on engines that are not full, those of two
-	// steps overlap, and some engines load, drain or fail.
-	workingSetSpare = 1.5
+	// minWorkingSet is the number of engines of a service up to which all are used. Of larger
+	// services only as many are used as the open steps need, so that the cost of scheduling and the
+	// number of loads depend on the work and not on the size of the fleet.
+	minWorkingSet = 128
+	// workingSetFactor is the ratio of slots used to samples in the models' newest steps. It allows
+	// for overlapping steps and for engines that load, drain or fail; also, samples run faster on
+	// engines that are not full.
+	workingSetFactor = 1.5
 )
 
-// WorkingSet chooses which of a service's many engines are used. Once chosen, an engine stays until
-// it is gone, since it holds the newest weights; one that drains or is silent is made up for.
+// WorkingSet selects which engines of a large service are used. A selected engine stays until it is
+// gone, because it holds recent weights; draining and silent engines are replaced by additional
+// ones.
 type WorkingSet struct {
-	chosen map[string]bool
-	// preferred are the engines' own names that an earlier leader has used.
+	selected map[string]bool
+	// preferred holds the names of engines that an earlier leader has used.
 	preferred map[string]bool
 }
 
-// NewWorkingSet returns a set that has chosen no engine. Those of the preferred names, their own,
-// are chosen first: an earlier leader has ordered them lately, so that they hold the newest
-// weights.
+// NewWorkingSet returns an empty set. Engines with the preferred names are selected first: an
+// earlier leader has sent them load orders, so they probably hold the newest weights.
 func NewWorkingSet(preferred map[string]bool) *WorkingSet {
-	return &WorkingSet{chosen: map[string]bool{}, preferred: preferred}
+	return &WorkingSet{selected: map[string]bool{}, preferred: preferred}
 }
 
-// Include has engines chosen, where they are of the service: they run samples of an earlier leader.
+// Include adds engines that run samples of an earlier leader. IDs of other services are ignored.
 func (w *WorkingSet) Include(ids []string) {
 	for _, id := range ids {
-		w.chosen[id] = true
+		w.selected[id] = true
 	}
 }
 
-// Choose returns the engines that are used of the service's, which are ordered by ID, for that
-// many samples at a time. It looks at all of them only where some must be chosen.
+// Choose returns the engines of the service to use for the given number of concurrent samples. The
+// service's engines must be ordered by ID. It scans all of them only if more must be selected.
 func (w *WorkingSet) Choose(service []*directory.Backend, samples int) []directory.Backend {
-	if len(service) <= leastWorkingSet {
+	if len(service) <= minWorkingSet {
 		return copies(service)
 	}
-	used, sound := w.members(service)
-	if missing := workingSetSize(service, samples) - sound; missing > 0 {
-		used = append(used, w.best(service, missing)...)
+	selected, healthy := w.currentMembers(service)
+	if missing := workingSetSize(service, samples) - healthy; missing > 0 {
+		selected = append(selected, w.chooseMore(service, missing)...)
 	}
-	slices.SortFunc(used, func(a, b *directory.Backend) int { return cmp.Compare(a.ID, b.ID) })
-	return copies(used)
+	slices.SortFunc(selected, func(a, b *directory.Backend) int { return cmp.Compare(a.ID, b.ID) })
+	return copies(selected)
 }
 
-// workingSetSize returns how many engines of the service are used for that many samples.
+// workingSetSize returns how many engines of the service to use for that many samples.
 func workingSetSize(service []*directory.Backend, samples int) int {
 	slots := max(service[0].Slots, 1)
-	wanted := int(workingSetSpare*float64(samples)/float64(slots)) + 1
-	return min(max(wanted, leastWorkingSet), len(service))
+	wanted := int(workingSetFactor*float64(samples)/float64(slots)) + 1
+	return min(max(wanted, minWorkingSet), len(service))
 }
 
-// members returns the chosen engines that are still there, and how many of them are sound. Those
-// that are gone are chosen no more.
-func (w *WorkingSet) members(service []*directory.Backend) (used []*directory.Backend, sound int) {
-	for id := range w.chosen {
-		place, there := slices.BinarySearchFunc(service, id, func(backend *directory.Backend, id string) int {
+// currentMembers returns the selected engines that still exist and how many of them are healthy. It
+// removes the others from the set.
+func (w *WorkingSet) currentMembers(service []*directory.Backend) (selected []*directory.Backend, healthy int) {
+	for id := range w.selected {
+		index, found := slices.BinarySearchFunc(service, id, func(backend *directory.Backend, id string) int {
 			return cmp.Compare(backend.ID, id)
 		})
-		if !there {
-			delete(w.chosen, id)
+		if !found {
+			delete(w.selected, id)
 			continue
 		}
-		used = append(used, service[place])
-		if isSound(service[place]) {
-			sound++
+		selected = append(selected, service[index])
+		if isHealthy(service[index]) {
+			healthy++
 		}
 	}
-	return used, sound
+	return selected, healthy
 }
 
-func isSound(backend *directory.Backend) bool { return !backend.Draining && !backend.Silent }
+func isHealthy(backend *directory.Backend) bool { return !backend.Draining && !backend.Silent }
 
-// best chooses that many more sound engines.
-func (w *WorkingSet) best(service []*directory.Backend, count int) []*directory.Backend {
+// chooseMore selects up to count more healthy engines.
+func (w *WorkingSet) chooseMore(service []*directory.Backend, count int) []*directory.Backend {
 	type candidate struct {
 		backend   *directory.Backend
 		preferred bool
@@ -93,14 +93,14 @@
 	}
 	var candidates []candidate
 	for _, backend := range service {
-		if w.chosen[backend.ID] || !isSound(backend) {
+		if w.selected[backend.ID] || !isHealthy(backend) {
 			continue
 		}
-		one := candidate{backend: backend, preferred: w.preferred[backend.OwnName()], rank: rendezvous.Rank(backend.Service, backend.ID)}
+		c := candidate{backend: backend, preferred: w.preferred[backend.OwnName()], rank: rendezvous.Rank(backend.Service, backend.ID)}
 		for _, held := range backend.Models {
-			one.versions += held.Version
+			c.versions += held.Version
 		}
-		candidates = append(candidates, one)
+		candidates = append(candidates, c)
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
 		if a.preferred != b.preferred {
@@ -112,9 +112,9 @@
 		return cmp.Or(cmp.Compare(b.versions, a.versions), cmp.Compare(b.rank, a.rank))
 	})
 	var chosen []*directory.Backend
-	for _, one := range candidates[:min(count, len(candidates))] {
-		w.chosen[one.backend.ID] = true
-		chosen = append(chosen, one.backend)
+	for _, c := range candidates[:min(count, len(candidates))] {
+		w.selected[c.backend.ID] = true
+		chosen = append(chosen, c.backend)
 	}
 	return chosen
 }
@@ -127,15 +127,15 @@
 	return list
 }
 
-// SamplesAtOnce returns how many samples the models' newest steps have together.
+// ConcurrentSamples returns the total number of samples in the models' newest steps.
 func (s *Scheduler) ConcurrentSamples() int {
 	samples := 0
 	for _, model := range s.models {
-		samples += model.samples
+		samples += model.sampleCount
 	}
 	return samples
 }
 
-// SetFleet tells how many engines there are, used or not: loads slow each other down where many
-// of them load.
-func (s *Scheduler) SetFleetSize(engines int) { s.fleet = engines }
+// SetFleetSize sets the number of existing engines, including unused ones. It determines how many
+// engines may load at the same time.
+func (s *Scheduler) SetFleetSize(engines int) { s.fleetSize = engines }
--- a/scheduler/workingset_test.go
+++ b/scheduler/workingset_test.go
@@ -39,9 +39,9 @@
 		sizes = append(sizes, len(NewWorkingSet(nil).Choose(fleetOf(engines), samples)))
 	}
 	require.Equal(t, []int{213, 213, 213}, sizes)
-	require.Len(t, NewWorkingSet(nil).Choose(fleetOf(leastWorkingSet), samples), leastWorkingSet)
+	require.Len(t, NewWorkingSet(nil).Choose(fleetOf(minWorkingSet), samples), minWorkingSet)
 	require.Len(t, NewWorkingSet(nil).Choose(fleetOf(150), 10*samples), 150)
-	require.Len(t, NewWorkingSet(nil).Choose(fleetOf(8000), 0), leastWorkingSet)
+	require.Len(t, NewWorkingSet(nil).Choose(fleetOf(8000), 0), minWorkingSet)
 }
 
 // TestWorkingSetStays: engines that are used are used further, those that drain or are silent
@@ -66,7 +66,7 @@
 	require.Len(t, next, len(grown)+2, "three others for three, of which one is gone")
 	require.NotContains(t, next, gone)
 	require.Subset(t, next, []string{leaving, silent})
-	require.NotContains(t, slices.Collect(maps.Keys(w.chosen)), gone)
+	require.NotContains(t, slices.Collect(maps.Keys(w.selected)), gone)
 }
 
 // TestNextLeaderUsesTheSameEngines: a leader that takes over uses the engines that the one before
@@ -88,7 +88,7 @@
 	require.Subset(t, used, slices.Collect(maps.Keys(ordered)))
 	require.Subset(t, used, newer)
 	require.Contains(t, used, "e07999")
-	require.Len(t, used, leastWorkingSet)
+	require.Len(t, used, minWorkingSet)
 }
 
 // BenchmarkWorkingSetUnchanged looks for the engines that are used where nothing has changed.
