--- a/scheduler/ahead_test.go
+++ b/scheduler/ahead_test.go
@@ -9,17 +9,17 @@
 	"github.com/dillchute/dillchute/ledger"
 )
 
-// returningStep takes in a step of three groups of one sample each, of which the
-// trainer waits for two and the third is long, in a deployment where groups come
-// again after two steps. All of them run.
-func returningStep(t *testing.T) (*Scheduler, *Task) {
+// newSchedulerWithLateSample returns a scheduler with a running step of three single-sample groups,
+// and the task of the third. The trainer waits for two groups and the third is long. Groups are
+// resubmitted after two steps.
+func newSchedulerWithLateSample(t *testing.T) (*Scheduler, *Task) {
 	s := New()
 	s.SyncEngines(0, engines(2, 8, "m"), map[string]uint64{"m": 2})
 	for _, e := range s.engines {
 		e.pace = 40
 	}
 	s.model("m").recordResubmission(2)
-	step := entry("x", "m", 1, 3)
+	step := newEntry("x", "m", 1, 3)
 	step.Step.Wanted = 2
 	for position := range step.Step.Samples {
 		step.Step.Samples[position].Group = fmt.Sprint(position)
@@ -30,9 +30,9 @@
 	return s, s.steps["x"].tasks[2]
 }
 
-// runAhead has the long sample run ahead, and returns that run.
-func runAhead(t *testing.T, s *Scheduler, first *Task) *Task {
-	require.Empty(t, s.StartSpeculative(0, anywhere), "no engine holds a version that the later step allows")
+// startSpeculative starts a speculative run of the long sample and returns it.
+func startSpeculative(t *testing.T, s *Scheduler, first *Task) *Task {
+	require.Empty(t, s.StartSpeculative(0, anywhere), "no engine holds a version that the later step will allow")
 	s.SyncEngines(0, engines(2, 8, "m"), map[string]uint64{"m": 3})
 	for _, e := range s.engines {
 		e.versions["m"] = 3
@@ -40,75 +40,76 @@
 	assignments := s.StartSpeculative(0, anywhere)
 	require.Len(t, assignments, 1)
 	require.Equal(t, first.Sample.ID, assignments[0].Task.Sample.ID)
-	require.Empty(t, s.StartSpeculative(0, anywhere), "once")
+	require.Empty(t, s.StartSpeculative(0, anywhere), "a sample is run speculatively only once")
 	return assignments[0].Task
 }
 
-// comesAgain takes in the step in which the long sample comes again.
-func comesAgain(s *Scheduler, first *Task, oldest uint64) []*Task {
-	again := entry("y", "m", oldest, 0)
-	again.Step.Number = first.Step.Number + 2
-	again.Step.Samples = []ledger.Sample{*first.Sample}
-	return s.AddStep(again)
+// resubmit adds a step that resubmits the long sample.
+func resubmit(s *Scheduler, first *Task, oldest uint64) []*Task {
+	later := newEntry("y", "m", oldest, 0)
+	later.Step.Number = first.Step.Number + 2
+	later.Step.Samples = []ledger.Sample{*first.Sample}
+	return s.AddStep(later)
 }
 
-// TestStepTakesOverARunAhead: the run goes on as that of the later step.
-func TestStepTakesOverARunAhead(t *testing.T) {
-	s, first := returningStep(t)
-	ahead := runAhead(t, s, first)
+// TestStepPromotesSpeculativeRun checks that the run continues as a task of the later step.
+func TestStepPromotesSpeculativeRun(t *testing.T) {
+	s, first := newSchedulerWithLateSample(t)
+	speculative := startSpeculative(t, s, first)
 	s.EndStep("x")
-	require.Equal(t, Running, ahead.State, "the end of the earlier step leaves it alone")
-	require.Empty(t, comesAgain(s, first, 3))
-	require.Equal(t, []*Task{ahead}, s.steps["y"].tasks)
-	require.False(t, ahead.IsSpeculative())
+	require.Equal(t, Running, speculative.State, "ending the earlier step does not end the run")
+	require.Empty(t, resubmit(s, first, 3))
+	require.Equal(t, []*Task{speculative}, s.steps["y"].tasks)
+	require.False(t, speculative.IsSpeculative())
 	require.Empty(t, s.Assign(0, anywhere))
-	ahead.Text = Text{Events: []string{"data"}, Last: 1, Versions: []uint64{3}}
-	s.RunEnded(0, ahead, ahead.Run, Complete)
-	require.Equal(t, Scoring, ahead.State)
+	speculative.Text = Text{Events: []string{"data"}, Last: 1, Versions: []uint64{3}}
+	s.RunEnded(0, speculative, speculative.Run, Complete)
+	require.Equal(t, Scoring, speculative.State)
 }
 
-// TestRunAheadThatEndsIsKept: its text is that of the later step at once; one
-// under too old a version is not used.
-func TestRunAheadThatEndsIsKept(t *testing.T) {
-	for oldest, whole := range map[uint64]int{3: 1, 4: 0} {
-		s, first := returningStep(t)
-		ahead := runAhead(t, s, first)
-		ahead.Text = Text{Events: []string{"data"}, Last: 1, Versions: []uint64{3}}
-		require.True(t, s.RunEnded(0, ahead, ahead.Run, Complete))
-		require.Equal(t, Finished, ahead.State)
+// TestTextOfSpeculativeRunIsKept checks that a later step uses the completed text only if it allows
+// the text's version.
+func TestTextOfSpeculativeRunIsKept(t *testing.T) {
+	for oldest, complete := range map[uint64]int{3: 1, 4: 0} {
+		s, first := newSchedulerWithLateSample(t)
+		speculative := startSpeculative(t, s, first)
+		speculative.Text = Text{Events: []string{"data"}, Last: 1, Versions: []uint64{3}}
+		require.True(t, s.RunEnded(0, speculative, speculative.Run, Complete))
+		require.Equal(t, Finished, speculative.State)
 		first.Text = Text{Events: []string{"older"}, Last: 1, Versions: []uint64{1}}
 		s.EndStep("x")
-		require.Len(t, comesAgain(s, first, oldest), whole)
+		require.Len(t, resubmit(s, first, oldest), complete)
 	}
 }
 
-// TestRunAheadThatNobodyAsksForEnds: once the step that would have is past or
-// cannot use it, or its engine is gone.
-func TestRunAheadThatNobodyAsksForEnds(t *testing.T) {
-	s, first := returningStep(t)
-	ahead := runAhead(t, s, first)
+// TestUnusedSpeculativeRunEnds checks that a speculative run ends when the step that would claim it
+// has passed, when the resubmitting step cannot use it, and when its stream breaks.
+func TestUnusedSpeculativeRunEnds(t *testing.T) {
+	s, first := newSchedulerWithLateSample(t)
+	speculative := startSpeculative(t, s, first)
 	require.Empty(t, s.EndUnusedSpeculative())
-	later := entry("z", "m", 4, 1)
+	later := newEntry("z", "m", 4, 1)
 	later.Step.Number = 3
 	s.AddStep(later)
-	require.Equal(t, []*Task{ahead}, s.EndUnusedSpeculative())
+	require.Equal(t, []*Task{speculative}, s.EndUnusedSpeculative())
 	require.Empty(t, s.speculative)
 
-	s, first = returningStep(t)
-	ahead = runAhead(t, s, first)
-	comesAgain(s, first, 4)
-	require.Equal(t, []*Task{ahead}, s.EndUnusedSpeculative(), "the step allows no version as old")
+	s, first = newSchedulerWithLateSample(t)
+	speculative = startSpeculative(t, s, first)
+	resubmit(s, first, 4)
+	require.Equal(t, []*Task{speculative}, s.EndUnusedSpeculative(), "the step does not allow the run's version")
 
-	s, first = returningStep(t)
-	ahead = runAhead(t, s, first)
-	require.True(t, s.RunEnded(0, ahead, ahead.Run, Broken))
-	require.Equal(t, Finished, ahead.State)
+	s, first = newSchedulerWithLateSample(t)
+	speculative = startSpeculative(t, s, first)
+	require.True(t, s.RunEnded(0, speculative, speculative.Run, Broken))
+	require.Equal(t, Finished, speculative.State)
 	require.Empty(t, s.speculative)
 }
 
-// TestNothingRunsAheadWhereNoGroupComesAgain: as long as none has.
-func TestNothingRunsAheadWhereNoGroupComesAgain(t *testing.T) {
-	s, _ := returningStep(t)
+// TestNoSpeculationWithoutResubmissions checks that no run is speculative until a group has been
+// resubmitted.
+func TestNoSpeculationWithoutResubmissions(t *testing.T) {
+	s, _ := newSchedulerWithLateSample(t)
 	s.model("m").resubmissionSteps = 0
 	s.model("m").newest = 9
 	for _, e := range s.engines {
--- a/scheduler/demand_test.go
+++ b/scheduler/demand_test.go
@@ -6,23 +6,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDemandOfOpenSteps: samples that run or wait count with what is left of them, by the time their
-// steps are due; those that are done do not, nor those that no service may run.
+// TestDemandOfOpenSteps checks that running and waiting samples count with their remaining work by
+// due time, but samples that are done or that no service may run do not count.
 func TestDemandOfOpenSteps(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 2, "m", "n"), nil)
-	first, second := entry("first", "m", 1, 4), entry("second", "n", 1, 2)
+	first, second := newEntry("first", "m", 1, 4), newEntry("second", "n", 1, 2)
 	first.Step.DueAt, second.Step.DueAt = 7600, -900
 	s.AddStep(first)
 	s.AddStep(second)
 	require.Empty(t, s.Demand(0, func(*Task) ([]string, bool) { return nil, false }))
 
 	work := s.Demand(0, anywhere)[0].Work
-	require.Len(t, work, 2, "while nothing runs an engine is taken to be as fast as usual")
+	require.Len(t, work, 2, "the default pace applies before the first runs")
 	require.InDelta(t, (1+2)*defaultPace, work[0].SlotMillis, 1e-9)
 	assignments := s.Assign(0, anywhere)
 	require.Len(t, assignments, 2)
-	require.Empty(t, s.Demand(100, anywhere)[0].Work, "that will be known soon")
+	require.Empty(t, s.Demand(100, anywhere)[0].Work, "the work is omitted until a pace is known")
 	s.engines["e00"].pace = 10
 	s.UpdatePaces()
 	done := assignments[0].Task
@@ -40,20 +40,20 @@
 	require.True(t, s.RunEnded(200, done, done.Run, Complete))
 	demand = s.Demand(200, anywhere)[0]
 	require.Equal(t, 1, demand.Running)
-	require.Equal(t, 4, demand.Waiting, "what is scored needs no engine")
+	require.Equal(t, 4, demand.Waiting, "a sample being scored needs no engine")
 	s.EndStep("first")
 	s.EndStep("second")
 	require.Empty(t, s.Demand(300, anywhere))
 }
 
-// TestReclaimableEngineIsTakenAway: what it runs goes on elsewhere, it is given nothing more and
-// loads nothing.
-func TestReclaimableEngineIsTakenAway(t *testing.T) {
+// TestReclaimedEngineIsDrained checks that the samples of a reclaimed engine move and that it gets
+// neither new samples nor load orders.
+func TestReclaimedEngineIsDrained(t *testing.T) {
 	s := New()
 	backends := engines(2, 4, "m")
 	backends[0].Reclaimable = true
 	s.SyncEngines(0, backends[:1], nil)
-	step := entry("step", "m", 1, 4)
+	step := newEntry("step", "m", 1, 4)
 	for position := range step.Step.Samples {
 		step.Step.Samples[position].Predicted = 400
 	}
@@ -65,7 +65,7 @@
 	}
 	s.UpdatePaces()
 	backends[0].Draining = true
-	require.Empty(t, s.SyncEngines(1000, backends, map[string]uint64{"m": 2}), "its runs go on until they are moved")
+	require.Empty(t, s.SyncEngines(1000, backends, map[string]uint64{"m": 2}), "runs continue until they are moved")
 	require.Empty(t, s.Assign(1000, anywhere))
 	moves := s.ChooseMoves(1000, anywhere)
 	require.Len(t, moves, 4)
--- a/scheduler/kind_test.go
+++ b/scheduler/kind_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSuspectedKindRunsOneAtATime: of the samples of a suspected kind one runs, the next one once it
-// has ended, and all at once when the kind is suspected no more. Others are not held up.
+// TestSuspectedKindRunsOneAtATime checks that samples of a suspected kind run one at a time until
+// the suspicion ends, and that other samples are not delayed.
 func TestSuspectedKindRunsOneAtATime(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(4, 4, "m"), map[string]uint64{"m": 1})
-	step := entry("x", "m", 1, 8)
+	step := newEntry("x", "m", 1, 8)
 	for position := range step.Step.Samples {
 		if position < 4 {
 			step.Step.Samples[position].Path = "/deadly"
@@ -24,12 +24,12 @@
 		return []string{"engines"}, true
 	}
 	split := func(assignments []Assignment) (deadly, others []Assignment) {
-		for _, one := range assignments {
-			if one.Task.Sample.Path == "/deadly" {
-				deadly = append(deadly, one)
+		for _, assignment := range assignments {
+			if assignment.Task.Sample.Path == "/deadly" {
+				deadly = append(deadly, assignment)
 				continue
 			}
-			others = append(others, one)
+			others = append(others, assignment)
 		}
 		return deadly, others
 	}
--- a/scheduler/large_bench_test.go
+++ b/scheduler/large_bench_test.go
@@ -6,49 +6,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The benchmarks here are of what a leader does again and again before 2,750 engines with
-// three models, of which a step finds room anywhere.
+// These benchmarks measure the frequent operations of a leader with 2,750 engines and three models.
 
-const manyEngines = 2750
+const largeFleetSize = 2750
 
-func largeScheduler() *Scheduler {
+func newLargeScheduler() *Scheduler {
 	s := New()
-	s.SyncEngines(0, engines(manyEngines, 6, "a", "b", "c"), map[string]uint64{"a": 1, "b": 1, "c": 1})
+	s.SyncEngines(0, engines(largeFleetSize, 6, "a", "b", "c"), map[string]uint64{"a": 1, "b": 1, "c": 1})
 	return s
 }
 
-// BenchmarkAssignOneBeforeManyEngines starts one sample.
-func BenchmarkAssignOneBeforeManyEngines(b *testing.B) {
-	s := largeScheduler()
+// BenchmarkAssignOneInLargeFleet measures starting one sample.
+func BenchmarkAssignOneInLargeFleet(b *testing.B) {
+	s := newLargeScheduler()
 	for number := 0; b.Loop(); number++ {
-		step := entry("step", "a", 1, 1)
+		step := newEntry("step", "a", 1, 1)
 		s.AddStep(step)
 		require.Len(b, s.Assign(0, anywhere), 1)
 		s.EndStep("step")
 	}
 }
 
-// BenchmarkSyncManyEngines takes in a catalog in which nothing has changed.
-func BenchmarkSyncManyEngines(b *testing.B) {
-	s := largeScheduler()
-	backends := engines(manyEngines, 6, "a", "b", "c")
+// BenchmarkSyncLargeFleet measures SyncEngines with an unchanged catalog.
+func BenchmarkSyncLargeFleet(b *testing.B) {
+	s := newLargeScheduler()
+	backends := engines(largeFleetSize, 6, "a", "b", "c")
 	for b.Loop() {
 		s.SyncEngines(0, backends, map[string]uint64{"a": 1, "b": 1, "c": 1})
 	}
 }
 
-// BenchmarkOrdersBeforeManyEngines looks for loads where none are needed.
-func BenchmarkOrdersBeforeManyEngines(b *testing.B) {
-	s := largeScheduler()
-	s.AddStep(entry("step", "a", 1, 100))
+// BenchmarkLoadOrdersInLargeFleet measures LoadOrders when no loads are needed.
+func BenchmarkLoadOrdersInLargeFleet(b *testing.B) {
+	s := newLargeScheduler()
+	s.AddStep(newEntry("step", "a", 1, 100))
 	for b.Loop() {
 		require.Empty(b, s.LoadOrders(0))
 	}
 }
 
-// BenchmarkTickBeforeManyEngines is what a leader's tick asks of the scheduler.
-func BenchmarkTickBeforeManyEngines(b *testing.B) {
-	s := largeScheduler()
+// BenchmarkTickInLargeFleet measures the scheduler calls of a leader's tick.
+func BenchmarkTickInLargeFleet(b *testing.B) {
+	s := newLargeScheduler()
 	for b.Loop() {
 		s.UpdatePaces()
 		s.ChooseMoves(0, anywhere)
--- a/scheduler/pace_test.go
+++ b/scheduler/pace_test.go
@@ -8,8 +8,8 @@
 	"github.com/dillchute/dillchute/ledger"
 )
 
-// running puts a sample of the predicted number of events on the engine.
-func running(s *Scheduler, id, engine string, predicted int) *Task {
+// addRunning adds a running sample with the predicted number of events to the engine.
+func addRunning(s *Scheduler, id, engine string, predicted int) *Task {
 	task := &Task{
 		Step: &ledger.Step{ID: "x", Model: "m"}, Sample: &ledger.Sample{ID: id, Predicted: predicted},
 		State: Running, Engine: engine,
@@ -18,8 +18,8 @@
 	return task
 }
 
-// moved returns the tasks that are to move.
-func moved(s *Scheduler) []*Task {
+// movedTasks returns the tasks that are moved.
+func movedTasks(s *Scheduler) []*Task {
 	var tasks []*Task
 	for _, move := range s.ChooseMoves(minObservationMillis, anywhere) {
 		tasks = append(tasks, move.Task)
@@ -27,34 +27,33 @@
 	return tasks
 }
 
-// TestMovesGainTime: of two samples on an engine that is slower by half, only the
-// one leaves that has long to go; nothing goes to an engine without room.
-func TestMovesGainTime(t *testing.T) {
+// TestMovesSaveTime checks that only the long sample leaves a slow engine, and that nothing moves
+// to a full engine.
+func TestMovesSaveTime(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(3, 2, "m"), nil)
 	s.engines["e00"].pace, s.engines["e01"].pace, s.engines["e02"].pace = 60, 40, 40
 	s.medianPace = 40
-	long := running(s, "long", "e00", 100)
-	running(s, "short", "e00", 10)
-	require.Equal(t, []*Task{long}, moved(s))
-	require.Empty(t, s.ChooseMoves(minObservationMillis, anywhere), "a move is asked for once")
+	long := addRunning(s, "long", "e00", 100)
+	addRunning(s, "short", "e00", 10)
+	require.Equal(t, []*Task{long}, movedTasks(s))
+	require.Empty(t, s.ChooseMoves(minObservationMillis, anywhere), "a task is moved only once")
 
-	other := running(s, "other", "e00", 100)
+	other := addRunning(s, "other", "e00", 100)
 	for _, full := range []string{"e01", "e02"} {
-		running(s, "a", full, 10)
-		running(s, "b", full, 10)
+		addRunning(s, "a", full, 10)
+		addRunning(s, "b", full, 10)
 	}
 	require.Empty(t, s.ChooseMoves(minObservationMillis, anywhere))
 	require.False(t, other.moving)
 }
 
-// TestPaceFollowsTheLastMoments: an engine that has become slow is known as such
-// within some observations, though its runs began long ago, and the time in
-// which it loads weights does not count.
-func TestPaceFollowsTheLastMoments(t *testing.T) {
+// TestPaceFollowsRecentObservations checks that the pace follows a change within a few
+// observations, even in long runs, and that time spent loading weights does not count.
+func TestPaceFollowsRecentObservations(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 2, "m"), nil)
-	task := running(s, "x", "e00", 500)
+	task := addRunning(s, "x", "e00", 500)
 	now, events := int64(0), 0
 	observe := func(ticks, each int) {
 		for range ticks {
@@ -75,16 +74,17 @@
 	require.InDelta(t, 25, s.engines["e00"].pace, 2)
 }
 
-// TestLongSamplesGoToFastEngines: and short ones to the emptiest.
+// TestLongSamplesGoToFastEngines checks that long samples go to fast engines and short ones to idle
+// engines.
 func TestLongSamplesGoToFastEngines(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(2, 8, "m"), nil)
 	fast, slow := s.engines["e00"], s.engines["e01"]
 	fast.pace, slow.pace, s.medianPace = 36, 47, 36
 	for _, id := range []string{"a", "b", "c"} {
-		running(s, id, "e00", 10)
+		addRunning(s, id, "e00", 10)
 	}
-	step := entry("y", "m", 1, 2)
+	step := newEntry("y", "m", 1, 2)
 	step.Step.Samples[0].Predicted, step.Step.Samples[1].Predicted = 150, 5
 	step.Step.Samples[0].Group = "long"
 	s.AddStep(step)
@@ -95,23 +95,24 @@
 	require.Equal(t, map[string]string{"y-0": "e00", "y-1": "e01"}, placed)
 }
 
-// TestLongSamplesLeaveAnEngineThatLeaves: what is nearly over stays.
-func TestLongSamplesLeaveAnEngineThatLeaves(t *testing.T) {
+// TestLongSamplesLeaveDrainingEngine checks that a long sample leaves a draining engine and one
+// that is nearly done stays.
+func TestLongSamplesLeaveDrainingEngine(t *testing.T) {
 	s := New()
 	backends := engines(2, 4, "m")
 	s.SyncEngines(0, backends, nil)
 	s.engines["e00"].pace, s.engines["e01"].pace, s.medianPace = 40, 40, 40
-	long := running(s, "long", "e00", 100)
-	running(s, "short", "e00", 10)
+	long := addRunning(s, "long", "e00", 100)
+	addRunning(s, "short", "e00", 10)
 	require.Empty(t, s.ChooseMoves(minObservationMillis, anywhere))
 	backends[0].Draining = true
 	s.SyncEngines(0, backends, nil)
-	require.Equal(t, []*Task{long}, moved(s))
+	require.Equal(t, []*Task{long}, movedTasks(s))
 }
 
-// TestPacesOutliveALeader: the next one begins with them, and an engine's runs
-// show others soon.
-func TestPacesOutliveALeader(t *testing.T) {
+// TestPacesSurviveLeaderChange checks that a new leader starts with the restored paces and replaces
+// them by its own observations.
+func TestPacesSurviveLeaderChange(t *testing.T) {
 	earlier, s := New(), New()
 	earlier.SyncEngines(0, engines(3, 4, "m"), nil)
 	earlier.engines["e00"].pace, earlier.engines["e01"].pace = 60, 40
@@ -120,7 +121,7 @@
 	require.InDelta(t, 60, s.engines["e00"].pace, 0)
 	require.InDelta(t, 40, s.medianPace, 0)
 	require.Zero(t, s.engines["e02"].pace)
-	task := running(s, "x", "e00", 100)
+	task := addRunning(s, "x", "e00", 100)
 	s.ObserveRun(400, task, 20)
 	s.UpdatePaces()
 	require.InDelta(t, 20, s.engines["e00"].pace, 1)
--- a/scheduler/progress_test.go
+++ b/scheduler/progress_test.go
@@ -9,47 +9,48 @@
 	"github.com/dillchute/dillchute/ledger"
 )
 
-// finishGroup finishes the four samples of a group and tells whether the step's
-// trainer had all that it waits for by one of them.
+// finishGroup finishes the four samples of a group. It reports whether this gave the trainer all
+// that it waits for.
 func finishGroup(s *Scheduler, step string, group int) bool {
-	whole := false
+	complete := false
 	for _, task := range s.steps[step].tasks[4*group : 4*group+4] {
-		whole = s.Finish(task) || whole
+		complete = s.Finish(task) || complete
 	}
-	return whole
+	return complete
 }
 
-// TestStepIsWholeOnce: the trainer waits for two of three groups; the first two
-// make the step whole, and nothing after them does so again.
-func TestStepIsWholeOnce(t *testing.T) {
+// TestStepCompletesOnce checks that a step whose trainer waits for two of three groups is reported
+// complete exactly once.
+func TestStepCompletesOnce(t *testing.T) {
 	s := New()
-	step := entry("x", "m", 1, 12)
+	step := newEntry("x", "m", 1, 12)
 	step.Step.Wanted = 2
 	s.AddStep(step)
 	require.False(t, finishGroup(s, "x", 2))
-	require.False(t, s.Finish(s.steps["x"].tasks[8]), "a sample that is finished twice")
+	require.False(t, s.Finish(s.steps["x"].tasks[8]), "finishing a sample twice counts once")
 	require.True(t, finishGroup(s, "x", 0))
 	require.False(t, finishGroup(s, "x", 1))
 }
 
-// laterStep returns a second step of three groups, of which its trainer waits for one.
-// The group at the given place is one that the first step had, "g0".
-func laterStep(again int) *ledger.Entry {
-	step := entry("y", "m", 1, 12)
+// laterStep returns a second step of three groups, of which its trainer waits for one. The group at
+// the given index is "g0" of the first step.
+func laterStep(resubmittedIndex int) *ledger.Entry {
+	step := newEntry("y", "m", 1, 12)
 	step.Step.Number, step.Step.Wanted = 1, 1
 	for position := range step.Step.Samples {
 		step.Step.Samples[position].Group = fmt.Sprintf("new%d", position/4)
-		if position/4 == again {
+		if position/4 == resubmittedIndex {
 			step.Step.Samples[position].Group = "g0"
 		}
 	}
 	return step
 }
 
-// TestStepWaitsForGroupsThatComeAgain: whichever others are whole.
-func TestStepWaitsForGroupsThatComeAgain(t *testing.T) {
+// TestStepWaitsForResubmittedGroups checks that a step does not complete without its resubmitted
+// group.
+func TestStepWaitsForResubmittedGroups(t *testing.T) {
 	s := New()
-	first := entry("x", "m", 1, 12)
+	first := newEntry("x", "m", 1, 12)
 	s.AddStep(first)
 	s.EndStep("x")
 	s.AddStep(laterStep(0))
@@ -57,10 +58,11 @@
 	require.True(t, finishGroup(s, "y", 0))
 }
 
-// TestProgressAfterALeaderChange: groups that have all their results count as whole.
-func TestProgressAfterALeaderChange(t *testing.T) {
+// TestProgressAfterLeaderChange checks that a new leader counts groups whose results are all
+// recorded as complete.
+func TestProgressAfterLeaderChange(t *testing.T) {
 	s := New()
-	step := entry("x", "m", 1, 12)
+	step := newEntry("x", "m", 1, 12)
 	step.Step.Wanted = 2
 	machine := ledger.NewMachine()
 	machine.Apply(ledger.Command{Submit: step.Step}.Encode())
@@ -70,18 +72,18 @@
 	}
 	machine.Apply(ledger.Command{Record: record}.Encode())
 	s.AddStep(machine.Step("x"))
-	whole := false
+	complete := false
 	for _, task := range s.steps["x"].tasks[:4] {
-		whole = s.Finish(task) || whole
+		complete = s.Finish(task) || complete
 	}
-	require.True(t, whole)
+	require.True(t, complete)
 }
 
-// TestTextsOfGroupsThatCameTooLateAreKept: a group that became whole after the
-// trainer had what it waits for may come again.
-func TestTextsOfGroupsThatCameTooLateAreKept(t *testing.T) {
+// TestTextsOfLateGroupsAreKept checks that the texts of a group are kept if it completed after the
+// trainer had what it waits for, since the group may be resubmitted.
+func TestTextsOfLateGroupsAreKept(t *testing.T) {
 	s := New()
-	step := entry("x", "m", 1, 8)
+	step := newEntry("x", "m", 1, 8)
 	step.Step.Wanted = 1
 	s.AddStep(step)
 	for _, task := range s.steps["x"].tasks {
@@ -90,16 +92,15 @@
 	require.True(t, finishGroup(s, "x", 0))
 	finishGroup(s, "x", 1)
 	s.EndStep("x")
-	again := entry("y", "m", 1, 0)
-	again.Step.Samples = step.Step.Samples[4:]
-	require.Len(t, s.AddStep(again), 4)
-	require.Len(t, s.kept.texts["m"], 4, "texts of the group that the trainer has are dropped")
+	later := newEntry("y", "m", 1, 0)
+	later.Step.Samples = step.Step.Samples[4:]
+	require.Len(t, s.AddStep(later), 4)
+	require.Len(t, s.kept.texts["m"], 4, "texts of the delivered group are dropped")
 }
 
-// TestRemainingCountsEvents: predictions are in tokens, of which an event holds
-// several; what outlives its prediction is expected to go on for a while, and
-// nothing becomes longer than it may.
-func TestRemainingCountsEvents(t *testing.T) {
+// TestRemainingEvents checks that predictions are converted from tokens to events, that texts
+// beyond their prediction are expected to continue, and that the token limit bounds the result.
+func TestRemainingEvents(t *testing.T) {
 	task := &Task{Step: &ledger.Step{EventTokens: 50}, Sample: &ledger.Sample{Predicted: 5000, MostTokens: 6000}}
 	for after, expected := range map[uint64]float64{0: 100, 10: 90, 70: 40, 100: 20, 119: 1} {
 		require.InDelta(t, expected, task.remainingEvents(after), 0.01, "after %d events", after)
@@ -110,26 +111,27 @@
 	require.InDelta(t, 1, unknown.remainingEvents(0), 0.01)
 }
 
-// TestGroupsComeAgainUnderTheNextLeader: a leader that has not seen the earlier
-// step itself waits for the groups that it had as well.
-func TestGroupsComeAgainUnderTheNextLeader(t *testing.T) {
+// TestNextLeaderRecognizesResubmittedGroups checks that a leader waits for resubmitted groups even
+// if the earlier step ended under another leader.
+func TestNextLeaderRecognizesResubmittedGroups(t *testing.T) {
 	s := New()
-	s.RecordEndedStep(entry("x", "m", 1, 4).Step)
+	s.RecordEndedStep(newEntry("x", "m", 1, 4).Step)
 	s.AddStep(laterStep(2))
 	require.False(t, finishGroup(s, "y", 0))
 	require.True(t, finishGroup(s, "y", 2))
 }
 
-// TestSamplesThatComeAgainHaveAKnownLength: also where their texts cannot be used.
-func TestSamplesThatComeAgainHaveAKnownLength(t *testing.T) {
+// TestResubmittedSamplesHaveKnownLength checks that lengths are known even if the texts cannot be
+// used.
+func TestResubmittedSamplesHaveKnownLength(t *testing.T) {
 	s := New()
-	first := entry("x", "m", 1, 4)
+	first := newEntry("x", "m", 1, 4)
 	s.AddStep(first)
 	for number, task := range s.steps["x"].tasks[:2] {
 		task.Text = Text{Events: make([]string, 30), Last: 30, Versions: []uint64{1}, Complete: number == 0}
 	}
 	s.EndStep("x")
-	step := entry("y", "m", 2, 0)
+	step := newEntry("y", "m", 2, 0)
 	step.Step.Number, step.Step.Samples = 1, first.Step.Samples
 	s.AddStep(step)
 	var expected []float64
@@ -142,11 +144,12 @@
 	require.Greater(t, s.steps["y"].tasks[1].remainingEvents(30), 4.0)
 }
 
-// TestGroupsComeAgainMoreThanOnce: also long after the first step that had them.
-func TestGroupsComeAgainMoreThanOnce(t *testing.T) {
+// TestGroupsAreResubmittedRepeatedly checks that a group is still recognized many steps after the
+// first that had it.
+func TestGroupsAreResubmittedRepeatedly(t *testing.T) {
 	s := New()
 	for number := range 8 {
-		step := entry(fmt.Sprint(number), "m", 1, 12)
+		step := newEntry(fmt.Sprint(number), "m", 1, 12)
 		step.Step.Number, step.Step.Wanted = number, 1
 		for position := range step.Step.Samples {
 			if position >= 4 || number%2 == 1 {
@@ -155,7 +158,7 @@
 		}
 		s.AddStep(step)
 		if number%2 == 0 && number > 0 {
-			require.False(t, finishGroup(s, step.Step.ID, 1), "step %d waits for the group that comes again", number)
+			require.False(t, finishGroup(s, step.Step.ID, 1), "step %d waits for the resubmitted group", number)
 			require.True(t, finishGroup(s, step.Step.ID, 0))
 			require.InDelta(t, 2, s.model("m").resubmissionSteps, 0.01)
 		}
--- a/scheduler/scarce_fleet_test.go
+++ b/scheduler/scarce_fleet_test.go
@@ -14,62 +14,62 @@
 	"github.com/dillchute/dillchute/ledger"
 )
 
-// The fleet here is a model of engines in virtual time, with trainers that ask for more than the
-// engines have room for. It stands for engines that run each sample at a steady pace.
+// fleetSimulation simulates engines in virtual time, with trainers that ask for more than the
+// engines can do. Each engine runs every sample at a constant pace.
 
 const (
-	fleetTick     = 20
-	fleetPace     = 50.0
-	fleetInterval = 4000
-	fleetDue      = 7500
-	fleetDeadline = 12000
-	// fleetGrace is how long after the due time a group still counts in full.
-	fleetGrace  = 700
-	fleetWanted = 0.9
-	// fleetScoring is how long a whole text takes to be scored and listed, and fleetTraining how
-	// long after a step a trainer may ask for another.
-	fleetScoring  = 100
-	fleetTraining = 500
+	fleetTickMillis     = 20
+	fleetPace           = 50.0
+	fleetIntervalMillis = 4000
+	fleetDueMillis      = 7500
+	fleetDeadlineMillis = 12000
+	// fleetGraceMillis is how long after the due time a group still counts as in time.
+	fleetGraceMillis = 700
+	fleetWantedShare = 0.9
+	// fleetScoringMillis is how long scoring and recording a text takes, and fleetTrainingMillis
+	// how long a trainer still counts a step as open after it ended.
+	fleetScoringMillis  = 100
+	fleetTrainingMillis = 500
 )
 
-// trainerLoad is what one trainer asks for at once times the room.
+// trainerLoad describes the steps that a trainer submits at a load factor of 1.
 type trainerLoad struct {
 	name         string
 	groups, size int
 	events       float64
 }
 
-// fleetLoads is a mix of trainers whose steps take about the room of fleetEngines.
-var fleetLoads = []trainerLoad{
+// trainerLoads is a mix of trainers; its steps are scaled to the capacity of the engines.
+var trainerLoads = []trainerLoad{
 	{name: "a", groups: 10, size: 16, events: 9.66},
 	{name: "b", groups: 8, size: 16, events: 20.4},
 	{name: "c", groups: 9, size: 16, events: 20.4},
 	{name: "d", groups: 6, size: 16, events: 15.9},
 }
 
-// fleetSample is a sample with its true length, of which its prediction tells only about.
+// fleetSample is a sample with its true length, which the prediction only approximates.
 type fleetSample struct {
 	length int
 	done   float64
 }
 
 type fleetGroup struct {
-	open    int
-	wholeAt int64
-	// work is the time that it takes in slots of the usual pace, and predicted what is told of it.
+	unfinished  int
+	completedAt int64
+	// work is the slot time that the group takes at fleetPace, and predicted its prediction.
 	work, predicted float64
 }
 
 type fleetStep struct {
-	machine *ledger.Machine
-	entry   *ledger.Entry
-	trainer *fleetTrainer
-	groups  map[string]*fleetGroup
-	again   map[string]bool
-	wanted  int
-	sent    int64
-	ended   bool
-	endedAt int64
+	machine     *ledger.Machine
+	entry       *ledger.Entry
+	trainer     *fleetTrainer
+	groups      map[string]*fleetGroup
+	resubmitted map[string]bool
+	wanted      int
+	submittedAt int64
+	ended       bool
+	endedAt     int64
 }
 
 type fleetTrainer struct {
@@ -79,42 +79,41 @@
 	nextAt  int64
 }
 
-// scoredTask is a task whose text is whole, with when it is listed.
-type scoredTask struct {
+// scoringTask is a task with a complete text and the time at which its result is recorded.
+type scoringTask struct {
 	task *Task
 	at   int64
 }
 
-// fleet plays trainers before engines.
-type fleet struct {
+// fleetSimulation holds the state of the simulation.
+type fleetSimulation struct {
 	t        testing.TB
 	random   *rand.Rand
 	s        *Scheduler
 	backends []directory.Backend
 	paces    map[string]float64
-	scoring  []scoredTask
+	scoring  []scoringTask
 	trainers []*fleetTrainer
 	samples  map[string]*fleetSample
 	steps    map[string]*fleetStep
 	now      int64
-	// feedback has trainers hold at most two steps open, and ask again for groups that were
-	// not whole.
-	feedback bool
-	// served is the time of slots that each trainer had, by interval, and idle the time of slots
-	// that were free while samples waited.
-	served []map[string]float64
-	idle   float64
-	// byLatestStart has samples start by their latest starts alone.
+	// resubmits limits trainers to two open steps and has them resubmit incomplete groups.
+	resubmits bool
+	// servedMillis is the slot time that each trainer had, by interval, and idleMillis the slot
+	// time that was free while samples waited.
+	servedMillis []map[string]float64
+	idleMillis   float64
+	// byLatestStart disables the plan, so that samples start by latest start alone.
 	byLatestStart bool
 }
 
-func newFleet(t testing.TB, seed int64, count, slots int, times float64, uneven bool) *fleet {
-	f := &fleet{
+func newFleetSimulation(t testing.TB, seed int64, count, slots int, loadFactor float64, uneven bool) *fleetSimulation {
+	f := &fleetSimulation{
 		t: t, random: rand.New(rand.NewSource(seed)), s: New(), backends: engines(count, slots, "a", "b", "c", "d"),
 		samples: map[string]*fleetSample{}, steps: map[string]*fleetStep{},
 	}
 	perStep := 0.0
-	for _, load := range fleetLoads {
+	for _, load := range trainerLoads {
 		perStep += float64(load.groups*load.size) * load.events * fleetPace
 	}
 	f.paces = map[string]float64{}
@@ -125,17 +124,17 @@
 	for position, backend := range f.backends {
 		f.paces[backend.ID] = fleetPace * slowness[position%len(slowness)]
 	}
-	scale := times * f.slots() * fleetInterval / (perStep * fleetWanted)
-	for position, load := range fleetLoads {
+	scale := loadFactor * f.effectiveSlots() * fleetIntervalMillis / (perStep * fleetWantedShare)
+	for position, load := range trainerLoads {
 		load.groups = max(int(float64(load.groups)*scale+0.5), 1)
 		f.trainers = append(f.trainers, &fleetTrainer{load: load, nextAt: int64(position * 200)})
 	}
-	f.takeOver()
+	f.replaceScheduler()
 	return f
 }
 
-// takeOver has a new scheduler go on with what the ledger knows.
-func (f *fleet) takeOver() {
+// replaceScheduler replaces the scheduler by a new one that is restored from the ledger.
+func (f *fleetSimulation) replaceScheduler() {
 	f.s, f.scoring = New(), nil
 	f.s.SyncEngines(f.now, f.backends, map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1})
 	f.setPaces()
@@ -150,15 +149,15 @@
 	}
 }
 
-func (f *fleet) setPaces() {
+func (f *fleetSimulation) setPaces() {
 	for id, e := range f.s.engines {
 		e.pace = f.paces[id]
 	}
 	f.s.updateReferencePaces()
 }
 
-// slots returns the slots as so many of the usual pace.
-func (f *fleet) slots() float64 {
+// effectiveSlots returns the number of slots, weighted by the pace of their engines.
+func (f *fleetSimulation) effectiveSlots() float64 {
 	slots := 0.0
 	for _, backend := range f.backends {
 		slots += float64(backend.Slots) * fleetPace / f.paces[backend.ID]
@@ -166,8 +165,8 @@
 	return slots
 }
 
-// length draws a sample's length, and prediction what is told of it.
-func (f *fleet) length(mean float64) int {
+// drawLength draws a sample's length.
+func (f *fleetSimulation) drawLength(mean float64) int {
 	const spread = 0.84
 	drawn := mean / 1.9 * math.Exp(spread*f.random.NormFloat64())
 	if f.random.Float64() < 0.08 {
@@ -176,22 +175,22 @@
 	return int(min(max(drawn, 1), mean*7.2))
 }
 
-func (f *fleet) prediction(length int) int {
+func (f *fleetSimulation) drawPrediction(length int) int {
 	return max(int(float64(length)*math.Exp(0.5*f.random.NormFloat64())), 1)
 }
 
-func (f *fleet) play(until int64) {
-	for ; f.now < until; f.now += fleetTick {
-		f.ask()
-		f.run()
-		f.list()
-		f.end()
+func (f *fleetSimulation) simulate(until int64) {
+	for ; f.now < until; f.now += fleetTickMillis {
+		f.submitDueSteps()
+		f.advanceEngines()
+		f.recordScored()
+		f.endSteps()
 		f.assign()
 	}
 }
 
-// lose takes the first engines away; their samples go on elsewhere after what they have.
-func (f *fleet) lose(count int) {
+// removeEngines removes the first engines; their samples continue elsewhere.
+func (f *fleetSimulation) removeEngines(count int) {
 	f.backends = f.backends[count:]
 	for _, task := range f.s.SyncEngines(f.now, f.backends, nil) {
 		f.s.RunEnded(f.now, task, task.Run, Broken)
@@ -199,51 +198,51 @@
 	f.setPaces()
 }
 
-func (f *fleet) ask() {
+func (f *fleetSimulation) submitDueSteps() {
 	for _, trainer := range f.trainers {
 		if f.now < trainer.nextAt {
 			continue
 		}
 		open := 0
 		for _, step := range trainer.steps {
-			if !step.ended || f.now < step.endedAt+fleetTraining {
+			if !step.ended || f.now < step.endedAt+fleetTrainingMillis {
 				open++
 			}
 		}
-		if f.feedback && open >= 2 {
+		if f.resubmits && open >= 2 {
 			continue
 		}
-		trainer.nextAt += fleetInterval
+		trainer.nextAt += fleetIntervalMillis
 		f.submit(trainer)
 	}
 }
 
-func (f *fleet) submit(trainer *fleetTrainer) {
+func (f *fleetSimulation) submit(trainer *fleetTrainer) {
 	number := len(trainer.steps)
 	id := fmt.Sprintf("%s-%d", trainer.load.name, number)
 	step := &ledger.Step{
 		ID: id, Model: trainer.load.name, OldestVersion: 1, Attempts: 3, Number: number, Host: trainer.load.name,
-		SubmittedAt: f.now, DueAt: f.now + fleetDue, GiveUpAt: f.now + 60000,
+		SubmittedAt: f.now, DueAt: f.now + fleetDueMillis, GiveUpAt: f.now + 60000,
 	}
-	submitted := &fleetStep{trainer: trainer, groups: map[string]*fleetGroup{}, again: map[string]bool{}, sent: f.now}
+	submitted := &fleetStep{trainer: trainer, groups: map[string]*fleetGroup{}, resubmitted: map[string]bool{}, submittedAt: f.now}
 	names := trainer.carried
 	trainer.carried = nil
 	for len(names) < trainer.load.groups {
 		names = append(names, fmt.Sprintf("%s-g%d", id, len(names)))
 	}
-	step.Wanted = int(math.Ceil(fleetWanted * float64(len(names))))
+	step.Wanted = int(math.Ceil(fleetWantedShare * float64(len(names))))
 	for position, name := range names {
-		group := &fleetGroup{open: trainer.load.size}
+		group := &fleetGroup{unfinished: trainer.load.size}
 		submitted.groups[name] = group
 		for member := range trainer.load.size {
 			sample := fmt.Sprintf("%s/%d", name, member)
 			if f.samples[sample] == nil {
-				f.samples[sample] = &fleetSample{length: f.length(trainer.load.events)}
+				f.samples[sample] = &fleetSample{length: f.drawLength(trainer.load.events)}
 			} else if position < len(names) {
-				submitted.again[name] = true
+				submitted.resubmitted[name] = true
 			}
 			group.work += float64(f.samples[sample].length) * fleetPace
-			predicted := f.prediction(f.samples[sample].length)
+			predicted := f.drawPrediction(f.samples[sample].length)
 			group.predicted += float64(predicted) * fleetPace
 			step.Samples = append(step.Samples, ledger.Sample{ID: sample, Group: name, Predicted: predicted})
 		}
@@ -255,12 +254,12 @@
 	trainer.steps = append(trainer.steps, submitted)
 	f.steps[id] = submitted
 	for _, task := range f.s.AddStep(submitted.entry) {
-		f.finish(task)
+		f.recordResult(task)
 	}
 }
 
-// run has the engines go on with their samples.
-func (f *fleet) run() {
+// advanceEngines advances the running samples by one tick.
+func (f *fleetSimulation) advanceEngines() {
 	for _, e := range f.s.sortedEngines {
 		pace := e.pace
 		if pace == 0 {
@@ -272,18 +271,18 @@
 		}
 		slices.SortFunc(tasks, func(a, b *Task) int { return cmp.Compare(a.Sample.ID, b.Sample.ID) })
 		for _, task := range tasks {
-			f.advance(task, fleetTick/pace)
+			f.advanceTask(task, fleetTickMillis/pace)
 		}
 	}
 }
 
-func (f *fleet) advance(task *Task, events float64) {
+func (f *fleetSimulation) advanceTask(task *Task, events float64) {
 	sample := f.samples[task.Sample.ID]
-	interval := int(f.now / fleetInterval)
-	for len(f.served) <= interval {
-		f.served = append(f.served, map[string]float64{})
+	interval := int(f.now / fleetIntervalMillis)
+	for len(f.servedMillis) <= interval {
+		f.servedMillis = append(f.servedMillis, map[string]float64{})
 	}
-	f.served[interval][task.Step.Model] += fleetTick * fleetPace / f.paces[task.Engine]
+	f.servedMillis[interval][task.Step.Model] += fleetTickMillis * fleetPace / f.paces[task.Engine]
 	sample.done += events
 	for float64(task.Text.Last) < math.Floor(sample.done) && task.Text.Last < uint64(sample.length) {
 		task.Text.Events = append(task.Text.Events, "x")
@@ -291,40 +290,40 @@
 		task.Text.AddVersion(1)
 	}
 	if task.Text.Last >= uint64(sample.length) {
-		ahead := task.IsSpeculative()
+		speculative := task.IsSpeculative()
 		require.True(f.t, f.s.RunEnded(f.now, task, task.Run, Complete))
-		if !ahead {
-			f.scoring = append(f.scoring, scoredTask{task: task, at: f.now + fleetScoring})
+		if !speculative {
+			f.scoring = append(f.scoring, scoringTask{task: task, at: f.now + fleetScoringMillis})
 		}
 	}
 }
 
-// list has the trainers see the texts that are scored by now.
-func (f *fleet) list() {
+// recordScored records the results of the texts that have been scored by now.
+func (f *fleetSimulation) recordScored() {
 	for len(f.scoring) > 0 && f.scoring[0].at <= f.now {
 		task := f.scoring[0].task
 		f.scoring = f.scoring[1:]
 		if task.State == Scoring && f.s.steps[task.Step.ID] != nil {
-			f.finish(task)
+			f.recordResult(task)
 		}
 	}
 }
 
-func (f *fleet) finish(task *Task) {
+func (f *fleetSimulation) recordResult(task *Task) {
 	f.s.Finish(task)
 	step := f.steps[task.Step.ID]
 	step.machine.Apply(ledger.Command{Record: &ledger.Record{Step: task.Step.ID, Results: []ledger.Result{
 		{Sample: task.Sample.ID, State: ledger.Succeeded, Versions: []uint64{1}},
 	}}}.Encode())
 	group := step.groups[task.Sample.Group]
-	group.open--
-	if group.open == 0 {
-		group.wholeAt = f.now
+	group.unfinished--
+	if group.unfinished == 0 {
+		group.completedAt = f.now
 	}
 }
 
-// end has trainers end the steps that are whole, or over.
-func (f *fleet) end() {
+// endSteps ends the steps that are complete or past their deadline.
+func (f *fleetSimulation) endSteps() {
 	for _, trainer := range f.trainers {
 		for _, step := range trainer.steps {
 			if step.ended || !f.isOver(step) {
@@ -332,32 +331,32 @@
 			}
 			step.ended, step.endedAt = true, f.now
 			f.s.EndStep(step.entry.Step.ID)
-			if f.feedback {
-				f.carry(step)
+			if f.resubmits {
+				f.carryOver(step)
 			}
 		}
 	}
 }
 
-func (f *fleet) isOver(step *fleetStep) bool {
-	if f.now >= step.sent+fleetDeadline {
+func (f *fleetSimulation) isOver(step *fleetStep) bool {
+	if f.now >= step.submittedAt+fleetDeadlineMillis {
 		return true
 	}
-	whole := 0
+	complete := 0
 	for name, group := range step.groups {
-		if group.open == 0 {
-			whole++
-		} else if step.again[name] {
+		if group.unfinished == 0 {
+			complete++
+		} else if step.resubmitted[name] {
 			return false
 		}
 	}
-	return whole >= step.wanted
+	return complete >= step.wanted
 }
 
-func (f *fleet) carry(step *fleetStep) {
+func (f *fleetSimulation) carryOver(step *fleetStep) {
 	var names []string
 	for name, group := range step.groups {
-		if group.open > 0 {
+		if group.unfinished > 0 {
 			names = append(names, name)
 		}
 	}
@@ -366,7 +365,7 @@
 	step.trainer.carried = names[:min(len(names), step.wanted/2)]
 }
 
-func (f *fleet) assign() {
+func (f *fleetSimulation) assign() {
 	if f.byLatestStart {
 		f.s.plan.madeAt, f.s.plan.stale = f.now, false
 	}
@@ -382,5 +381,5 @@
 			waiting++
 		}
 	}
-	f.idle += float64(min(free, waiting)) * fleetTick
+	f.idleMillis += float64(min(free, waiting)) * fleetTickMillis
 }
--- a/scheduler/scarce_result_test.go
+++ b/scheduler/scarce_result_test.go
@@ -7,30 +7,30 @@
 	"slices"
 )
 
-// fleetResult is how the groups that trainers wait for have fared, of the steps due by the end.
+// fleetResult counts the groups that trainers wait for, for the steps whose deadline has passed.
 type fleetResult struct {
-	asked, inTime, late int
-	// byTrainer is the time of the work of each trainer's groups that were whole in time.
-	byTrainer map[string]float64
-	groups    map[string]int
+	requested, inTime, late int
+	// workInTime is the work of each trainer's groups that completed in time.
+	workInTime map[string]float64
+	groups     map[string]int
 	// steps is the number of each trainer's steps.
 	steps map[string]int
 }
 
-func (f *fleet) result(from int64) fleetResult {
-	r := fleetResult{byTrainer: map[string]float64{}, groups: map[string]int{}, steps: map[string]int{}}
+func (f *fleetSimulation) result(from int64) fleetResult {
+	r := fleetResult{workInTime: map[string]float64{}, groups: map[string]int{}, steps: map[string]int{}}
 	for _, trainer := range f.trainers {
-		wanted := int(math.Ceil(fleetWanted * float64(trainer.load.groups)))
-		for at := trainer.nextStepAt(0); at+fleetDeadline <= f.now; at += fleetInterval {
+		wanted := int(math.Ceil(fleetWantedShare * float64(trainer.load.groups)))
+		for at := trainer.stepTime(0); at+fleetDeadlineMillis <= f.now; at += fleetIntervalMillis {
 			if at >= from {
-				r.asked += wanted
+				r.requested += wanted
 			}
 		}
 		for _, step := range trainer.steps {
-			if step.sent+fleetDeadline > f.now || step.sent < from {
+			if step.submittedAt+fleetDeadlineMillis > f.now || step.submittedAt < from {
 				continue
 			}
-			inTime, late := f.count(step, &r)
+			inTime, late := f.countGroups(step, &r)
 			inTime = min(inTime, step.wanted)
 			r.inTime += inTime
 			r.late += min(late, step.wanted-inTime)
@@ -41,13 +41,13 @@
 	return r
 }
 
-func (f *fleet) count(step *fleetStep, r *fleetResult) (inTime, late int) {
+func (f *fleetSimulation) countGroups(step *fleetStep, r *fleetResult) (inTime, late int) {
 	for _, group := range step.groups {
 		switch {
-		case group.open > 0:
-		case group.wholeAt <= step.sent+fleetDue+fleetGrace:
+		case group.unfinished > 0:
+		case group.completedAt <= step.submittedAt+fleetDueMillis+fleetGraceMillis:
 			inTime++
-			r.byTrainer[step.trainer.load.name] += group.work
+			r.workInTime[step.trainer.load.name] += group.work
 		default:
 			late++
 		}
@@ -55,41 +55,41 @@
 	return inTime, late
 }
 
-func (trainer *fleetTrainer) nextStepAt(number int) int64 {
-	return trainer.nextAt%fleetInterval + int64(number)*fleetInterval
+func (trainer *fleetTrainer) stepTime(number int) int64 {
+	return trainer.nextAt%fleetIntervalMillis + int64(number)*fleetIntervalMillis
 }
 
-// String tells the result for logs.
+// String implements fmt.Stringer.
 func (r fleetResult) String() string {
-	return fmt.Sprintf("asked %d in time %d late %d: %v", r.asked, r.inTime, r.late, r.groups)
+	return fmt.Sprintf("requested %d, in time %d, late %d: %v", r.requested, r.inTime, r.late, r.groups)
 }
 
-// fairBound returns how many groups could be whole in time if each trainer had its fair share of
-// the slots' time, what one does not use going to the others, no time were lost, and each trainer
-// spent its share on its groups with the least work by what is told of them; and the shares.
-func (f *fleet) fairBound(from int64) (bound int, shares map[string]float64) {
+// fairBound returns how many groups could complete in time if no slot time were lost and each
+// trainer spent its fair share on the groups with the least predicted work. It also returns the
+// fair shares.
+func (f *fleetSimulation) fairBound(from int64) (bound int, shares map[string]float64) {
 	works := map[string][]*fleetGroup{}
 	demand := map[string]float64{}
 	until := int64(0)
 	for _, trainer := range f.trainers {
 		for _, step := range trainer.steps {
-			if step.sent+fleetDeadline > f.now || step.sent < from {
+			if step.submittedAt+fleetDeadlineMillis > f.now || step.submittedAt < from {
 				continue
 			}
-			until = max(until, step.sent+fleetInterval)
-			for _, group := range step.leastWork() {
+			until = max(until, step.submittedAt+fleetIntervalMillis)
+			for _, group := range step.smallestGroups() {
 				demand[trainer.load.name] += group.work
 				works[trainer.load.name] = append(works[trainer.load.name], group)
 			}
 		}
 	}
-	shares = fairShares(demand, f.slots()*float64(until-from))
+	shares = fairShares(demand, f.effectiveSlots()*float64(until-from))
 	for name, groups := range works {
-		slices.SortFunc(groups, byPrediction)
-		left := shares[name]
+		slices.SortFunc(groups, comparePredicted)
+		remaining := shares[name]
 		for _, group := range groups {
-			left -= group.work
-			if left < 0 {
+			remaining -= group.work
+			if remaining < 0 {
 				break
 			}
 			bound++
@@ -98,58 +98,59 @@
 	return bound, shares
 }
 
-// leastShare returns the least part of its fair share that a trainer had over three steps, by the
-// work that the trainers of those steps waited for.
-func (f *fleet) leastShare() float64 {
+// smallestFairShare returns the smallest share of its fair share that any trainer had over three
+// steps.
+func (f *fleetSimulation) smallestFairShare() float64 {
 	const steps = 3
-	least := math.Inf(1)
-	for first := steps; first+steps < len(f.served); first++ {
+	smallest := math.Inf(1)
+	for first := steps; first+steps < len(f.servedMillis); first++ {
 		demand, served := map[string]float64{}, map[string]float64{}
 		for interval := first; interval < first+steps; interval++ {
 			for _, trainer := range f.trainers {
-				demand[trainer.load.name] += trainer.offered(interval)
-				served[trainer.load.name] += f.served[interval][trainer.load.name]
+				demand[trainer.load.name] += trainer.requiredWork(interval)
+				served[trainer.load.name] += f.servedMillis[interval][trainer.load.name]
 			}
 		}
-		for name, share := range fairShares(demand, f.slots()*steps*fleetInterval) {
+		for name, share := range fairShares(demand, f.effectiveSlots()*steps*fleetIntervalMillis) {
 			if share > 0 {
-				least = min(least, served[name]/share)
+				smallest = min(smallest, served[name]/share)
 			}
 		}
 	}
-	return least
+	return smallest
 }
 
-// offered returns the least work with which the trainer's step of the interval would be whole.
-func (trainer *fleetTrainer) offered(interval int) float64 {
-	offered := 0.0
+// requiredWork returns the work of the groups that the trainer's step of the interval waits for.
+func (trainer *fleetTrainer) requiredWork(interval int) float64 {
+	work := 0.0
 	for _, step := range trainer.steps {
-		if int(step.sent/fleetInterval) == interval {
-			for _, group := range step.leastWork() {
-				offered += group.work
+		if int(step.submittedAt/fleetIntervalMillis) == interval {
+			for _, group := range step.smallestGroups() {
+				work += group.work
 			}
 		}
 	}
-	return offered
+	return work
 }
 
-// leastWork returns as many groups as the trainer waits for, those with the least work by what is
-// told of them.
-func (step *fleetStep) leastWork() []*fleetGroup {
+// smallestGroups returns as many groups as the trainer waits for, those with the least predicted
+// work.
+func (step *fleetStep) smallestGroups() []*fleetGroup {
 	var groups []*fleetGroup
 	for _, group := range step.groups {
 		groups = append(groups, group)
 	}
-	slices.SortFunc(groups, byPrediction)
+	slices.SortFunc(groups, comparePredicted)
 	return groups[:step.wanted]
 }
 
-func byPrediction(a, b *fleetGroup) int {
+func comparePredicted(a, b *fleetGroup) int {
 	return cmp.Or(cmp.Compare(a.predicted, b.predicted), cmp.Compare(a.work, b.work))
 }
 
-// fairShares deals the room out: equal parts, and what one does not want goes to the others.
-func fairShares(demand map[string]float64, room float64) map[string]float64 {
+// fairShares divides the capacity by max-min fairness: equal shares, with the unused part of a
+// share going to the others.
+func fairShares(demand map[string]float64, capacity float64) map[string]float64 {
 	names := make([]string, 0, len(demand))
 	for name := range demand {
 		names = append(names, name)
@@ -157,8 +158,8 @@
 	slices.SortFunc(names, func(a, b string) int { return cmp.Compare(demand[a], demand[b]) })
 	shares := map[string]float64{}
 	for position, name := range names {
-		shares[name] = min(demand[name], room/float64(len(names)-position))
-		room -= shares[name]
+		shares[name] = min(demand[name], capacity/float64(len(names)-position))
+		capacity -= shares[name]
 	}
 	return shares
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -23,7 +23,7 @@
 	return backends
 }
 
-func entry(id, model string, oldest uint64, samples int) *ledger.Entry {
+func newEntry(id, model string, oldest uint64, samples int) *ledger.Entry {
 	step := &ledger.Step{ID: id, Model: model, OldestVersion: oldest, Attempts: 3}
 	for number := range samples {
 		step.Samples = append(step.Samples, ledger.Sample{
@@ -37,14 +37,14 @@
 
 func anywhere(*Task) ([]string, bool) { return []string{"engines"}, true }
 
-// TestLoadTouchesOneModel: samples of other models go on starting on an engine
-// that loads weights.
-func TestLoadTouchesOneModel(t *testing.T) {
+// TestLoadBlocksOnlyItsModel checks that samples of other models still start on an engine that is
+// loading weights.
+func TestLoadBlocksOnlyItsModel(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 8, "a", "b"), map[string]uint64{"a": 2})
 	require.Len(t, s.LoadOrders(0), 1)
-	s.AddStep(entry("of-a", "a", 1, 2))
-	s.AddStep(entry("of-b", "b", 1, 2))
+	s.AddStep(newEntry("of-a", "a", 1, 2))
+	s.AddStep(newEntry("of-b", "b", 1, 2))
 	for _, assignment := range s.Assign(0, anywhere) {
 		require.Equal(t, "b", assignment.Task.Step.Model)
 	}
@@ -52,33 +52,32 @@
 	require.Len(t, s.Assign(0, anywhere), 2)
 }
 
-// TestLoadsFitTheTime: with three models on nine engines that load two at a
-// time, at least two engines can serve each model's next step as soon as its
-// version is named, and none of the models starves.
-func TestLoadsFitTheTime(t *testing.T) {
+// TestLoadsKeepUpWithVersions checks that with three models on nine engines and two concurrent
+// loads, at least two engines can serve each model's next step when its version is published.
+func TestLoadsKeepUpWithVersions(t *testing.T) {
 	const loadMillis, interval = 1000, 4000
 	s := New()
 	backends := engines(9, 8, "a", "b", "c")
 	newest := map[string]uint64{"a": 1, "b": 1, "c": 1}
 	s.SyncEngines(0, backends, newest)
-	underWay := map[int64][]LoadOrder{}
+	activeLoads := map[int64][]LoadOrder{}
 	for now := int64(0); now < 60*interval; now += 100 {
 		if now%interval == 0 && now > 0 {
 			for model := range newest {
 				newest[model]++
 				s.SyncEngines(now, backends, newest)
 				id := fmt.Sprintf("%s%d", model, now)
-				s.AddStep(entry(id, model, newest[model]-1, 64))
+				s.AddStep(newEntry(id, model, newest[model]-1, 64))
 				if now > 4*interval {
 					require.GreaterOrEqual(t, serving(s, model), 2, "model %s at %d ms", model, now)
 				}
 				s.EndStep(id)
 			}
 		}
-		for _, order := range underWay[now] {
+		for _, order := range activeLoads[now] {
 			s.LoadCompleted(now, order.Backend.ID, order.Model, order.Version, true)
 		}
-		underWay[now+loadMillis] = append(underWay[now+loadMillis], s.LoadOrders(now)...)
+		activeLoads[now+loadMillis] = append(activeLoads[now+loadMillis], s.LoadOrders(now)...)
 		require.LessOrEqual(t, s.activeLoads(now), 2)
 	}
 }
@@ -93,15 +92,15 @@
 	return count
 }
 
-// TestWaitingSamplesCallForLoads: an engine that holds too old a version loads
-// as soon as samples wait for longer than a load takes.
-func TestWaitingSamplesCallForLoads(t *testing.T) {
+// TestWaitingSamplesTriggerLoads checks that an engine with too old a version loads as soon as
+// samples would wait longer than a load takes.
+func TestWaitingSamplesTriggerLoads(t *testing.T) {
 	s := New()
 	backends := engines(4, 8, "a", "b")
 	s.SyncEngines(0, backends, map[string]uint64{"a": 1, "b": 3})
 	s.LoadCompleted(0, "e00", "b", 3, true)
 	s.LoadCompleted(0, "e01", "b", 3, true)
-	s.AddStep(entry("x", "b", 3, 300))
+	s.AddStep(newEntry("x", "b", 3, 300))
 	s.Assign(0, anywhere)
 	orders := s.LoadOrders(0)
 	require.Len(t, orders, 1)
@@ -109,12 +108,12 @@
 	require.Equal(t, "e02", orders[0].Backend.ID)
 }
 
-// TestNeededGroupsStartFirst: of four groups the trainer waits for three; the
-// one with the most work starts last, and of the rest the longest sample first.
+// TestNeededGroupsStartFirst checks that the group that the trainer does not wait for starts last,
+// and that of the others the longest samples start first.
 func TestNeededGroupsStartFirst(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 1, "a"), nil)
-	step := entry("x", "a", 1, 16)
+	step := newEntry("x", "a", 1, 16)
 	step.Step.Wanted = 3
 	s.AddStep(step)
 	var order []int
@@ -126,21 +125,21 @@
 	require.Equal(t, []int{12, 11, 10, 9, 8, 7, 6, 5, 4, 3, 2, 1, 16, 15, 14, 13}, order)
 }
 
-// TestMoreUrgentStepStartsFirst: also where it was handed in later.
+// TestMoreUrgentStepStartsFirst checks that priority outranks the due time.
 func TestMoreUrgentStepStartsFirst(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 1, "a"), nil)
-	later := entry("later", "a", 1, 1)
-	earlier := entry("earlier", "a", 1, 1)
+	later := newEntry("later", "a", 1, 1)
+	earlier := newEntry("earlier", "a", 1, 1)
 	earlier.Step.Priority, later.Step.DueAt = 1, 10
 	s.AddStep(earlier)
 	s.AddStep(later)
 	require.Equal(t, "later", s.Assign(0, anywhere)[0].Task.Step.ID)
 }
 
-// TestOrdersWaitForTheLeaseOfAnEarlierHolder: only the engines that it has given
-// orders to are left alone.
-func TestOrdersWaitForTheLeaseOfAnEarlierHolder(t *testing.T) {
+// TestDeferredLoadsWaitForTheLease checks that only engines with orders of an earlier leader are
+// deferred.
+func TestDeferredLoadsWaitForTheLease(t *testing.T) {
 	s := New()
 	s.DeferLoads("e00", 1000)
 	s.SyncEngines(0, engines(2, 8, "a"), map[string]uint64{"a": 2})
@@ -153,9 +152,8 @@
 	require.Equal(t, "e00", orders[0].Backend.ID)
 }
 
-// TestLoadsSpread: engines that serve other models already are not the first
-// to load, so that the models do not meet on the same engines.
-func TestLoadsSpread(t *testing.T) {
+// TestLoadsSpreadAcrossEngines checks that loads prefer engines that do not serve other models.
+func TestLoadsSpreadAcrossEngines(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(4, 8, "a", "b"), map[string]uint64{"a": 2, "b": 2})
 	s.LoadCompleted(0, "e00", "a", 2, true)
@@ -165,16 +163,15 @@
 	require.Equal(t, "e02", order.Backend.ID)
 }
 
-// TestTextIsKeptForALaterStep: a sample that comes again goes on after what it
-// had, or is scored at once if that is whole; a text made under a version that
-// the later step does not allow is not used.
+// TestTextIsKeptForALaterStep checks that a resubmitted sample continues from its kept text, or is
+// scored at once if that is complete, unless the later step does not allow the text's version.
 func TestTextIsKeptForALaterStep(t *testing.T) {
-	for oldest, kept := range map[uint64]bool{1: true, 2: false} {
+	for oldest, usable := range map[uint64]bool{1: true, 2: false} {
 		s := New()
 		backends := engines(1, 8, "a")
 		backends[0].Models[0].Version = 2
 		s.SyncEngines(0, backends, map[string]uint64{"a": 2})
-		first := entry("first", "a", 1, 2)
+		first := newEntry("first", "a", 1, 2)
 		s.AddStep(first)
 		for _, assignment := range s.Assign(0, anywhere) {
 			assignment.Task.Text = Text{Events: []string{"x"}, Last: 1, Versions: []uint64{1}}
@@ -185,28 +182,28 @@
 			s.RunEnded(0, assignment.Task, assignment.Run, end)
 		}
 		s.EndStep("first")
-		second := entry("second", "a", oldest, 4)
+		second := newEntry("second", "a", oldest, 4)
 		second.Step.Number, second.Step.Wanted = 1, 1
 		second.Step.Samples[2], second.Step.Samples[3] = first.Step.Samples[0], first.Step.Samples[1]
 		second.Step.Samples[2].Group, second.Step.Samples[3].Group = "g0", "g0"
-		whole := s.AddStep(second)
-		require.Equal(t, kept, len(whole) == 1)
+		complete := s.AddStep(second)
+		require.Equal(t, usable, len(complete) == 1)
 		for _, assignment := range s.Assign(1000, anywhere) {
 			if assignment.Task.Sample.ID == "first-1" {
-				require.Equal(t, kept, assignment.Task.Text.Last == 1)
+				require.Equal(t, usable, assignment.Task.Text.Last == 1)
 			}
 		}
 	}
 }
 
-// TestPlacementLeavesRoomForOthers: a sample that could run on either of two
-// engines takes the one that the other model cannot use.
-func TestPlacementLeavesRoomForOthers(t *testing.T) {
+// TestPlacementAvoidsContendedEngines checks that a sample which could run on two engines takes the
+// one that the other model cannot use.
+func TestPlacementAvoidsContendedEngines(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(2, 1, "a", "b"), map[string]uint64{"b": 2})
 	s.LoadCompleted(0, "e00", "b", 2, true)
-	s.AddStep(entry("of-a", "a", 1, 1))
-	s.AddStep(entry("of-b", "b", 2, 1))
+	s.AddStep(newEntry("of-a", "a", 1, 1))
+	s.AddStep(newEntry("of-b", "b", 2, 1))
 	placed := map[string]string{}
 	for _, assignment := range s.Assign(0, anywhere) {
 		placed[assignment.Task.Step.Model] = assignment.Backend.ID
@@ -214,13 +211,13 @@
 	require.Equal(t, map[string]string{"a": "e01", "b": "e00"}, placed)
 }
 
-// TestNeededSamplesOfAllStepsGoFirst: what no trainer waits for takes no slot
-// from what another one waits for.
-func TestNeededSamplesOfAllStepsGoFirst(t *testing.T) {
+// TestNeededSamplesOfAllStepsStartFirst checks that samples no trainer waits for take no slots from
+// those that one waits for.
+func TestNeededSamplesOfAllStepsStartFirst(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 8, "a"), nil)
 	for number, id := range []string{"x", "y"} {
-		step := entry(id, "a", 1, 8)
+		step := newEntry(id, "a", 1, 8)
 		step.Step.Wanted, step.Step.DueAt = 1, int64(number)
 		s.AddStep(step)
 	}
@@ -231,13 +228,12 @@
 	require.Equal(t, map[string]int{"x": 4, "y": 4}, count)
 }
 
-// TestSamplesLeaveSlowEngines: a sample on an engine that has become slow is
-// moved where another engine has room, goes on after what it has, and the slow
-// engine is not taken for a failed one.
-func TestSamplesLeaveSlowEngines(t *testing.T) {
+// TestSamplesMoveOffSlowEngines checks that a sample on a slow engine moves to another one and
+// continues its text, without counting as a failure of the slow engine.
+func TestSamplesMoveOffSlowEngines(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(3, 2, "a"), nil)
-	step := entry("x", "a", 1, 3)
+	step := newEntry("x", "a", 1, 3)
 	for position := range step.Step.Samples {
 		step.Step.Samples[position].Group = fmt.Sprint(position)
 		step.Step.Samples[position].Predicted = 100
@@ -257,7 +253,7 @@
 	require.Len(t, moves, 1)
 	task := moves[0].Task
 	require.Equal(t, "e00", task.Engine)
-	require.Empty(t, s.ChooseMoves(1000, anywhere), "a move is asked for once")
+	require.Empty(t, s.ChooseMoves(1000, anywhere), "a task is moved only once")
 	task.Text = Text{Events: []string{"x"}, Last: 1, Versions: []uint64{1}}
 	s.RunEnded(1000, task, task.Run, Broken)
 	moved := s.Assign(1000, anywhere)
@@ -267,9 +263,9 @@
 	require.Zero(t, s.engines["e00"].failures)
 }
 
-// TestMovedSampleDoesNotMeetAnotherSlowEngine: an empty slow engine is no better
-// than a busy one of the usual pace.
-func TestMovedSampleDoesNotMeetAnotherSlowEngine(t *testing.T) {
+// TestPlacementAvoidsSlowEngines checks that an idle slow engine is not preferred to a busy one of
+// normal pace.
+func TestPlacementAvoidsSlowEngines(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(2, 8, "a"), nil)
 	usual, slow := s.engines["e00"], s.engines["e01"]
@@ -277,56 +273,56 @@
 	for range 4 {
 		usual.running[&Task{Step: &ledger.Step{ID: "other"}, Sample: &ledger.Sample{}}] = true
 	}
-	s.AddStep(entry("y", "a", 1, 1))
+	s.AddStep(newEntry("y", "a", 1, 1))
 	require.Equal(t, "e00", s.Assign(0, anywhere)[0].Backend.ID)
 }
 
-// TestNothingIsGivenUpEarly: a leader whose clock is some seconds ahead does not
-// give up what its predecessor took in.
-func TestNothingIsGivenUpEarly(t *testing.T) {
+// TestGiveUpAllowsForClockSkew checks that a leader whose clock is some seconds ahead does not give
+// up samples early.
+func TestGiveUpAllowsForClockSkew(t *testing.T) {
 	s := New()
-	step := entry("x", "a", 1, 2)
+	step := newEntry("x", "a", 1, 2)
 	step.Step.GiveUpAt = 1000
 	s.AddStep(step)
 	require.Empty(t, s.OverdueTasks(1000+giveUpMargin-1))
 	require.Len(t, s.OverdueTasks(1000+giveUpMargin), 2)
 }
 
-// TestRunGoesOnAfterACheckpoint: a new leader continues a sample after what an
-// earlier one has kept, unless the step does not allow the versions of that.
-func TestRunGoesOnAfterACheckpoint(t *testing.T) {
+// TestRunContinuesFromCheckpoint checks that a new leader continues a sample from its checkpoint,
+// unless the step does not allow the checkpoint's versions.
+func TestRunContinuesFromCheckpoint(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 4, "m"), nil)
-	taken := entry("a", "m", 1, 2)
-	taken.Partials = map[string]ledger.Partial{
+	checkpointed := newEntry("a", "m", 1, 2)
+	checkpointed.Partials = map[string]ledger.Partial{
 		"a-0": {Events: []string{"1", "2"}, Versions: []uint64{1}},
 	}
-	s.AddStep(taken)
+	s.AddStep(checkpointed)
 	after := map[string]uint64{}
 	for _, assignment := range s.Assign(0, anywhere) {
 		after[assignment.Task.Sample.ID] = assignment.Task.Text.Last
 	}
 	require.Equal(t, map[string]uint64{"a-0": 2, "a-1": 0}, after)
 
-	stale := entry("b", "m", 2, 1)
+	stale := newEntry("b", "m", 2, 1)
 	stale.Partials = map[string]ledger.Partial{"b-0": {Events: []string{"1"}, Versions: []uint64{1}}}
-	fresh := New()
-	fresh.SyncEngines(0, engines(1, 4, "m"), nil)
-	fresh.RecordVersion("e00", "m", 2)
-	fresh.AddStep(stale)
-	assignments := fresh.Assign(0, anywhere)
+	other := New()
+	other.SyncEngines(0, engines(1, 4, "m"), nil)
+	other.RecordVersion("e00", "m", 2)
+	other.AddStep(stale)
+	assignments := other.Assign(0, anywhere)
 	require.Len(t, assignments, 1)
 	require.Zero(t, assignments[0].Task.Text.Last)
 }
 
-// TestTextThatCannotBeContinuedBeginsAnew: after some runs in a row that add
-// nothing to a kept text, it is made from its beginning.
-func TestTextThatCannotBeContinuedBeginsAnew(t *testing.T) {
+// TestStalledTextStartsOver checks that a text is discarded after several consecutive runs that add
+// nothing to it.
+func TestStalledTextStartsOver(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 4, "m"), nil)
-	taken := entry("a", "m", 1, 1)
-	taken.Partials = map[string]ledger.Partial{"a-0": {Events: []string{"1", "2"}, Versions: []uint64{1}}}
-	s.AddStep(taken)
+	checkpointed := newEntry("a", "m", 1, 1)
+	checkpointed.Partials = map[string]ledger.Partial{"a-0": {Events: []string{"1", "2"}, Versions: []uint64{1}}}
+	s.AddStep(checkpointed)
 	now := int64(0)
 	for range maxStalledRuns {
 		assignments := s.Assign(now, anywhere)
@@ -340,12 +336,12 @@
 	require.Zero(t, assignments[0].Task.Text.Last)
 }
 
-// TestTextsOfWholeGroupsAreDropped: only groups that are not whole come again,
-// so the texts of the others take no memory.
-func TestTextsOfWholeGroupsAreDropped(t *testing.T) {
+// TestTextsOfCompleteGroupsAreDropped checks that only texts of incomplete groups are kept, since
+// only those groups are resubmitted.
+func TestTextsOfCompleteGroupsAreDropped(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 8, "m"), nil)
-	s.AddStep(entry("a", "m", 1, 8))
+	s.AddStep(newEntry("a", "m", 1, 8))
 	for _, assignment := range s.Assign(0, anywhere) {
 		assignment.Task.Text = Text{Events: []string{"x"}, Last: 1, Versions: []uint64{1}}
 		if assignment.Task.Sample.Group == "g0" || assignment.Task.Sample.ID == "a-4" {
@@ -361,33 +357,33 @@
 	require.ElementsMatch(t, []string{"a-4", "a-5", "a-6", "a-7"}, kept)
 }
 
-// TestLoadsStayBounded: an engine that held the version already, as a new leader
-// may find, tells nothing of how long loads take; and loads that take longer than
-// usual leave no room for more of them.
-func TestLoadsStayBounded(t *testing.T) {
-	const most = 2
+// TestConcurrentLoadsStayBounded checks that a version which an engine already held does not
+// shorten the measured load time, and that slow loads do not let further ones start.
+func TestConcurrentLoadsStayBounded(t *testing.T) {
+	const maxLoads = 2
 	s := New()
 	s.SyncEngines(0, engines(12, 8, "m"), map[string]uint64{"m": 2})
-	s.AddStep(entry("x", "m", 2, 400))
-	underWay := s.LoadOrders(0)
-	require.Len(t, underWay, most)
-	for _, order := range underWay {
+	s.AddStep(newEntry("x", "m", 2, 400))
+	activeLoads := s.LoadOrders(0)
+	require.Len(t, activeLoads, maxLoads)
+	for _, order := range activeLoads {
 		s.LoadCompleted(10, order.Backend.ID, order.Model, order.Version, false)
 	}
-	underWay = s.LoadOrders(20)
-	require.Len(t, underWay, most)
+	activeLoads = s.LoadOrders(20)
+	require.Len(t, activeLoads, maxLoads)
 	require.Empty(t, s.LoadOrders(40))
 	for now := int64(40); now < 5000; now += 20 {
-		underWay = append(underWay, s.LoadOrders(now)...)
-		require.LessOrEqual(t, len(underWay), 2*most, "none of them has ended")
+		activeLoads = append(activeLoads, s.LoadOrders(now)...)
+		require.LessOrEqual(t, len(activeLoads), 2*maxLoads, "none of them has ended")
 	}
 }
 
-// TestEngineThatLoadsForAnotherLeaderIsLeftAlone: until it is idle, for all models.
-func TestEngineThatLoadsForAnotherLeaderIsLeftAlone(t *testing.T) {
+// TestEngineLoadingForAnotherLeaderIsSkipped checks that an engine gets neither samples nor load
+// orders until another leader's load has ended.
+func TestEngineLoadingForAnotherLeaderIsSkipped(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 8, "m"), map[string]uint64{"m": 2})
-	s.AddStep(entry("x", "m", 1, 1))
+	s.AddStep(newEntry("x", "m", 1, 1))
 	s.MarkLoading(0, "e00")
 	require.Empty(t, s.Assign(0, anywhere))
 	require.Empty(t, s.LoadOrders(0))
@@ -395,15 +391,15 @@
 	require.Len(t, s.Assign(0, anywhere), 1)
 	require.Len(t, s.LoadOrders(0), 1)
 	s.ClearLoading("e00")
-	require.True(t, s.IsLoading("e00", "m"), "an order of its own goes on")
+	require.True(t, s.IsLoading("e00", "m"), "the leader's own load continues")
 }
 
-// TestEngineThatGoesOnRefusingIsAskedLess: up to a bound, and a run that ends well
-// clears it.
-func TestEngineThatGoesOnRefusingIsAskedLess(t *testing.T) {
+// TestRejectionBackoff checks that the backoff doubles up to its maximum and that a completed run
+// resets it.
+func TestRejectionBackoff(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 8, "m"), nil)
-	s.AddStep(entry("x", "m", 1, 1))
+	s.AddStep(newEntry("x", "m", 1, 1))
 	now := int64(0)
 	for _, pause := range []int64{100, 200, 400, 800, 800} {
 		assignments := s.Assign(now, anywhere)
@@ -418,13 +414,13 @@
 	require.Zero(t, s.engines["e00"].rejections)
 }
 
-// TestWhatIsLeftOfAnEarlierStepGoesFirst: a long sample of a step that is due soon
-// starts before short ones of a later step, also where its own trainer probably does
-// not wait for it. Found on a day on which a new leader started it 1.8 s late.
-func TestWhatIsLeftOfAnEarlierStepGoesFirst(t *testing.T) {
+// TestLongSampleOfEarlierStepStartsFirst checks that a long sample of a step that is due soon
+// starts before short samples of a later step, even if its own trainer probably does not wait for
+// it.
+func TestLongSampleOfEarlierStepStartsFirst(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 4, "a"), nil)
-	earlier, later := entry("earlier", "a", 1, 5), entry("later", "a", 1, 8)
+	earlier, later := newEntry("earlier", "a", 1, 5), newEntry("later", "a", 1, 8)
 	earlier.Step.Wanted, earlier.Step.DueAt = 1, 3000
 	earlier.Step.Samples[4].Predicted = 100
 	later.Step.Wanted, later.Step.DueAt = 1, 7000
@@ -436,15 +432,15 @@
 	require.Equal(t, int64(3000-100*defaultPace+unneededDelayMillis), first.SlackMillis)
 }
 
-// TestSamplesWithoutAnEngineHoldUpNoOthers: samples that no engine may run leave those
-// behind them their room, whatever their demands have in common.
-func TestSamplesWithoutAnEngineHoldUpNoOthers(t *testing.T) {
+// TestUnplaceableSamplesDoNotBlockOthers checks that samples which no engine can run do not keep
+// samples with other requirements from starting.
+func TestUnplaceableSamplesDoNotBlockOthers(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(2, 8, "a", "b"), map[string]uint64{"a": 2, "b": 1})
-	s.AddStep(entry("newer", "a", 2, 4))
-	s.AddStep(entry("older", "a", 1, 4))
-	s.AddStep(entry("other", "b", 1, 4))
-	elsewhere := entry("elsewhere", "b", 1, 4)
+	s.AddStep(newEntry("newer", "a", 2, 4))
+	s.AddStep(newEntry("older", "a", 1, 4))
+	s.AddStep(newEntry("other", "b", 1, 4))
+	elsewhere := newEntry("elsewhere", "b", 1, 4)
 	s.AddStep(elsewhere)
 	servicesOf := func(task *Task) ([]string, bool) {
 		if task.Step == elsewhere.Step {
@@ -459,12 +455,12 @@
 	require.Equal(t, map[string]int{"older": 4, "other": 4}, started)
 }
 
-// BenchmarkAssignWithoutAnEngine is a call while hundreds of samples wait for a version
-// that no engine holds.
-func BenchmarkAssignWithoutAnEngine(b *testing.B) {
+// BenchmarkAssignUnplaceable measures Assign while hundreds of samples wait for a version that no
+// engine holds.
+func BenchmarkAssignUnplaceable(b *testing.B) {
 	s := New()
 	s.SyncEngines(0, engines(92, 6, "a"), map[string]uint64{"a": 2})
-	s.AddStep(entry("step", "a", 2, 900))
+	s.AddStep(newEntry("step", "a", 2, 900))
 	for b.Loop() {
 		require.Empty(b, s.Assign(0, anywhere))
 	}
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -15,167 +15,167 @@
 	_ "github.com/dillchute/dillchute/internal/fixedseed"
 )
 
-// waitingWorld has steps come and come again, runs end, engines go and samples be held back in any
-// order, and counts runs by itself.
-type waitingWorld struct {
-	t         *rapid.T
-	scheduler *Scheduler
-	now       int64
-	slots     int
-	engines   int
-	steps     int
-	open      map[string]bool
-	running   map[*Task]Assignment
-	// nameOf holds the names of steps, under whose samples' IDs they come again.
-	nameOf    map[string]string
-	held      map[string]bool
+// schedulerHarness submits and resubmits steps, ends runs, changes engines and holds samples back
+// in any order, and tracks the running tasks independently of the scheduler.
+type schedulerHarness struct {
+	t           *rapid.T
+	scheduler   *Scheduler
+	now         int64
+	slots       int
+	engineCount int
+	stepCount   int
+	openSteps   map[string]bool
+	running     map[*Task]Assignment
+	// baseNames maps step IDs to the base name that the step's sample IDs share with resubmissions.
+	baseNames map[string]string
+	heldBack  map[string]bool
 	suspected map[string]bool
 }
 
-// calm is longer than any engine is avoided after its runs have failed.
-const calm = 10 * maxFailureBackoffMillis
+// cooldownMillis is longer than any backoff of an engine.
+const cooldownMillis = 10 * maxFailureBackoffMillis
 
-func newWaitingWorld(t *rapid.T) *waitingWorld {
-	w := &waitingWorld{
+func newSchedulerHarness(t *rapid.T) *schedulerHarness {
+	h := &schedulerHarness{
 		t: t, scheduler: New(), slots: rapid.IntRange(1, 3).Draw(t, "slots"),
-		open: map[string]bool{}, running: map[*Task]Assignment{}, nameOf: map[string]string{}, held: map[string]bool{}, suspected: map[string]bool{},
+		openSteps: map[string]bool{}, running: map[*Task]Assignment{}, baseNames: map[string]string{}, heldBack: map[string]bool{}, suspected: map[string]bool{},
 	}
-	w.changeEngines()
-	return w
+	h.changeEngines()
+	return h
 }
 
-// changeEngines has other engines registered; runs on those that are gone end.
-func (w *waitingWorld) changeEngines() {
-	all := engines(4, w.slots, "m")
-	kept := all[:0]
+// changeEngines replaces the registered engines and ends the runs on removed ones.
+func (h *schedulerHarness) changeEngines() {
+	all := engines(4, h.slots, "m")
+	present := all[:0]
 	for _, backend := range all {
-		if rapid.Bool().Draw(w.t, backend.ID) {
-			kept = append(kept, backend)
+		if rapid.Bool().Draw(h.t, backend.ID) {
+			present = append(present, backend)
 		}
 	}
-	w.scheduler.SyncEngines(w.now, kept, map[string]uint64{"m": 1})
-	w.engines = len(kept)
-	for task, assignment := range w.running {
-		gone := true
-		for _, backend := range kept {
-			gone = gone && backend.ID != assignment.Backend.ID
+	h.scheduler.SyncEngines(h.now, present, map[string]uint64{"m": 1})
+	h.engineCount = len(present)
+	for task, assignment := range h.running {
+		removed := true
+		for _, backend := range present {
+			removed = removed && backend.ID != assignment.Backend.ID
 		}
-		if gone {
-			w.scheduler.RunEnded(w.now, task, assignment.Run, Crashed)
-			delete(w.running, task)
+		if removed {
+			h.scheduler.RunEnded(h.now, task, assignment.Run, Crashed)
+			delete(h.running, task)
 		}
 	}
 }
 
-// submit hands in a step of samples of two kinds, which may have come before.
-func (w *waitingWorld) submit() {
-	id := fmt.Sprint("step-", rapid.IntRange(0, 3).Draw(w.t, "step"))
-	if w.open[id] {
+// submit adds a step with samples of two kinds, which may be resubmissions.
+func (h *schedulerHarness) submit() {
+	id := fmt.Sprint("step-", rapid.IntRange(0, 3).Draw(h.t, "step"))
+	if h.openSteps[id] {
 		return
 	}
-	w.steps++
-	entry := entry(fmt.Sprint(id, "-", w.steps), "m", 1, rapid.IntRange(1, 6).Draw(w.t, "samples"))
+	h.stepCount++
+	entry := newEntry(fmt.Sprint(id, "-", h.stepCount), "m", 1, rapid.IntRange(1, 6).Draw(h.t, "samples"))
 	for position := range entry.Step.Samples {
 		sample := &entry.Step.Samples[position]
 		sample.ID, sample.Path = fmt.Sprint(id, "-", position), fmt.Sprint("/", position%2)
 	}
-	w.open[id], w.nameOf[entry.Step.ID] = true, id
-	w.scheduler.AddStep(entry)
+	h.openSteps[id], h.baseNames[entry.Step.ID] = true, id
+	h.scheduler.AddStep(entry)
 }
 
-func (w *waitingWorld) servicesOf(task *Task) ([]string, bool) {
-	task.KindSuspected = w.suspected[task.Sample.Path]
-	return []string{"engines"}, !w.held[task.Sample.ID]
+func (h *schedulerHarness) servicesOf(task *Task) ([]string, bool) {
+	task.KindSuspected = h.suspected[task.Sample.Path]
+	return []string{"engines"}, !h.heldBack[task.Sample.ID]
 }
 
-// endRun ends the run of one of the tasks that run.
-func (w *waitingWorld) endRun() {
-	end := rapid.SampledFrom([]RunEnd{Complete, Broken, Rejected, Unreachable, Failed, Interrupted, Crashed}).Draw(w.t, "end")
-	tasks := slices.SortedFunc(maps.Keys(w.running), func(a, b *Task) int {
+// endRun ends one of the runs.
+func (h *schedulerHarness) endRun() {
+	end := rapid.SampledFrom([]RunEnd{Complete, Broken, Rejected, Unreachable, Failed, Interrupted, Crashed}).Draw(h.t, "end")
+	tasks := slices.SortedFunc(maps.Keys(h.running), func(a, b *Task) int {
 		return cmp.Compare(a.Step.ID+a.Sample.ID, b.Step.ID+b.Sample.ID)
 	})
 	if len(tasks) == 0 {
 		return
 	}
-	task := rapid.SampledFrom(tasks).Draw(w.t, "task")
-	w.scheduler.RunEnded(w.now, task, task.Run, end)
-	delete(w.running, task)
+	task := rapid.SampledFrom(tasks).Draw(h.t, "task")
+	h.scheduler.RunEnded(h.now, task, task.Run, end)
+	delete(h.running, task)
 	if task.State == Scoring {
-		w.scheduler.Finish(task)
+		h.scheduler.Finish(task)
 	}
 }
 
-// closeStep ends an open step and has what runs of it end.
-func (w *waitingWorld) closeStep() {
-	ids := w.scheduler.StepIDs()
+// closeStep ends an open step and its runs.
+func (h *schedulerHarness) closeStep() {
+	ids := h.scheduler.StepIDs()
 	if len(ids) == 0 {
 		return
 	}
 	slices.Sort(ids)
-	id := rapid.SampledFrom(ids).Draw(w.t, "open step")
-	w.scheduler.EndStep(id)
-	maps.DeleteFunc(w.running, func(task *Task, _ Assignment) bool { return task.Step.ID == id })
-	delete(w.open, w.nameOf[id])
+	id := rapid.SampledFrom(ids).Draw(h.t, "open step")
+	h.scheduler.EndStep(id)
+	maps.DeleteFunc(h.running, func(task *Task, _ Assignment) bool { return task.Step.ID == id })
+	delete(h.openSteps, h.baseNames[id])
 }
 
-func (w *waitingWorld) hold() {
-	id := fmt.Sprint("step-", rapid.IntRange(0, 3).Draw(w.t, "step"), "-", rapid.IntRange(0, 5).Draw(w.t, "sample"))
-	w.held[id] = !w.held[id]
+func (h *schedulerHarness) toggleHeldBack() {
+	id := fmt.Sprint("step-", rapid.IntRange(0, 3).Draw(h.t, "step"), "-", rapid.IntRange(0, 5).Draw(h.t, "sample"))
+	h.heldBack[id] = !h.heldBack[id]
 }
 
-func (w *waitingWorld) suspect() {
-	path := fmt.Sprint("/", rapid.IntRange(0, 1).Draw(w.t, "kind"))
-	w.suspected[path] = !w.suspected[path]
+func (h *schedulerHarness) toggleSuspected() {
+	path := fmt.Sprint("/", rapid.IntRange(0, 1).Draw(h.t, "kind"))
+	h.suspected[path] = !h.suspected[path]
 }
 
-// assign starts what can be started, and checks that nothing else could.
-func (w *waitingWorld) assign() {
-	w.now += calm
-	for _, assignment := range w.scheduler.Assign(w.now, w.servicesOf) {
-		w.running[assignment.Task] = assignment
+// assign starts waiting tasks and checks that no other task could start.
+func (h *schedulerHarness) assign() {
+	h.now += cooldownMillis
+	for _, assignment := range h.scheduler.Assign(h.now, h.servicesOf) {
+		h.running[assignment.Task] = assignment
 	}
-	perEngine, tried := map[string]int{}, map[string]int{}
-	for task, assignment := range w.running {
+	perEngine, runningSuspects := map[string]int{}, map[string]int{}
+	for task, assignment := range h.running {
 		perEngine[assignment.Backend.ID]++
 		if task.KindSuspected {
-			tried[task.Sample.Path]++
+			runningSuspects[task.Sample.Path]++
 		}
-		require.False(w.t, task.Run == assignment.Run && task.State != Running)
+		require.False(h.t, task.Run == assignment.Run && task.State != Running)
 	}
-	free := w.slots*w.engines - len(w.running)
+	free := h.slots*h.engineCount - len(h.running)
 	for id, count := range perEngine {
-		require.LessOrEqual(w.t, count, w.slots, id)
+		require.LessOrEqual(h.t, count, h.slots, id)
 	}
-	for _, state := range w.scheduler.steps {
+	for _, state := range h.scheduler.steps {
 		for _, task := range state.tasks {
-			if task.State != Waiting || w.held[task.Sample.ID] || w.suspected[task.Sample.Path] && tried[task.Sample.Path] > 0 {
+			if task.State != Waiting || h.heldBack[task.Sample.ID] || h.suspected[task.Sample.Path] && runningSuspects[task.Sample.Path] > 0 {
 				continue
 			}
-			require.Zero(w.t, free, "%s waits beside room", task.Sample.ID)
+			require.Zero(h.t, free, "%s waits although a slot is free", task.Sample.ID)
 		}
 	}
 }
 
-// waitingCases is how many cases are drawn at the least.
-const waitingCases = 10_000
+// minCases is the minimum number of cases to draw.
+const minCases = 10_000
 
-// TestNothingWaitsBesideRoom: whatever came before, a sample that is not held back, and whose kind
-// is not tried just now, runs once there is room.
-func TestNothingWaitsBesideRoom(t *testing.T) {
-	cases := flag.Lookup("rapid.checks")
-	given := cases.Value.String()
-	if asked, err := strconv.Atoi(given); err == nil && asked < waitingCases {
-		require.NoError(t, cases.Value.Set(strconv.Itoa(waitingCases)))
+// TestNoSampleWaitsBesideFreeSlot checks that, after any history, every sample that is not held
+// back runs if there is a free slot, unless its kind is suspected and already running.
+func TestNoSampleWaitsBesideFreeSlot(t *testing.T) {
+	checks := flag.Lookup("rapid.checks")
+	original := checks.Value.String()
+	if count, err := strconv.Atoi(original); err == nil && count < minCases {
+		require.NoError(t, checks.Value.Set(strconv.Itoa(minCases)))
 	}
-	defer func() { require.NoError(t, cases.Value.Set(given)) }()
+	defer func() { require.NoError(t, checks.Value.Set(original)) }()
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWaitingWorld(t)
+		h := newSchedulerHarness(t)
 		actions := map[string]func(){
-			"submit": w.submit, "assign": w.assign, "end": w.endRun, "hold": w.hold, "suspect": w.suspect, "engines": w.changeEngines, "close": w.closeStep,
+			"submit": h.submit, "assign": h.assign, "end": h.endRun, "hold": h.toggleHeldBack, "suspect": h.toggleSuspected, "engines": h.changeEngines, "close": h.closeStep,
 		}
-		often := []string{"submit", "submit", "assign", "assign", "assign", "end", "end", "end", "hold", "suspect", "engines", "close"}
+		weighted := []string{"submit", "submit", "assign", "assign", "assign", "end", "end", "end", "hold", "suspect", "engines", "close"}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			actions[rapid.SampledFrom(often).Draw(t, "action")]()
+			actions[rapid.SampledFrom(weighted).Draw(t, "action")]()
 		}
 	})
 }
--- a/scheduler/workingset_test.go
+++ b/scheduler/workingset_test.go
@@ -11,8 +11,8 @@
 	"github.com/dillchute/dillchute/directory"
 )
 
-// fleetOf returns as many engines as a fleet has, ordered by ID.
-func fleetOf(count int) []*directory.Backend {
+// makeFleet returns engines ordered by ID.
+func makeFleet(count int) []*directory.Backend {
 	var fleet []*directory.Backend
 	for number := range count {
 		fleet = append(fleet, &directory.Backend{
@@ -30,24 +30,24 @@
 	return ids
 }
 
-// TestWorkingSetFollowsTheWork: the engines that are used are as many as the samples need, whatever
-// the fleet; of few engines all are.
-func TestWorkingSetFollowsTheWork(t *testing.T) {
+// TestWorkingSetSizeDependsOnWork checks that the number of selected engines depends on the samples
+// and not on the size of the fleet, and that all engines of a small service are used.
+func TestWorkingSetSizeDependsOnWork(t *testing.T) {
 	const samples = 848
 	var sizes []int
 	for _, engines := range []int{1000, 8000, 16000} {
-		sizes = append(sizes, len(NewWorkingSet(nil).Choose(fleetOf(engines), samples)))
+		sizes = append(sizes, len(NewWorkingSet(nil).Choose(makeFleet(engines), samples)))
 	}
 	require.Equal(t, []int{213, 213, 213}, sizes)
-	require.Len(t, NewWorkingSet(nil).Choose(fleetOf(minWorkingSet), samples), minWorkingSet)
-	require.Len(t, NewWorkingSet(nil).Choose(fleetOf(150), 10*samples), 150)
-	require.Len(t, NewWorkingSet(nil).Choose(fleetOf(8000), 0), minWorkingSet)
+	require.Len(t, NewWorkingSet(nil).Choose(makeFleet(minWorkingSet), samples), minWorkingSet)
+	require.Len(t, NewWorkingSet(nil).Choose(makeFleet(150), 10*samples), 150)
+	require.Len(t, NewWorkingSet(nil).Choose(makeFleet(8000), 0), minWorkingSet)
 }
 
-// TestWorkingSetStays: engines that are used are used further, those that drain or are silent
-// are made up for, and those that are gone are forgotten.
-func TestWorkingSetStays(t *testing.T) {
-	fleet := fleetOf(8000)
+// TestWorkingSetIsStable checks that selected engines stay selected, draining and silent ones are
+// supplemented, and removed ones are dropped.
+func TestWorkingSetIsStable(t *testing.T) {
+	fleet := makeFleet(8000)
 	w := NewWorkingSet(nil)
 	first := idsOf(w.Choose(fleet, 0))
 	require.True(t, slices.IsSorted(first))
@@ -58,21 +58,21 @@
 	byID := func(id string) int {
 		return slices.IndexFunc(fleet, func(b *directory.Backend) bool { return b.ID == id })
 	}
-	leaving, silent, gone := grown[0], grown[1], grown[2]
-	fleet[byID(leaving)] = &directory.Backend{ID: leaving, Service: "engines", Slots: 6, Draining: true}
+	draining, silent, removed := grown[0], grown[1], grown[2]
+	fleet[byID(draining)] = &directory.Backend{ID: draining, Service: "engines", Slots: 6, Draining: true}
 	fleet[byID(silent)] = &directory.Backend{ID: silent, Service: "engines", Slots: 6, Silent: true}
-	fleet = slices.Delete(fleet, byID(gone), byID(gone)+1)
+	fleet = slices.Delete(fleet, byID(removed), byID(removed)+1)
 	next := idsOf(w.Choose(fleet, 848))
-	require.Len(t, next, len(grown)+2, "three others for three, of which one is gone")
-	require.NotContains(t, next, gone)
-	require.Subset(t, next, []string{leaving, silent})
-	require.NotContains(t, slices.Collect(maps.Keys(w.selected)), gone)
+	require.Len(t, next, len(grown)+2, "three engines are replaced and one of them is gone")
+	require.NotContains(t, next, removed)
+	require.Subset(t, next, []string{draining, silent})
+	require.NotContains(t, slices.Collect(maps.Keys(w.selected)), removed)
 }
 
-// TestNextLeaderUsesTheSameEngines: a leader that takes over uses the engines that the one before
-// has ordered, and those that hold newer weights, and goes on with those that run samples.
+// TestNextLeaderUsesTheSameEngines checks that a new leader prefers engines with orders of the
+// earlier leader and engines with newer weights, and keeps those that run samples.
 func TestNextLeaderUsesTheSameEngines(t *testing.T) {
-	fleet := fleetOf(8000)
+	fleet := makeFleet(8000)
 	ordered := map[string]bool{}
 	for number := range 100 {
 		ordered[fleet[number*79].ID] = true
@@ -91,11 +91,11 @@
 	require.Len(t, used, minWorkingSet)
 }
 
-// BenchmarkWorkingSetUnchanged looks for the engines that are used where nothing has changed.
+// BenchmarkWorkingSetUnchanged measures Choose when nothing has changed.
 func BenchmarkWorkingSetUnchanged(b *testing.B) {
 	for _, engines := range []int{1000, 10000, 20000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			fleet, w := fleetOf(engines), NewWorkingSet(nil)
+			fleet, w := makeFleet(engines), NewWorkingSet(nil)
 			for b.Loop() {
 				w.Choose(fleet, 848)
 			}
@@ -103,14 +103,14 @@
 	}
 }
 
-// BenchmarkStepBeforeFleet takes in a step, starts its samples and ends it, before fleets of
-// several sizes.
-func BenchmarkStepBeforeFleet(b *testing.B) {
+// BenchmarkStepInLargeFleet measures adding a step, starting its samples and ending it, in fleets
+// of several sizes.
+func BenchmarkStepInLargeFleet(b *testing.B) {
 	for _, engines := range []int{1000, 10000, 20000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			fleet, w, s := fleetOf(engines), NewWorkingSet(nil), New()
+			fleet, w, s := makeFleet(engines), NewWorkingSet(nil), New()
 			for b.Loop() {
-				s.AddStep(entry("step", "m", 1, 106))
+				s.AddStep(newEntry("step", "m", 1, 106))
 				s.SetFleetSize(engines)
 				s.SyncEngines(0, w.Choose(fleet, s.ConcurrentSamples()), map[string]uint64{"m": 1})
 				s.LoadOrders(0)
