--- a/bench/plays/check_gateway.go
+++ b/bench/plays/check_gateway.go
@@ -13,7 +13,7 @@
 	var found []Finding
 	gateways := log.lives(gatewayClass, event.GatewayStarted)
 	for _, line := range log.Lines {
-		if line.Event != event.ConfigurationPut.Number || line.has("error") || line.number("offered") != line.number("held") {
+		if line.Event != event.ConfigurationSubmitted.Number || line.has("error") || line.number("offered") != line.number("held") {
 			continue
 		}
 		version := line.number("held")
@@ -40,7 +40,7 @@
 func (l *life) late(log *Log, bounds Bounds, version, acknowledged float64) bool {
 	without := Span{max(acknowledged+bounds.ConfigApply, l.From+bounds.Contact), l.stopAt}
 	for _, line := range l.lines {
-		if line.Event == event.ConfigurationTaken.Number && line.number("version") >= version {
+		if line.Event == event.ConfigurationApplied.Number && line.number("version") >= version {
 			without.To = min(without.To, line.At)
 			break
 		}
@@ -54,7 +54,7 @@
 	for _, gateway := range log.lives(gatewayClass, event.GatewayStarted) {
 		newest := 0.0
 		for _, line := range gateway.lines {
-			if line.Event != event.ConfigurationTaken.Number {
+			if line.Event != event.ConfigurationApplied.Number {
 				continue
 			}
 			if version := line.number("version"); version < newest {
--- a/bench/plays/check_group.go
+++ b/bench/plays/check_group.go
@@ -70,7 +70,7 @@
 	for _, line := range l.lines {
 		since := line.At - line.number("ms")/1000
 		undisturbed := Span{max(since, 0), line.At}.longest(excused) > bounds.CatchUp
-		if line.Event == event.StaysOutside.Number && undisturbed && line.At < bounds.Length {
+		if line.Event == event.AdmissionPending.Number && undisturbed && line.At < bounds.Length {
 			return line, true
 		}
 	}
--- a/command/logger.go
+++ b/command/logger.go
@@ -113,7 +113,7 @@
 	for line := range w.lines {
 		w.out.Write(w.gather(line))
 		if dropped := w.takeDropped(); dropped > 0 {
-			event.LinesDropped.On(w.logger).Uint("lines", dropped).Send()
+			event.LogLinesDropped.On(w.logger).Uint("lines", dropped).Send()
 		}
 	}
 }
--- a/command/logger_test.go
+++ b/command/logger_test.go
@@ -52,8 +52,8 @@
 	close(out.release)
 	closeLog()
 	text := out.written.String()
-	require.Contains(t, text, event.BackendSilent.Text)
-	require.Contains(t, text, event.LinesDropped.Text)
+	require.Contains(t, text, event.BackendSilent.Message)
+	require.Contains(t, text, event.LogLinesDropped.Message)
 	written := strings.Count(text, `"level":"info"`)
 	require.Less(t, written, lines)
 	require.GreaterOrEqual(t, written, logLines-reservedLines)
@@ -73,16 +73,16 @@
 	for range 2 * linesPerEvent {
 		event.RequestEnded.On(logger).Send()
 	}
-	event.StepTaken.On(logger).Send()
+	event.StepSubmitted.On(logger).Send()
 	require.Equal(t, uint64(linesPerEvent), writer.dropped)
 	now = now.Add(time.Second)
 	event.RequestEnded.On(logger).Send()
 	require.Equal(t, uint64(linesPerEvent), writer.dropped)
 	go writer.run()
 	writer.close()
-	require.Equal(t, linesPerEvent+1, strings.Count(written.String(), event.RequestEnded.Text))
-	require.Equal(t, 1, strings.Count(written.String(), event.StepTaken.Text))
-	require.Equal(t, 1, strings.Count(written.String(), event.LinesDropped.Text))
+	require.Equal(t, linesPerEvent+1, strings.Count(written.String(), event.RequestEnded.Message))
+	require.Equal(t, 1, strings.Count(written.String(), event.StepSubmitted.Message))
+	require.Equal(t, 1, strings.Count(written.String(), event.LogLinesDropped.Message))
 }
 
 // largestWriter notes the size of its largest write.
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCatalogueAgrees: docs/EVENTS.md lists exactly the events of the code.
-func TestCatalogueAgrees(t *testing.T) {
+// TestEventsMatchDocumentation checks that docs/EVENTS.md lists exactly the events of the code.
+func TestEventsMatchDocumentation(t *testing.T) {
 	data, err := os.ReadFile("../docs/EVENTS.md")
 	require.NoError(t, err)
 	var listed, defined []string
@@ -19,9 +19,9 @@
 	}
 	numbers := map[int]bool{}
 	for _, event := range All {
-		require.False(t, numbers[event.Number], "event %d is there twice", event.Number)
+		require.False(t, numbers[event.Number], "event %d is listed twice", event.Number)
 		numbers[event.Number] = true
-		defined = append(defined, fmt.Sprintf("%d %s %s", event.Number, event.Level, event.Text))
+		defined = append(defined, fmt.Sprintf("%d %s %s", event.Number, event.Level, event.Message))
 	}
 	require.Equal(t, defined, listed)
 }
--- a/replica/admission.go
+++ b/replica/admission.go
@@ -97,7 +97,7 @@
 	if r.settings.Standby > 0 || clock.Since(toldAt) <= outsideTold {
 		return toldAt
 	}
-	event.StaysOutside.On(r.logger).Int("ms", clock.Since(insideAt).Milliseconds()).
+	event.AdmissionPending.On(r.logger).Int("ms", clock.Since(insideAt).Milliseconds()).
 		Str("asked", strings.Join(r.contacts(), " ")).Send()
 	return clock.Now()
 }
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -29,7 +29,7 @@
 		r.core.Tick()
 	}
 	if elapsed > standstill {
-		event.ProcessStoodStill.On(r.logger).Int("ms", elapsed.Milliseconds()).Int("suspended_ms", suspended.Milliseconds()).Send()
+		event.ProcessStalled.On(r.logger).Int("ms", elapsed.Milliseconds()).Int("suspended_ms", suspended.Milliseconds()).Send()
 	}
 }
 
@@ -110,7 +110,7 @@
 	if err == nil {
 		return nil
 	}
-	event.StorageRefused.On(r.logger).Err(err).Send()
+	event.StorageUnavailable.On(r.logger).Err(err).Send()
 	for err != nil {
 		select {
 		case <-r.context.Done():
@@ -120,7 +120,7 @@
 		}
 		err = call()
 	}
-	event.StorageAccepts.On(r.logger).Send()
+	event.StorageRecovered.On(r.logger).Send()
 	return nil
 }
 
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -71,7 +71,7 @@
 		line := event.SnapshotSent.On(t.logger).Str("to", outgoing.Address)
 		index, err := t.transfer(outgoing)
 		if err != nil {
-			line = event.SnapshotUnsent.On(t.logger).Str("to", outgoing.Address).Err(err)
+			line = event.SnapshotSendFailed.On(t.logger).Str("to", outgoing.Address).Err(err)
 		}
 		line.Uint("index", index).Send()
 	}()
--- a/runner/link.go
+++ b/runner/link.go
@@ -184,7 +184,7 @@
 		opened, err := l.carry()
 		if opened {
 			backoff = minBackoff
-			event.RunnerLost.On(l.pool.logger).Str("runner", l.name).Uint("runs", uint64(l.interruptRuns())).Err(err).Send()
+			event.RunnerDisconnected.On(l.pool.logger).Str("runner", l.name).Uint("runs", uint64(l.interruptRuns())).Err(err).Send()
 		}
 		sleep(l.context, backoff)
 		backoff = min(2*backoff, maxBackoff)
@@ -222,7 +222,7 @@
 		return false, err
 	}
 	accepted := l.open(first)
-	event.RunnerFound.On(l.pool.logger).Str("runner", l.name).Int("ms", clock.Since(l.pool.begun).Milliseconds()).
+	event.RunnerConnected.On(l.pool.logger).Str("runner", l.name).Int("ms", clock.Since(l.pool.begun).Milliseconds()).
 		Uint("held", uint64(len(first.Held))).Uint("accepted", uint64(accepted)).Send()
 	heard := atomic.Uint64{}
 	heard.Store(first.Number)
--- a/runner/server.go
+++ b/runner/server.go
@@ -96,7 +96,7 @@
 		link.serve(bufio.NewReader(request.Body), response)
 	}
 	left := s.release(link)
-	event.RunnerLinkEnded.On(s.logger).Str("leader", request.RemoteAddr).Uint("term", term).Uint("runs", uint64(link.started)).
+	event.RunnerLinkClosed.On(s.logger).Str("leader", request.RemoteAddr).Uint("term", term).Uint("runs", uint64(link.started)).
 		Uint("left", uint64(left)).Uint("late", uint64(link.late)).Send()
 }
 
@@ -148,7 +148,7 @@
 	if len(s.orphans) == 0 {
 		return
 	}
-	event.RunsUnclaimed.On(s.logger).Uint("runs", uint64(len(s.orphans))).Send()
+	event.OrphanedRunsEnded.On(s.logger).Uint("runs", uint64(len(s.orphans))).Send()
 	s.endRuns()
 }
 
--- a/server/demand.go
+++ b/server/demand.go
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithTimeout(t.context, demandTimeout)
 	defer cancel()
 	if _, err := t.watcher.call(ctx, directoryCall{Demands: demands}); err != nil {
-		event.DemandUntold.On(t.logger).Err(err).Send()
+		event.DemandSendFailed.On(t.logger).Err(err).Send()
 	}
 }
 
--- a/server/directory_call.go
+++ b/server/directory_call.go
@@ -101,7 +101,7 @@
 func (d *Directory) call(ctx context.Context, call directoryCall) (directoryAnswer, error) {
 	answer, err := d.pass(ctx, call)
 	if kind := call.kind(); err != nil && kind != "" {
-		event.CallNotServed.On(d.logger).Str("call", kind).Str("leader", d.replica.Status().Leader).Err(err).Send()
+		event.CallFailed.On(d.logger).Str("call", kind).Str("leader", d.replica.Status().Leader).Err(err).Send()
 	}
 	return answer, err
 }
@@ -173,14 +173,14 @@
 	case call.Demands != nil:
 		d.scale.hear(call.Demands)
 	case call.Leave != "":
-		event.BackendLeft.On(d.logger).Str("backend", call.Leave).Int("born", call.LeaveBorn).Send()
+		event.BackendDeregistered.On(d.logger).Str("backend", call.Leave).Int("born", call.LeaveBorn).Send()
 		_, err = d.execute(ctx, directory.Command{RemoveBackend: &directory.RemoveBackend{
 			Name: call.Leave, Born: call.LeaveBorn, LatestBirth: d.latestBirth() - birthSlack.Milliseconds(),
 		}})
 	case call.Put != nil:
 		err = d.handlePut(ctx, call.Put, answer)
 	case call.Name != nil:
-		event.VersionNamed.On(d.logger).Str("model", call.Name.Model).Uint("version", call.Name.Version).Send()
+		event.WeightsPublished.On(d.logger).Str("model", call.Name.Model).Uint("version", call.Name.Version).Send()
 		_, err = d.execute(ctx, directory.Command{NameVersion: call.Name})
 	case call.Read:
 		err = d.handleRead(ctx, answer)
@@ -219,7 +219,7 @@
 func (d *Directory) handlePut(ctx context.Context, put *directory.PutConfiguration, answer *directoryAnswer) error {
 	result, err := d.execute(ctx, directory.Command{PutConfiguration: put})
 	answer.Version = result.Version
-	line := event.ConfigurationPut.On(d.logger).Uint("offered", put.Configuration.Version).Uint("held", result.Version)
+	line := event.ConfigurationSubmitted.On(d.logger).Uint("offered", put.Configuration.Version).Uint("held", result.Version)
 	if err != nil {
 		line.Err(err)
 	}
@@ -255,7 +255,7 @@
 func (d *Directory) handleRetire(ctx context.Context, retire *directory.Retire, answer *directoryAnswer) error {
 	result, err := d.execute(ctx, directory.Command{Retire: retire})
 	answer.Retire = result.Retire
-	event.RetireAsked.On(d.logger).Str("store", retire.Name).Uint("outcome", uint64(result.Retire)).Send()
+	event.RetireRequested.On(d.logger).Str("store", retire.Name).Uint("outcome", uint64(result.Retire)).Send()
 	return err
 }
 
--- a/server/directory_review.go
+++ b/server/directory_review.go
@@ -51,7 +51,7 @@
 	d.reviewSuspects(ctx)
 	d.formGroup(ctx)
 	if err := d.noteZone(ctx, d.ownZone()); err != nil {
-		event.ReviewFailed.On(d.logger).Err(err).Send()
+		event.LeaderUpdateFailed.On(d.logger).Err(err).Send()
 	}
 	d.usage.noteClock(d.settings.Name, time.Now().UnixMilli())
 	d.usage.review(ctx, d.view.Load().HasTenants())
@@ -90,7 +90,7 @@
 	for backend := range d.view.Load().AllBackends() {
 		switch silence := d.heartbeats.silence(now, backend.ID); {
 		case silence > patience:
-			event.BackendGone.On(d.logger).Str("backend", backend.ID).Uint("silent_ms", uint64(silence.Milliseconds())).Send()
+			event.BackendRemoved.On(d.logger).Str("backend", backend.ID).Uint("silent_ms", uint64(silence.Milliseconds())).Send()
 			changes = append(changes, directory.Command{RemoveBackend: &directory.RemoveBackend{ID: backend.ID}})
 		case silence > silentBeats*d.settings.HeartbeatInterval && !backend.Silent:
 			event.BackendSilent.On(d.logger).Str("backend", backend.ID).Uint("silent_ms", uint64(silence.Milliseconds())).Send()
--- a/server/evidence.go
+++ b/server/evidence.go
@@ -184,9 +184,9 @@
 
 // logEvidence says whether watches are let go or held from now on.
 func (d *Directory) logEvidence() {
-	message := event.WatchesHeld
+	message := event.WatchesResumed
 	if d.evidence.hasLapsed() {
-		message = event.WatchesLetGo
+		message = event.WatchesSuspended
 	}
 	message.On(d.logger).Uint("revision", d.revision()).Str("leader", d.replica.Status().Leader).Send()
 }
--- a/server/gateway_limits.go
+++ b/server/gateway_limits.go
@@ -69,7 +69,7 @@
 		switch {
 		case standing.Limiting && !known:
 			l.limited[standing.Service] = limitBegun{now, standing}
-			event.LimitBegun.On(l.logger).Str("service", standing.Service).Uint("percent", percent(standing.Share)).
+			event.LimitStarted.On(l.logger).Str("service", standing.Service).Uint("percent", percent(standing.Share)).
 				Int("usual_ms", standing.Usual.Milliseconds()).Int("delay_ms", standing.Delay.Milliseconds()).Send()
 		case !standing.Limiting && known:
 			delete(l.limited, standing.Service)
--- a/server/gateway_limits_test.go
+++ b/server/gateway_limits_test.go
@@ -38,7 +38,7 @@
 	note(140 * time.Millisecond)
 	limits.review(now)
 	limits.review(now)
-	require.Equal(t, 1, strings.Count(written.String(), event.LimitBegun.Text))
+	require.Equal(t, 1, strings.Count(written.String(), event.LimitStarted.Message))
 	require.Equal(t, 1, countMetrics(limits, now, "gateway_limit_share"))
 
 	now = now.Add(10 * time.Second)
@@ -46,7 +46,7 @@
 	now = now.Add(time.Second)
 	limits.limiter.Admit(now, ask)
 	limits.review(now)
-	require.Equal(t, 1, strings.Count(written.String(), event.LimitEnded.Text))
+	require.Equal(t, 1, strings.Count(written.String(), event.LimitEnded.Message))
 	require.Zero(t, countMetrics(limits, now, "gateway_limit_share"))
 }
 
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -196,7 +196,7 @@
 	case known.isNamed && known.named.ID == backend.ID && sameRegistration(known.named, backend):
 		return false
 	case known.isNamed && known.named.ID != backend.ID && known.named.Born >= backend.Born:
-		event.EarlierLifeHeard.On(d.logger).Str("backend", backend.ID).Str("registered", known.named.ID).Send()
+		event.StaleHeartbeatIgnored.On(d.logger).Str("backend", backend.ID).Str("registered", known.named.ID).Send()
 		return false
 	}
 	return !d.isContested(known, backend)
@@ -207,7 +207,7 @@
 	if !known.hasHeld || known.holder.OwnName() == backend.OwnName() || !d.keepsAddress(known.holder, backend) {
 		return false
 	}
-	event.AddressContested.On(d.logger).Str("backend", backend.ID).Str("holder", known.holder.ID).Str("address", backend.Address).Send()
+	event.AddressConflict.On(d.logger).Str("backend", backend.ID).Str("holder", known.holder.ID).Str("address", backend.Address).Send()
 	return true
 }
 
--- a/server/held_sample.go
+++ b/server/held_sample.go
@@ -22,7 +22,7 @@
 	}
 	if !t.heldBack[verdict.Subject.Content] {
 		t.heldBack[verdict.Subject.Content] = true
-		event.SampleHeldBack.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("content", string(verdict.Fingerprint)).Send()
+		event.SampleQuarantined.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("content", string(verdict.Fingerprint)).Send()
 	}
 	if verdict.Offered && !t.asking[verdict.Fingerprint] {
 		t.asking[verdict.Fingerprint] = true
--- a/server/ledger_call.go
+++ b/server/ledger_call.go
@@ -108,11 +108,11 @@
 		return ledgerAnswer{Refused: true}
 	}
 	if known {
-		event.StepKnown.On(l.logger).Str("step", step.ID).Send()
+		event.StepResubmitted.On(l.logger).Str("step", step.ID).Send()
 		return ledgerAnswer{Found: true}
 	}
 	_, err := l.replica.Execute(ctx, ledger.Command{Submit: step}.Encode())
-	line := event.StepTaken.On(l.logger).Str("step", step.ID).Uint("number", uint64(step.Number)).
+	line := event.StepSubmitted.On(l.logger).Str("step", step.ID).Uint("number", uint64(step.Number)).
 		Uint("samples", uint64(len(step.Samples))).Uint("oldest_version", step.OldestVersion)
 	if err != nil {
 		line.Err(err).Send()
--- a/server/ledger_client.go
+++ b/server/ledger_client.go
@@ -72,7 +72,7 @@
 		c.mutex.Lock()
 		c.nearAfter = time.Now().Add(nearPause)
 		c.mutex.Unlock()
-		event.NearStoreAvoided.On(c.logger).Str("replica", address).Err(err).Send()
+		event.LocalReplicaUnavailable.On(c.logger).Str("replica", address).Err(err).Send()
 	}
 	return answer, err == nil && len(answer.Results) > 0
 }
--- a/server/load.go
+++ b/server/load.go
@@ -98,7 +98,7 @@
 	request.SendBy = began.Add(duty.SendLimit)
 	answer := t.engines.Load(limited, request)
 	t.metrics.orders.WithLabelValues(strconv.Itoa(int(answer))).Inc()
-	event.OrderSent.On(t.logger).Str("engine", request.Order.Backend.ID).Uint("version", request.Order.Version).
+	event.LoadOrdered.On(t.logger).Str("engine", request.Order.Backend.ID).Uint("version", request.Order.Version).
 		Uint("fence", request.Fence).Uint("sequence", request.Sequence).Uint("answer", uint64(answer)).Send()
 	return answer
 }
@@ -113,7 +113,7 @@
 	if report.Born == backend.Born || report.Born == 0 || backend.Born == 0 {
 		return true
 	}
-	event.EngineReborn.On(t.logger).Str("engine", backend.ID).Int("born", report.Born).Send()
+	event.EngineRestarted.On(t.logger).Str("engine", backend.ID).Int("born", report.Born).Send()
 	return false
 }
 
--- a/server/moves.go
+++ b/server/moves.go
@@ -39,7 +39,7 @@
 	}
 	t.aheadAt = time.Now()
 	for _, task := range t.scheduler.UnwantedAhead() {
-		event.RunAheadEnded.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Send()
+		event.RunAheadCancelled.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Send()
 		t.cancel(task)
 	}
 	for _, assignment := range t.scheduler.Ahead(nowMillis(), t.servicesOf) {
--- a/server/plan.go
+++ b/server/plan.go
@@ -20,7 +20,7 @@
 		return
 	}
 	t.planLoggedAt = clock.Now()
-	event.GroupsPutBack.On(t.logger).Uint("chosen", uint64(counts.Chosen)).Uint("put_back", uint64(counts.PutBack)).
+	event.GroupsDeferred.On(t.logger).Uint("chosen", uint64(counts.Chosen)).Uint("put_back", uint64(counts.PutBack)).
 		Uint("late", uint64(counts.Late)).Str("shares", t.scheduler.Shares()).Send()
 }
 
--- a/server/process.go
+++ b/server/process.go
@@ -37,7 +37,7 @@
 // checkClock says so if suspensions of the machine can only be guessed.
 func checkClock(logger *zerolog.Logger) {
 	if !clock.HasBoot() {
-		event.NoBootClock.On(logger).Send()
+		event.BootClockUnavailable.On(logger).Send()
 	}
 }
 
--- a/server/quarantine.go
+++ b/server/quarantine.go
@@ -38,7 +38,7 @@
 		TakeTrial: func(ctx context.Context, fingerprint quarantine.Fingerprint) bool {
 			answer, err := watcher.call(ctx, directoryCall{Quarantine: &quarantineCall{TakeTrial: fingerprint}})
 			if err != nil {
-				event.CrashesUntold.On(watcher.logger).Uint("crashes", 0).Err(err).Send()
+				event.QuarantineCallFailed.On(watcher.logger).Uint("crashes", 0).Err(err).Send()
 				return false
 			}
 			return answer.Granted
@@ -73,7 +73,7 @@
 	defer cancel()
 	_, err := watcher.call(limited, directoryCall{Quarantine: &quarantineCall{Crashes: news.Crashes, Answered: news.Answered}})
 	if err != nil {
-		event.CrashesUntold.On(watcher.logger).Uint("crashes", uint64(len(news.Crashes))).Err(err).Send()
+		event.QuarantineCallFailed.On(watcher.logger).Uint("crashes", uint64(len(news.Crashes))).Err(err).Send()
 		guard.ReturnNews(news)
 	}
 	return err == nil
@@ -91,7 +91,7 @@
 		d.logSuspect(crash)
 	}
 	if result.Granted {
-		event.TrialTaken.On(d.logger).Str("content", string(call.TakeTrial)).Send()
+		event.TrialStarted.On(d.logger).Str("content", string(call.TakeTrial)).Send()
 	}
 	return nil
 }
@@ -111,7 +111,7 @@
 func (d *Directory) logSuspect(crash quarantine.Crash) {
 	var suspect quarantine.Suspect
 	d.replica.Do(func() { suspect, _, _ = d.machine.Suspect(crash.Fingerprint) })
-	event.CrashTold.On(d.logger).Str("content", string(crash.Fingerprint)).Str("backend", crash.Backend).
+	event.CrashReported.On(d.logger).Str("content", string(crash.Fingerprint)).Str("backend", crash.Backend).
 		Uint("known", uint64(crash.Known)).Uint("crashes", uint64(suspect.Crashes)).Uint("ended", uint64(len(suspect.Ended))).
 		Uint("held", boolToUint(suspect.IsHeld())).Send()
 }
@@ -220,11 +220,11 @@
 // executeOrLog carries out a command of the leader's review, which tries again what fails.
 func (d *Directory) executeOrLog(ctx context.Context, command directory.Command) {
 	if _, err := d.execute(ctx, command); err != nil {
-		event.ReviewFailed.On(d.logger).Err(err).Send()
+		event.LeaderUpdateFailed.On(d.logger).Err(err).Send()
 	}
 }
 
 // logHeldBack says that a request was refused because it crashes backends.
 func logHeldBack(logger *zerolog.Logger, request string, content quarantine.Fingerprint) {
-	event.RequestHeldBack.On(logger).Str("request", request).Str("content", string(content)).Send()
+	event.RequestQuarantined.On(logger).Str("request", request).Str("content", string(content)).Send()
 }
--- a/server/renewal.go
+++ b/server/renewal.go
@@ -101,7 +101,7 @@
 	now := nowMillis()
 	w.questionsInVain.Add(1)
 	if w.age.state(now) > copyAging && w.outOfTouch.CompareAndSwap(false, true) {
-		event.CopyOutOfTouch.On(w.logger).Uint("revision", w.Catalog().Revision).Int("age_ms", now-w.age.provenAt.Load()).Err(err).Send()
+		event.CopyStale.On(w.logger).Uint("revision", w.Catalog().Revision).Int("age_ms", now-w.age.provenAt.Load()).Err(err).Send()
 	}
 	w.age.noteQuestionUnanswered(now)
 	// Connections that are kept may be silent as well.
@@ -123,7 +123,7 @@
 		w.age.noteQuestionAnswered(began)
 		w.questions.Add(1)
 		w.outOfTouch.Store(false)
-		event.CopyRenewed.On(w.logger).Int("age_ms", began-age).Uint("from", base.Revision).Uint("revision", w.Catalog().Revision).Send()
+		event.CopyRefreshed.On(w.logger).Int("age_ms", began-age).Uint("from", base.Revision).Uint("revision", w.Catalog().Revision).Send()
 		return nil
 	}
 	return ctx.Err()
--- a/server/run.go
+++ b/server/run.go
@@ -125,7 +125,7 @@
 		limited, cancel := context.WithTimeout(t.context, recordTimeout)
 		defer cancel()
 		_, err := t.replica.Execute(limited, ledger.Command{Failed: failed}.Encode())
-		line := event.FailuresKept.On(t.logger).Str("sample", failed.Sample).Str("step", failed.Step).
+		line := event.FailuresRecorded.On(t.logger).Str("sample", failed.Sample).Str("step", failed.Step).
 			Uint("runs", uint64(failed.Counts.Runs)).Uint("rewards", uint64(failed.Counts.Rewards))
 		if err != nil {
 			line.Err(err)
@@ -144,7 +144,7 @@
 	t.metrics.samples.WithLabelValues(strconv.Itoa(int(result.State))).Inc()
 	t.results = append(t.results, newPendingResult(task, result, kept))
 	if result.State == ledger.Dead {
-		event.SampleDead.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("reason", why).Send()
+		event.SampleFailed.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("reason", why).Send()
 	}
 }
 
@@ -153,7 +153,7 @@
 func (t *tenure) noteWhole(last *scheduler.Task) {
 	took := nowMillis() - last.Step.SubmittedAt
 	t.metrics.steps.WithLabelValues().Observe(float64(took) / 1000)
-	event.StepWhole.On(t.logger).Str("step", last.Step.ID).Uint("number", uint64(last.Step.Number)).Int("ms", took).
+	event.StepCompleted.On(t.logger).Str("step", last.Step.ID).Uint("number", uint64(last.Step.Number)).Int("ms", took).
 		Str("sample", last.Sample.ID).Str("engine", last.Engine).Uint("events", last.Text.Last).
 		Uint("predicted_tokens", uint64(last.Sample.Predicted)).Uint("attempts", uint64(last.Attempts)).Send()
 }
--- a/server/scale_keeper.go
+++ b/server/scale_keeper.go
@@ -194,7 +194,7 @@
 			return
 		}
 		outcome, err := k.send(order)
-		event.BackendsOrdered.On(k.logger).Str("service", order.Wish.Service).Str("pool", order.Wish.Pool().String()).
+		event.ScalingOrderFinished.On(k.logger).Str("service", order.Wish.Service).Str("pool", order.Wish.Pool().String()).
 			Uint("count", uint64(order.Wish.Count)).Uint("before", uint64(order.Before)).Str("outcome", outcome.String()).Err(err).Send()
 		switch outcome {
 		case DutyTaken:
@@ -229,6 +229,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
 	if _, err := k.duties.replica.Execute(ctx, directory.Command{Order: &order}.Encode()); err != nil {
-		event.OrderUnrecorded.On(k.logger).Str("service", order.Wish.Service).Str("pool", order.Wish.Pool().String()).Err(err).Send()
+		event.ScalingResultNotRecorded.On(k.logger).Str("service", order.Wish.Service).Str("pool", order.Wish.Pool().String()).Err(err).Send()
 	}
 }
--- a/server/seeds.go
+++ b/server/seeds.go
@@ -60,7 +60,7 @@
 func (s *Seeds) reload() {
 	settings, err := s.load()
 	if err != nil {
-		event.SettingsRefused.On(s.logger).Err(err).Send()
+		event.SettingsRejected.On(s.logger).Err(err).Send()
 		return
 	}
 	addresses := settings.PeerAddresses()
@@ -68,7 +68,7 @@
 		return
 	}
 	s.addresses.Store(&addresses)
-	event.SettingsTaken.On(s.logger).Str("peers", strings.Join(addresses, " ")).Send()
+	event.SettingsApplied.On(s.logger).Str("peers", strings.Join(addresses, " ")).Send()
 }
 
 // CatchHangUps returns the process's hang-up signals, which end it until this is called: it is
@@ -89,7 +89,7 @@
 			case <-ctx.Done():
 				return
 			case <-hangUps:
-				event.ReloadAsked.On(s.logger).Send()
+				event.ReloadRequested.On(s.logger).Send()
 				s.reload()
 			}
 		}
--- a/server/spoiled.go
+++ b/server/spoiled.go
@@ -37,7 +37,7 @@
 		l.untold++
 		return
 	}
-	event.HeartbeatSpoiled.On(logger).Str("backend", spoiled.Writer).Str("field", spoiled.Field).
+	event.InvalidHeartbeatIgnored.On(logger).Str("backend", spoiled.Writer).Str("field", spoiled.Field).
 		Str("reason", spoiled.Reason).Uint("untold", l.untold).Send()
 	l.toldAt, l.untold = now, 0
 }
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -187,7 +187,7 @@
 		}
 	}
 	for _, task := range whole {
-		event.SampleKept.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Uint("events", task.Text.Last).Send()
+		event.SampleTextReused.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Uint("events", task.Text.Last).Send()
 		t.score(task)
 	}
 }
@@ -200,7 +200,7 @@
 		}
 		t.known[entry.Step.ID] = true
 		for _, task := range t.scheduler.TakenOver(entry.Step.ID) {
-			event.SampleTakenOver.On(t.logger).Str("sample", task.Sample.ID).Str("step", entry.Step.ID).
+			event.RunAheadTakenOver.On(t.logger).Str("sample", task.Sample.ID).Str("step", entry.Step.ID).
 				Str("engine", task.Engine).Uint("after", t.eventsOf(task)).Send()
 		}
 	}
--- a/server/usage_keeper.go
+++ b/server/usage_keeper.go
@@ -137,7 +137,7 @@
 	k.replica.Do(func() { due = k.machine.Usage().Due(now, k.settings.UsageWindow, usageSettling) })
 	for _, window := range due {
 		if _, err := k.replica.Execute(ctx, directory.Command{FixUsage: window}.Encode()); err != nil {
-			event.UsageUnfixed.On(k.logger).Uint("window", uint64(window)).Err(err).Send()
+			event.UsageUpdateFailed.On(k.logger).Uint("window", uint64(window)).Err(err).Send()
 			return
 		}
 	}
@@ -193,6 +193,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), usageTimeout)
 	defer cancel()
 	if _, err := k.replica.Execute(ctx, directory.Command{ToldUsage: window}.Encode()); err != nil {
-		event.UsageUnfixed.On(k.logger).Uint("window", uint64(window)).Err(err).Send()
+		event.UsageUpdateFailed.On(k.logger).Uint("window", uint64(window)).Err(err).Send()
 	}
 }
--- a/server/usage_meter.go
+++ b/server/usage_meter.go
@@ -69,7 +69,7 @@
 	for ctx.Err() == nil {
 		sleep(ctx, usageInterval)
 		if elapsed, suspended := pulse.Beat(); elapsed > standstillTold {
-			event.ProcessStoodStill.On(u.watcher.logger).Int("ms", elapsed.Milliseconds()).Int("suspended_ms", suspended.Milliseconds()).Send()
+			event.ProcessStalled.On(u.watcher.logger).Int("ms", elapsed.Milliseconds()).Int("suspended_ms", suspended.Milliseconds()).Send()
 		}
 		u.tell(ctx)
 		pulse.Beat()
@@ -87,7 +87,7 @@
 	defer cancel()
 	answer, err := u.watcher.call(limited, directoryCall{Usage: &usageCall{Totals: totals}})
 	if err != nil {
-		event.UsageUntold.On(u.watcher.logger).Uint("windows", uint64(len(totals))).Err(err).Send()
+		event.UsageSendFailed.On(u.watcher.logger).Uint("windows", uint64(len(totals))).Err(err).Send()
 		return
 	}
 	if answer.Usage == nil || answer.Usage.Window == 0 {
--- a/server/version_keeper.go
+++ b/server/version_keeper.go
@@ -98,7 +98,7 @@
 	inUse := uint64(0)
 	k.replica.Do(func() { inUse = k.machine.InUse() })
 	if k.inUse.Swap(inUse) != inUse {
-		event.VersionInUse.On(k.logger).Uint("version", inUse).Uint("known", k.own.Knows).Send()
+		event.CommandVersionChanged.On(k.logger).Uint("version", inUse).Uint("known", k.own.Knows).Send()
 		k.replica.Require(inUse)
 	}
 }
@@ -118,7 +118,7 @@
 	}
 	_, err := k.replica.ExecuteFor(ctx, k.own.Knows, k.raise)
 	if err != nil {
-		event.ReviewFailed.On(k.logger).Err(err).Send()
+		event.LeaderUpdateFailed.On(k.logger).Err(err).Send()
 		return
 	}
 	k.follow()
@@ -171,9 +171,9 @@
 		return
 	}
 	k.missingTold = true
-	kind := event.VersionAwaited
+	kind := event.CommandVersionPending
 	if k.inUse.Load() >= k.own.Knows {
-		kind = event.MemberTooEarly
+		kind = event.MemberOutdated
 	}
 	kind.On(k.logger).Uint("in_use", k.inUse.Load()).Uint("known", k.own.Knows).Str("members", strings.Join(missing, " ")).Send()
 }
--- a/server/watch.go
+++ b/server/watch.go
@@ -289,7 +289,7 @@
 	next := catalog.With(delta)
 	w.catalog.Store(next)
 	if next.Version != catalog.Version {
-		event.ConfigurationTaken.On(w.logger).Uint("version", next.Version).Uint("revision", next.Revision).Send()
+		event.ConfigurationApplied.On(w.logger).Uint("version", next.Version).Uint("revision", next.Revision).Send()
 	}
 	close(w.changed)
 	w.changed = make(chan struct{})
