--- a/consensus/election.go
+++ b/consensus/election.go
@@ -1,8 +1,8 @@
 package consensus
 
-// quorumActive tells whether a quorum of voters has replied within an election
-// timeout. A leader for which it does not hold gives up, so that a replica
-// that is cut off stops believing in its leadership.
+// quorumActive reports whether a quorum of voters has replied within an election
+// timeout. A leader without an active quorum steps down (check-quorum), so that an
+// isolated replica does not remain leader.
 func (r *Raft) quorumActive() bool {
 	active := 0
 	for _, member := range r.Membership().Members {
@@ -24,11 +24,11 @@
 	return ok && member.Voter
 }
 
-// mayCampaign tells whether the replica is a voter or is being removed as one
-// by a change that is not committed yet. In the second case it may be the only
-// one that holds the change, and have to lead until the others have committed
-// it; its own vote does not count (dissertation, 4.2.2).
-func (r *Raft) mayCampaign() bool {
+// canCampaign reports whether the replica is a voter, or a voter whose removal is
+// not committed yet. In the second case it may be the only replica that holds the
+// removal and has to lead until the others have committed it; its own vote does
+// not count (dissertation, 4.2.2).
+func (r *Raft) canCampaign() bool {
 	if r.isVoter() || r.MembershipCommitted() || len(r.memberships) < 2 {
 		return r.isVoter()
 	}
@@ -37,35 +37,35 @@
 }
 
 func (r *Raft) resetElectionTimeout() {
-	r.sinceHeard = 0
+	r.electionElapsed = 0
 	r.electionTimeout = r.config.ElectionTicks + r.random.IntN(r.config.ElectionTicks)
 }
 
-// awaitsFirstLeader tells whether the replica is to ask for pre-votes before an
-// election timeout, since it has heard no leader after its start.
+// awaitsFirstLeader reports whether the replica has heard no leader since its start
+// and so uses the short timeout of first elections.
 func (r *Raft) awaitsFirstLeader() bool {
 	return r.config.FirstElectionTicks > 0 && !r.heardLeader
 }
 
-// foundingIndex is the index of the snapshot that a group begins with. Whoever
-// leads adds an entry to it.
-const foundingIndex = 1
+// initialSnapshotIndex is the index of the snapshot that a new group starts with.
+// The log goes beyond it once the group has had a leader.
+const initialSnapshotIndex = 1
 
-// firstElectionDelay returns the ticks by which the first pre-vote after a start
-// comes later than that of the replica which has led in the newest term. A
-// leader has voted for itself in its term.
+// firstElectionDelay returns the extra ticks before the first pre-vote after a start.
+// It is 0 for the replica that led in the newest known term, which is recognized by
+// its vote for itself.
 func (r *Raft) firstElectionDelay() int {
 	switch {
-	case r.config.LastLeaderTicks == 0 || r.log.lastIndex() <= foundingIndex:
+	case r.config.NonLeaderDelayTicks == 0 || r.log.lastIndex() <= initialSnapshotIndex:
 		return r.rank()
 	case r.vote == r.config.ID:
 		return 0
 	default:
-		return r.config.LastLeaderTicks + r.rank()
+		return r.config.NonLeaderDelayTicks + r.rank()
 	}
 }
 
-// rank returns the number of voters with a lower identity.
+// rank returns the number of voters with a lower ID.
 func (r *Raft) rank() int {
 	lower := 0
 	for _, member := range r.Membership().Members {
@@ -94,18 +94,17 @@
 	r.reads = nil
 }
 
-// campaign asks the other voters for their votes. In a pre-campaign nobody
-// changes its term, so that a replica which was cut off does not depose a
-// working leader when it returns.
+// campaign asks the other voters for their votes. A pre-campaign changes no terms,
+// so that a replica that returns from a partition does not depose a working leader.
 func (r *Raft) campaign(role Role, transfer bool) {
 	r.resetElectionTimeout()
 	if role == PreCandidate && r.awaitsFirstLeader() {
 		r.electionTimeout = r.config.FirstElectionTicks + r.random.IntN(2*r.Membership().Voters()+1)
 	}
-	// Also a replica that does not know itself to be a voter gives up the
-	// silent leader: it may have been promoted, and its vote be needed.
+	// A learner also forgets the silent leader: it may have been promoted
+	// without knowing it yet, and its vote may be needed.
 	r.leader = None
-	if !r.mayCampaign() {
+	if !r.canCampaign() {
 		return
 	}
 	r.role = role
@@ -150,14 +149,14 @@
 
 func (r *Raft) becomeLeader() {
 	r.role, r.leader, r.transferee = Leader, r.config.ID, None
-	r.sinceHeard, r.sinceHeartbeat, r.heardLeader = 0, 0, true
+	r.electionElapsed, r.heartbeatElapsed, r.heardLeader = 0, 0, true
 	r.followers = map[ReplicaID]*progress{}
 	r.syncFollowers()
-	r.appendOwn(EntryNormal, nil)
+	r.appendEntry(EntryNormal, nil)
 	r.broadcastAppend()
 }
 
-// syncFollowers makes the leader's followers those of the membership.
+// syncFollowers adds and removes followers to match the membership.
 func (r *Raft) syncFollowers() {
 	for id := range r.followers {
 		if r.Membership().find(id) < 0 {
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -1,15 +1,15 @@
 package consensus
 
-// log is the in-memory copy of the entries after the newest snapshot.
+// log holds the entries after the newest snapshot in memory.
 type log struct {
-	// snapshotIndex and snapshotTerm name the entry before entries[0].
+	// snapshotIndex and snapshotTerm identify the entry before entries[0].
 	snapshotIndex uint64
 	snapshotTerm  uint64
 	entries       []Entry
 	committed     uint64
-	// applied is the last entry handed out in Ready.Committed.
+	// applied is the index of the last entry returned in Ready.Committed.
 	applied uint64
-	// stable is the last entry handed out in Ready.Entries.
+	// stable is the index of the last entry that is persisted.
 	stable uint64
 }
 
@@ -34,8 +34,8 @@
 }
 
 func (l *log) matches(index, term uint64) bool {
-	own, ok := l.term(index)
-	return ok && own == term
+	ownTerm, ok := l.term(index)
+	return ok && ownTerm == term
 }
 
 // slice returns the entries in (after, through].
@@ -46,10 +46,10 @@
 	return l.entries[after-l.snapshotIndex : through-l.snapshotIndex]
 }
 
-// append adds entries whose first follows an entry that matches. Entries that
-// are there already are kept: an old append that arrives late must not cut off
-// newer entries that were acknowledged since. Only a conflict of terms
-// truncates, and that never reaches the committed prefix.
+// append adds entries, the first of which must follow a matching entry. Entries that
+// are already present are kept, because a delayed append must not truncate entries
+// that were acknowledged since. Only a term conflict truncates the log, and never
+// the committed prefix.
 func (l *log) append(entries []Entry) {
 	for position, entry := range entries {
 		if l.matches(entry.Index, entry.Term) || entry.Index <= l.snapshotIndex {
@@ -59,29 +59,29 @@
 			panic("consensus: an append conflicts with a committed entry")
 		}
 		kept := l.entries[:entry.Index-l.snapshotIndex-1]
-		// The full slice expression forces a copy, so that slices handed out
-		// in earlier messages keep their content.
+		// The full slice expression forces a copy, so that slices returned
+		// in earlier messages are not overwritten.
 		l.entries = append(kept[:len(kept):len(kept)], entries[position:]...)
 		l.stable = min(l.stable, entry.Index-1)
 		return
 	}
 }
 
-// upToDate tells whether a candidate's log is at least as complete as this one.
-func (l *log) upToDate(lastIndex, lastTerm uint64) bool {
+// isUpToDate reports whether a candidate's log is at least as up-to-date as this one.
+func (l *log) isUpToDate(lastIndex, lastTerm uint64) bool {
 	if lastTerm != l.lastTerm() {
 		return lastTerm > l.lastTerm()
 	}
 	return lastIndex >= l.lastIndex()
 }
 
-// compact drops the entries up to the index, which must be applied.
+// compact drops the entries up to and including the index, which must be applied.
 func (l *log) compact(index, term uint64) {
 	l.entries = append([]Entry(nil), l.entries[index-l.snapshotIndex:]...)
 	l.snapshotIndex, l.snapshotTerm = index, term
 }
 
-// restore replaces the log by a snapshot.
+// restore replaces the log with a snapshot.
 func (l *log) restore(index, term uint64) {
 	*l = log{
 		snapshotIndex: index, snapshotTerm: term,
--- a/consensus/message.go
+++ b/consensus/message.go
@@ -1,7 +1,7 @@
-// Package consensus implements the Raft agreement protocol as a pure state
-// machine: ticks, messages and proposals go in, and a Ready with entries and
-// state to persist, messages to send and entries to apply comes out. The
-// package holds no clock, disk, socket, goroutine or global random number, so
+// Package consensus implements the Raft consensus algorithm as a deterministic
+// state machine: its inputs are ticks, messages and proposals, its output is a
+// Ready with entries and state to persist, messages to send and entries to apply.
+// The package uses no clock, disk, network, goroutines or global randomness, so
 // that the same input always gives the same output.
 //
 // It follows Ongaro's dissertation, "Consensus: Bridging Theory and Practice":
@@ -11,11 +11,10 @@
 package consensus
 
 // ReplicaID identifies one incarnation of a replica. A replica that lost its
-// disk must come back under a new ID: a vote given under the old one may
-// otherwise be given twice in a term.
+// disk must rejoin under a new ID; otherwise it could vote twice in a term.
 type ReplicaID uint64
 
-// None is the ReplicaID that names no replica.
+// None is the zero ReplicaID; no replica has it.
 const None ReplicaID = 0
 
 // EntryKind tells how an entry is applied.
@@ -23,8 +22,8 @@
 
 // The kinds of entries.
 const (
-	// EntryNormal carries a command of the replicated state machine. An empty
-	// one is what a new leader appends to commit the entries before it.
+	// EntryNormal carries a command for the replicated state machine. A new leader
+	// appends an empty one to commit the entries before it.
 	EntryNormal EntryKind = iota
 	// EntryMembership carries an encoded MembershipChange.
 	EntryMembership
@@ -39,12 +38,12 @@
 	Data  []byte
 }
 
-// Member is a replica that belongs to the group.
+// Member is a replica in the group.
 type Member struct {
 	_       struct{} `cbor:",toarray"`
 	ID      ReplicaID
 	Address string
-	// Voter is false for a learner, which receives the log and has no vote.
+	// Voter is false for a learner, which receives the log but does not vote.
 	Voter bool
 }
 
@@ -54,20 +53,20 @@
 	Members []Member
 }
 
-// MembershipAction is what a MembershipChange does.
+// MembershipAction is the kind of a MembershipChange.
 type MembershipAction uint8
 
 // The membership actions.
 const (
 	// AddLearner adds a replica without a vote.
 	AddLearner MembershipAction = iota + 1
-	// PromoteLearner gives a learner its vote.
+	// PromoteLearner makes a learner a voter.
 	PromoteLearner
-	// RemoveReplica takes a replica out of the group.
+	// RemoveReplica removes a replica from the group.
 	RemoveReplica
 )
 
-// MembershipChange changes the membership by one replica.
+// MembershipChange adds, promotes or removes one replica.
 type MembershipChange struct {
 	_       struct{} `cbor:",toarray"`
 	Action  MembershipAction
@@ -84,7 +83,7 @@
 	Data       []byte
 }
 
-// HardState is what must be durable before any message that depends on it is sent.
+// HardState must be persisted before any message that depends on it is sent.
 type HardState struct {
 	_      struct{} `cbor:",toarray"`
 	Term   uint64
@@ -92,7 +91,7 @@
 	Commit uint64
 }
 
-// MessageKind is the kind of a Message.
+// MessageKind identifies the type of a Message.
 type MessageKind uint8
 
 // The kinds of messages.
@@ -109,55 +108,55 @@
 	MessageTimeoutNow
 )
 
-// Message is what replicas send to each other. The network may lose, repeat,
-// delay and reorder messages.
+// Message is a message between replicas. The network may lose, duplicate, delay
+// and reorder messages.
 type Message struct {
 	_    struct{} `cbor:",toarray"`
 	Kind MessageKind
 	From ReplicaID
 	To   ReplicaID
 	Term uint64
-	// Index is the entry before Entries, the last entry of a candidate, or the
-	// last entry that a reply acknowledges.
+	// Index is the index of the entry before Entries, of the candidate's last
+	// entry, or of the last entry that a reply acknowledges.
 	Index   uint64
 	LogTerm uint64
 	Commit  uint64
 	Entries []Entry
-	// Reject is set in replies that refuse.
+	// Reject is set in replies that reject the request.
 	Reject bool
-	// Hint is, in a refused append's reply, the highest index that may match.
+	// Hint, in the reply to a rejected append, is the highest index that may match.
 	Hint uint64
-	// Round counts the leader's heartbeats; a reply repeats it.
+	// Round numbers the leader's heartbeats; a reply echoes it.
 	Round uint64
-	// Transfer marks a vote request that follows a leadership transfer and so
-	// is not held back by a leader that is still heard.
+	// Transfer marks a vote request from a leadership transfer, which replicas
+	// accept although they still hear the leader.
 	Transfer bool
 	Snapshot *Snapshot
 }
 
-// ReadState says that a read which was asked for under Context may be served
-// once the state machine has applied Index.
+// ReadState confirms the read with the given Context: it may be served once the
+// state machine has applied Index.
 type ReadState struct {
 	Context uint64
 	Index   uint64
 }
 
-// Ready is what the caller has to do, in this order: persist Snapshot,
-// HardState and Entries and sync them; send Messages; apply Snapshot and
-// Committed; then call Advance.
+// Ready holds pending work, which the caller must do in this order: persist and
+// sync Snapshot, HardState and Entries; send Messages; apply Snapshot and
+// Committed; call Advance.
 type Ready struct {
-	// HardState is nil if it has not changed.
+	// HardState is nil if it is unchanged.
 	HardState *HardState
-	// Entries are appended to the stored log; stored entries from the first
-	// one's index on are replaced.
+	// Entries are appended to the stored log and replace stored entries from the
+	// index of the first one on.
 	Entries []Entry
-	// Snapshot, if not nil, replaces the stored log and the state machine.
+	// Snapshot, if not nil, replaces the stored log and the state machine's state.
 	Snapshot   *Snapshot
 	Messages   []Message
 	Committed  []Entry
 	ReadStates []ReadState
-	// RejectedReads are contexts of reads that this replica cannot confirm
-	// because it is not the leader any more.
+	// RejectedReads are the contexts of reads that this replica cannot confirm
+	// because it is not the leader.
 	RejectedReads []uint64
 }
 
@@ -171,7 +170,7 @@
 	return -1
 }
 
-// Member returns the member with the ID, and whether there is one.
+// Member returns the member with the ID, and whether it exists.
 func (m Membership) Member(id ReplicaID) (Member, bool) {
 	position := m.find(id)
 	if position < 0 {
@@ -180,7 +179,7 @@
 	return m.Members[position], true
 }
 
-// Voters returns the number of members with a vote.
+// Voters returns the number of voting members.
 func (m Membership) Voters() int {
 	count := 0
 	for _, member := range m.Members {
@@ -191,8 +190,8 @@
 	return count
 }
 
-// apply returns the membership after the change. A change that does not fit
-// (adding a present replica, promoting or removing an absent one) has no effect.
+// apply returns the membership after the change. Adding a present replica, or
+// promoting or removing an absent one, has no effect.
 func (m Membership) apply(change MembershipChange) Membership {
 	members := append([]Member(nil), m.Members...)
 	position := m.find(change.ID)
--- a/consensus/raft_test.go
+++ b/consensus/raft_test.go
@@ -14,39 +14,39 @@
 
 const testElectionTicks = 4
 
-// testReplica is a replica with its disk, which outlives its crashes.
+// testReplica is a replica with its persisted state, which survives crashes.
 type testReplica struct {
-	id       ReplicaID
-	raft     *Raft
-	hard     HardState
-	snapshot Snapshot
-	entries  []Entry
-	applied  uint64
-	leading  bool
+	id        ReplicaID
+	raft      *Raft
+	hardState HardState
+	snapshot  Snapshot
+	entries   []Entry
+	applied   uint64
+	wasLeader bool
 }
 
-// testGroup runs replicas over a network that loses, repeats and reorders, and
-// holds what must never differ between them.
+// testGroup runs replicas over a network that loses, duplicates and reorders messages,
+// and records the state needed to check the safety properties.
 type testGroup struct {
-	t         require.TestingT
-	random    *rand.Rand
-	replicas  map[ReplicaID]*testReplica
-	order     []ReplicaID
-	network   []Message
-	committed map[uint64]Entry
-	highest   uint64
-	leaders   map[uint64]ReplicaID
-	reads     map[uint64]uint64
-	nextRead  uint64
-	proposals int
-	// electionTicks and firstElectionTicks are the replicas' settings.
-	electionTicks, firstElectionTicks, lastLeaderTicks int
+	t                require.TestingT
+	random           *rand.Rand
+	replicas         map[ReplicaID]*testReplica
+	ids              []ReplicaID
+	network          []Message
+	committed        map[uint64]Entry
+	highestCommitted uint64
+	leaderByTerm     map[uint64]ReplicaID
+	minReadIndexes   map[uint64]uint64
+	lastReadContext  uint64
+	proposals        int
+	// electionTicks, firstElectionTicks and nonLeaderDelayTicks configure the replicas.
+	electionTicks, firstElectionTicks, nonLeaderDelayTicks int
 }
 
 func newTestGroup(t require.TestingT, size int, seed uint64) *testGroup {
 	g := &testGroup{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), replicas: map[ReplicaID]*testReplica{},
-		committed: map[uint64]Entry{}, leaders: map[uint64]ReplicaID{}, reads: map[uint64]uint64{},
+		committed: map[uint64]Entry{}, leaderByTerm: map[uint64]ReplicaID{}, minReadIndexes: map[uint64]uint64{},
 		electionTicks: testElectionTicks, firstElectionTicks: int(seed % 2),
 	}
 	var membership Membership
@@ -60,24 +60,24 @@
 }
 
 func (g *testGroup) add(id ReplicaID, snapshot Snapshot) {
-	added := &testReplica{id: id, snapshot: snapshot, hard: HardState{Term: snapshot.Term, Commit: snapshot.Index}}
+	added := &testReplica{id: id, snapshot: snapshot, hardState: HardState{Term: snapshot.Term, Commit: snapshot.Index}}
 	g.replicas[id] = added
-	g.order = append(g.order, id)
+	g.ids = append(g.ids, id)
 	g.restart(added)
 }
 
 func (g *testGroup) restart(replica *testReplica) {
 	replica.raft = New(Config{
-		ID: replica.id, ElectionTicks: g.electionTicks, FirstElectionTicks: g.firstElectionTicks, LastLeaderTicks: g.lastLeaderTicks, HeartbeatTicks: 1, MaxAppendBytes: 64, Seed: g.random.Uint64(),
-		HardState: replica.hard, Snapshot: replica.snapshot, Entries: append([]Entry(nil), replica.entries...),
+		ID: replica.id, ElectionTicks: g.electionTicks, FirstElectionTicks: g.firstElectionTicks, NonLeaderDelayTicks: g.nonLeaderDelayTicks, HeartbeatTicks: 1, MaxAppendBytes: 64, Seed: g.random.Uint64(),
+		HardState: replica.hardState, Snapshot: replica.snapshot, Entries: append([]Entry(nil), replica.entries...),
 	})
 	replica.applied = replica.snapshot.Index
-	replica.leading = false
+	replica.wasLeader = false
 }
 
-// pump carries out all Readys of the replica; it may crash before a sync or
-// between the sync and the sending.
-func (g *testGroup) pump(replica *testReplica, crashChance float64) {
+// processReady processes all pending Readys of the replica, which may crash before
+// persisting or between persisting and sending.
+func (g *testGroup) processReady(replica *testReplica, crashChance float64) {
 	for replica.raft != nil && replica.raft.HasReady() {
 		ready := replica.raft.Ready()
 		if g.random.Float64() < crashChance {
@@ -93,7 +93,7 @@
 		g.apply(replica, ready)
 		replica.raft.Advance(ready)
 	}
-	g.observe(replica)
+	g.checkLeadership(replica)
 }
 
 func (r *testReplica) persist(ready Ready) {
@@ -101,7 +101,7 @@
 		r.snapshot, r.entries = *ready.Snapshot, nil
 	}
 	if ready.HardState != nil {
-		r.hard = *ready.HardState
+		r.hardState = *ready.HardState
 	}
 	if len(ready.Entries) > 0 {
 		kept := ready.Entries[0].Index - r.snapshot.Index - 1
@@ -109,10 +109,10 @@
 	}
 }
 
-// apply checks state machine safety: at an index, all apply the same entry.
+// apply checks state machine safety: all replicas apply the same entry at an index.
 func (g *testGroup) apply(replica *testReplica, ready Ready) {
 	if ready.Snapshot != nil {
-		require.Equal(g.t, g.digest(ready.Snapshot.Index), string(ready.Snapshot.Data))
+		require.Equal(g.t, g.stateDigest(ready.Snapshot.Index), string(ready.Snapshot.Data))
 		replica.applied = ready.Snapshot.Index
 	}
 	for _, entry := range ready.Committed {
@@ -121,46 +121,46 @@
 			require.Equal(g.t, earlier, entry)
 		}
 		g.committed[entry.Index] = entry
-		g.highest = max(g.highest, entry.Index)
+		g.highestCommitted = max(g.highestCommitted, entry.Index)
 		replica.applied = entry.Index
 	}
 	for _, read := range ready.ReadStates {
-		require.GreaterOrEqual(g.t, read.Index, g.reads[read.Context], "a read would miss a committed entry")
+		require.GreaterOrEqual(g.t, read.Index, g.minReadIndexes[read.Context], "the read index is below an entry committed before the read")
 	}
 }
 
-// digest stands for the state after the entry.
-func (g *testGroup) digest(index uint64) string {
-	text := ""
+// stateDigest represents the state after the entry at index.
+func (g *testGroup) stateDigest(index uint64) string {
+	digest := ""
 	for position := uint64(2); position <= index; position++ {
-		text += fmt.Sprintf("%d/%x ", g.committed[position].Term, g.committed[position].Data)
+		digest += fmt.Sprintf("%d/%x ", g.committed[position].Term, g.committed[position].Data)
 	}
-	return text
+	return digest
 }
 
-// observe checks election safety and leader completeness.
-func (g *testGroup) observe(replica *testReplica) {
-	leads := replica.raft != nil && replica.raft.Role() == Leader
-	if leads && !replica.leading {
+// checkLeadership checks election safety and leader completeness.
+func (g *testGroup) checkLeadership(replica *testReplica) {
+	isLeader := replica.raft != nil && replica.raft.Role() == Leader
+	if isLeader && !replica.wasLeader {
 		term := replica.raft.Term()
-		other, ok := g.leaders[term]
+		other, ok := g.leaderByTerm[term]
 		require.True(g.t, !ok || other == replica.id, "term %d has two leaders", term)
-		g.leaders[term] = replica.id
+		g.leaderByTerm[term] = replica.id
 		for index, entry := range g.committed {
 			if entry.Term < term && index > replica.raft.log.snapshotIndex {
-				require.True(g.t, replica.raft.log.matches(index, entry.Term), "leader %d misses entry %d", replica.id, index)
+				require.True(g.t, replica.raft.log.matches(index, entry.Term), "leader %d lacks committed entry %d", replica.id, index)
 			}
 		}
 	}
-	replica.leading = leads
+	replica.wasLeader = isLeader
 }
 
-// round ticks each replica and delivers what is on the network in any order.
+// round ticks each replica and delivers the messages in flight in random order.
 func (g *testGroup) round(loss, crashChance float64) {
-	for _, id := range g.order {
+	for _, id := range g.ids {
 		if replica := g.replicas[id]; replica.raft != nil {
 			replica.raft.Tick()
-			g.pump(replica, crashChance)
+			g.processReady(replica, crashChance)
 		}
 	}
 	messages := g.network
@@ -170,7 +170,7 @@
 		switch chance := g.random.Float64(); {
 		case chance < loss:
 		case chance < 2*loss:
-			// Late: it stays on the network for a later round.
+			// Delay the message until a later round.
 			g.network = append(g.network, message)
 		default:
 			g.deliver(message, crashChance)
@@ -181,7 +181,7 @@
 	}
 }
 
-// deliver goes through the codec, as messages between processes do.
+// deliver encodes and decodes the message, as the transport does.
 func (g *testGroup) deliver(message Message, crashChance float64) {
 	replica := g.replicas[message.To]
 	if replica == nil || replica.raft == nil {
@@ -192,12 +192,12 @@
 	var received Message
 	require.NoError(g.t, cbor.Unmarshal(data, &received))
 	replica.raft.Step(received)
-	g.pump(replica, crashChance)
+	g.processReady(replica, crashChance)
 }
 
 func (g *testGroup) leader() *testReplica {
 	var found *testReplica
-	for _, id := range g.order {
+	for _, id := range g.ids {
 		replica := g.replicas[id]
 		if replica.raft != nil && replica.raft.Role() == Leader && (found == nil || replica.raft.Term() > found.raft.Term()) {
 			found = replica
@@ -206,29 +206,29 @@
 	return found
 }
 
-func (g *testGroup) propose() {
-	for _, id := range g.order {
+func (g *testGroup) proposeOnAll() {
+	for _, id := range g.ids {
 		if replica := g.replicas[id]; replica.raft != nil {
 			g.proposals++
 			replica.raft.Propose(fmt.Appendf(nil, "command-%d", g.proposals))
-			g.pump(replica, 0)
+			g.processReady(replica, 0)
 		}
 	}
 }
 
-func (g *testGroup) read() {
-	for _, id := range g.order {
+func (g *testGroup) requestReads() {
+	for _, id := range g.ids {
 		if replica := g.replicas[id]; replica.raft != nil {
-			g.nextRead++
-			g.reads[g.nextRead] = g.highest
-			replica.raft.ReadIndex(g.nextRead)
-			g.pump(replica, 0)
+			g.lastReadContext++
+			g.minReadIndexes[g.lastReadContext] = g.highestCommitted
+			replica.raft.ReadIndex(g.lastReadContext)
+			g.processReady(replica, 0)
 		}
 	}
 }
 
 func (g *testGroup) compact(replica *testReplica) {
-	snapshot, ok := replica.raft.Compact(replica.applied, []byte(g.digest(replica.applied)))
+	snapshot, ok := replica.raft.Compact(replica.applied, []byte(g.stateDigest(replica.applied)))
 	if !ok {
 		return
 	}
@@ -236,25 +236,25 @@
 	replica.snapshot = snapshot
 }
 
-// change asks the leader for a membership change of any kind.
-func (g *testGroup) change(action MembershipAction) {
+// proposeChange proposes a membership change for a random or new replica.
+func (g *testGroup) proposeChange(action MembershipAction) {
 	leader := g.leader()
 	if leader == nil {
 		return
 	}
-	id := g.order[g.random.IntN(len(g.order))]
+	id := g.ids[g.random.IntN(len(g.ids))]
 	if action == AddLearner {
-		id = ReplicaID(len(g.order) + 1)
+		id = ReplicaID(len(g.ids) + 1)
 		g.add(id, Snapshot{})
 	}
 	leader.raft.ProposeMembership(MembershipChange{Action: action, ID: id})
-	g.pump(leader, 0)
+	g.processReady(leader, 0)
 }
 
-// settle restarts all replicas, ends all faults and waits for a new command to
-// be applied by every voter.
-func (g *testGroup) settle() {
-	for _, id := range g.order {
+// healAndCommit restarts crashed replicas, stops all faults and waits until every
+// voter has applied a new command.
+func (g *testGroup) healAndCommit() {
+	for _, id := range g.ids {
 		if g.replicas[id].raft == nil {
 			g.restart(g.replicas[id])
 		}
@@ -277,72 +277,72 @@
 			return
 		}
 	}
-	require.Fail(g.t, "no command was committed after all faults had ended")
+	require.Fail(g.t, "no command was committed after all faults ended")
 }
 
-// TestGroupAgrees runs groups under loss, reordering, copies, crashes,
-// membership changes, snapshots and leadership transfers.
-func TestGroupAgrees(t *testing.T) {
+// TestSafetyAndLivenessUnderFaults runs groups under message loss, reordering,
+// duplication, crashes, membership changes, snapshots and leadership transfers.
+func TestSafetyAndLivenessUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newTestGroup(t, rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
-		rounds := func(loss, crash float64) func(*rapid.T) {
+		runRounds := func(loss, crash float64) func(*rapid.T) {
 			return func(t *rapid.T) {
 				for range rapid.IntRange(1, 3*testElectionTicks).Draw(t, "rounds") {
 					g.round(loss, crash)
 				}
 			}
 		}
-		// running lets the action work on a replica, if the one picked runs.
-		running := func(do func(t *rapid.T, replica *testReplica)) func(*rapid.T) {
+		// onRunning applies the action to a drawn replica if it is running.
+		onRunning := func(action func(t *rapid.T, replica *testReplica)) func(*rapid.T) {
 			return func(t *rapid.T) {
-				replica := g.replicas[rapid.SampledFrom(g.order).Draw(t, "replica")]
+				replica := g.replicas[rapid.SampledFrom(g.ids).Draw(t, "replica")]
 				if replica.raft != nil {
-					do(t, replica)
+					action(t, replica)
 				}
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"calm":    rounds(0, 0),
-			"noise":   rounds(0.2, 0),
-			"crashes": rounds(0.1, 0.01),
-			"propose": func(*rapid.T) { g.propose() },
-			"read":    func(*rapid.T) { g.read() },
-			"compact": running(func(_ *rapid.T, replica *testReplica) { g.compact(replica) }),
-			"crash":   running(func(_ *rapid.T, replica *testReplica) { replica.raft = nil }),
+			"calm":    runRounds(0, 0),
+			"noise":   runRounds(0.2, 0),
+			"crashes": runRounds(0.1, 0.01),
+			"propose": func(*rapid.T) { g.proposeOnAll() },
+			"read":    func(*rapid.T) { g.requestReads() },
+			"compact": onRunning(func(_ *rapid.T, replica *testReplica) { g.compact(replica) }),
+			"crash":   onRunning(func(_ *rapid.T, replica *testReplica) { replica.raft = nil }),
 			"restart": func(*rapid.T) {
-				for _, id := range g.order {
+				for _, id := range g.ids {
 					if g.replicas[id].raft == nil {
 						g.restart(g.replicas[id])
 					}
 				}
 			},
-			"transfer": running(func(t *rapid.T, replica *testReplica) {
-				replica.raft.TransferLeadership(rapid.SampledFrom(g.order).Draw(t, "to"))
-				g.pump(replica, 0)
+			"transfer": onRunning(func(t *rapid.T, replica *testReplica) {
+				replica.raft.TransferLeadership(rapid.SampledFrom(g.ids).Draw(t, "to"))
+				g.processReady(replica, 0)
 			}),
-			"add":     func(*rapid.T) { g.change(AddLearner) },
-			"promote": func(*rapid.T) { g.change(PromoteLearner) },
-			"remove":  func(*rapid.T) { g.change(RemoveReplica) },
+			"add":     func(*rapid.T) { g.proposeChange(AddLearner) },
+			"promote": func(*rapid.T) { g.proposeChange(PromoteLearner) },
+			"remove":  func(*rapid.T) { g.proposeChange(RemoveReplica) },
 		})
-		g.settle()
+		g.healAndCommit()
 	})
 }
 
-// TestMembershipIsInUseOnceInTheLog: a replaced replica counts no more as soon
-// as the change is in the log, so that the loss of a second machine right after
-// the first one's repair leaves a quorum.
-func TestMembershipIsInUseOnceInTheLog(t *testing.T) {
+// TestMembershipChangeTakesEffectOnAppend checks that a replaced replica does not count
+// toward the quorum, so that the group survives a second failure right after the
+// replacement.
+func TestMembershipChangeTakesEffectOnAppend(t *testing.T) {
 	g := newTestGroup(t, 3, 1)
-	g.settle()
+	g.healAndCommit()
 	leader := g.leader()
-	lost := ReplicaID(1)
-	if leader.id == lost {
-		lost = 2
+	replacedID := ReplicaID(1)
+	if leader.id == replacedID {
+		replacedID = 2
 	}
-	g.replicas[lost].raft = nil
+	g.replicas[replacedID].raft = nil
 	g.add(4, Snapshot{})
 	for _, change := range []MembershipChange{
-		{Action: AddLearner, ID: 4}, {Action: PromoteLearner, ID: 4}, {Action: RemoveReplica, ID: lost},
+		{Action: AddLearner, ID: 4}, {Action: PromoteLearner, ID: 4}, {Action: RemoveReplica, ID: replacedID},
 	} {
 		require.True(t, leader.raft.ProposeMembership(change))
 		require.False(t, leader.raft.MembershipCommitted())
@@ -351,8 +351,8 @@
 		}
 		require.True(t, leader.raft.MembershipCommitted())
 	}
-	second := ReplicaID(6) - leader.id - lost
-	g.replicas[second].raft = nil
+	failedID := ReplicaID(6) - leader.id - replacedID
+	g.replicas[failedID].raft = nil
 	index, _, ok := leader.raft.Propose([]byte("after both losses"))
 	require.True(t, ok)
 	for range 4 {
@@ -361,24 +361,24 @@
 	require.GreaterOrEqual(t, g.replicas[4].applied, index)
 }
 
-// TestLateSnapshotKeepsAcknowledgedEntries: a snapshot that arrives after the
-// entries which it covers must not cut off later ones.
+// TestLateSnapshotKeepsAcknowledgedEntries checks that a delayed snapshot does not
+// truncate entries after it.
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	g := newTestGroup(t, 3, 1)
 	follower := g.replicas[2]
 	entries := []Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}, {Term: 2, Index: 4}}
 	follower.raft.Step(Message{Kind: MessageAppend, From: 1, To: 2, Term: 2, Index: 1, LogTerm: 1, Entries: entries})
-	g.pump(follower, 0)
+	g.processReady(follower, 0)
 	snapshot := Snapshot{Index: 3, Term: 2, Membership: follower.raft.Membership()}
 	follower.raft.Step(Message{Kind: MessageSnapshot, From: 1, To: 2, Term: 2, Snapshot: &snapshot})
-	g.pump(follower, 0)
+	g.processReady(follower, 0)
 	require.Equal(t, uint64(4), follower.raft.log.lastIndex())
 	require.Equal(t, uint64(3), follower.raft.Commit())
 }
 
-// TestUnawareVoterGivesUpASilentLeader: a learner that has been promoted and
-// does not know it yet must be free to vote once its leader is silent.
-func TestUnawareVoterGivesUpASilentLeader(t *testing.T) {
+// TestPromotedLearnerForgetsSilentLeader checks that a learner that does not know of its
+// promotion yet can vote once its leader is silent.
+func TestPromotedLearnerForgetsSilentLeader(t *testing.T) {
 	g := newTestGroup(t, 1, 1)
 	g.add(2, Snapshot{Index: 1, Term: 1, Membership: Membership{Members: []Member{{ID: 1, Voter: true}, {ID: 2}}}})
 	learner := g.replicas[2]
@@ -389,17 +389,16 @@
 	require.Equal(t, None, learner.raft.Leader())
 }
 
-// TestRemovedLeaderFinishesItsRemoval: a leader that has appended its own
-// removal and restarts before anyone else holds it must be able to lead again,
-// since nobody else can win.
-func TestRemovedLeaderFinishesItsRemoval(t *testing.T) {
+// TestRestartedLeaderCommitsItsRemoval checks that a leader that restarts before its own
+// removal is replicated can be elected again, since no other replica can win.
+func TestRestartedLeaderCommitsItsRemoval(t *testing.T) {
 	g := newTestGroup(t, 2, 1)
-	g.settle()
+	g.healAndCommit()
 	leader := g.leader()
 	require.True(t, leader.raft.ProposeMembership(MembershipChange{Action: RemoveReplica, ID: leader.id}))
-	g.pump(leader, 0)
+	g.processReady(leader, 0)
 	g.network = nil
 	g.restart(leader)
-	g.settle()
+	g.healAndCommit()
 	require.Len(t, g.leader().raft.Membership().Members, 1)
 }
--- a/consensus/step.go
+++ b/consensus/step.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Step takes in a message from another replica. Messages of earlier terms and
-// messages that make no sense in the current role are ignored.
+// Step handles a message from another replica. Messages that do not apply in the
+// current term or role are ignored.
 func (r *Raft) Step(message Message) {
 	if message.To != r.config.ID {
 		return
@@ -33,19 +33,19 @@
 	}
 }
 
-// acceptHigherTerm moves to the message's term where that is called for, and
-// tells whether the message is to be handled further.
+// acceptHigherTerm handles a message from a higher term. It adopts that term unless
+// the message is part of a pre-vote, and reports whether to process the message.
 func (r *Raft) acceptHigherTerm(message Message) bool {
 	isRequest := message.Kind == MessagePreVote || message.Kind == MessageVote
-	if isRequest && !message.Transfer && r.hearsLeader() {
-		// A replica that hears its leader helps nobody to depose it.
+	if isRequest && !message.Transfer && r.hasActiveLeader() {
+		// Ignore vote requests while a leader is active.
 		return false
 	}
 	switch {
 	case message.Kind == MessagePreVote:
 		return true
 	case message.Kind == MessagePreVoteReply && !message.Reject:
-		// A granted pre-vote carries the term of the election to come.
+		// A granted pre-vote carries the term of the future election.
 		return true
 	case message.Kind == MessageAppend || message.Kind == MessageHeartbeat || message.Kind == MessageSnapshot:
 		r.becomeFollower(message.Term, message.From)
@@ -55,12 +55,12 @@
 	return true
 }
 
-func (r *Raft) hearsLeader() bool {
-	return r.leader != None && r.sinceHeard < r.config.ElectionTicks
+func (r *Raft) hasActiveLeader() bool {
+	return r.leader != None && r.electionElapsed < r.config.ElectionTicks
 }
 
-// stepStale answers messages of an earlier term where silence would leave the
-// sender stuck.
+// stepStale rejects those messages of an earlier term whose sender would otherwise
+// never learn the current term.
 func (r *Raft) stepStale(message Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
@@ -70,36 +70,37 @@
 	}
 }
 
-// stepPreVote grants a pre-vote, which binds nobody, if the candidate could
-// win a real election of the message's term.
+// stepPreVote grants a pre-vote, which is not binding, if this replica could vote
+// for the candidate in the message's term.
 func (r *Raft) stepPreVote(message Message) {
-	granted := message.Term > r.term && r.log.upToDate(message.Index, message.LogTerm)
+	granted := message.Term > r.term && r.log.isUpToDate(message.Index, message.LogTerm)
 	reply := Message{Kind: MessagePreVoteReply, To: message.From, Term: message.Term}
 	if !granted {
 		reply.Term, reply.Reject = r.term, true
 	}
 	if granted && r.awaitsFirstLeader() {
-		r.yield(message.From)
+		r.yieldFirstElection(message.From)
 	}
 	r.send(reply)
 }
 
-// yield leaves the first election to a candidate that has asked for a pre-vote:
-// of two that ask at the same moment, the one with the higher identity gives way.
-func (r *Raft) yield(candidate ReplicaID) {
+// yieldFirstElection delays this replica's own first campaign in favor of a candidate
+// that has asked for a pre-vote. Of two concurrent pre-candidates, the one with the
+// higher ID yields.
+func (r *Raft) yieldFirstElection(candidate ReplicaID) {
 	if r.role == PreCandidate && candidate < r.config.ID {
 		r.role = Follower
 	}
 	if r.role == Follower {
-		r.sinceHeard = 0
+		r.electionElapsed = 0
 	}
 }
 
-// stepVote grants at most one vote in a term; the vote is persisted with the
-// hard state before the reply leaves.
+// stepVote grants at most one vote per term. The vote is persisted with the hard
+// state before the reply is sent.
 func (r *Raft) stepVote(message Message) {
-	free := r.vote == message.From || (r.vote == None && r.leader == None)
-	granted := free && r.log.upToDate(message.Index, message.LogTerm)
+	canVote := r.vote == message.From || (r.vote == None && r.leader == None)
+	granted := canVote && r.log.isUpToDate(message.Index, message.LogTerm)
 	if granted {
 		r.vote = message.From
 		r.resetElectionTimeout()
@@ -108,14 +109,14 @@
 }
 
 func (r *Raft) stepVoteReply(message Message) {
-	wanted := Candidate
+	expectedRole := Candidate
 	if message.Kind == MessagePreVoteReply {
-		wanted = PreCandidate
+		expectedRole = PreCandidate
 	}
-	if r.role != wanted {
+	if r.role != expectedRole {
 		return
 	}
-	if wanted == PreCandidate && !message.Reject && message.Term != r.term+1 {
+	if expectedRole == PreCandidate && !message.Reject && message.Term != r.term+1 {
 		return
 	}
 	r.votes[message.From] = !message.Reject
@@ -127,7 +128,7 @@
 		panic("consensus: two leaders in one term")
 	}
 	r.role, r.leader = Follower, message.From
-	r.sinceHeard, r.heardLeader = 0, true
+	r.electionElapsed, r.heardLeader = 0, true
 	switch message.Kind {
 	case MessageAppend:
 		r.stepAppend(message)
@@ -146,8 +147,8 @@
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: r.term}
 	switch {
 	case message.Index < r.log.snapshotIndex:
-		// What the snapshot covers is committed and so matches; the leader
-		// may go on after the committed prefix.
+		// Entries covered by the snapshot are committed and match; the leader
+		// can continue after the committed prefix.
 		reply.Index = r.log.committed
 	case !r.log.matches(message.Index, message.LogTerm):
 		reply.Reject, reply.Index = true, message.Index
@@ -155,7 +156,7 @@
 	default:
 		r.log.append(message.Entries)
 		if len(message.Entries) > 0 {
-			r.noteMemberships(message.Entries[0].Index)
+			r.updateMemberships(message.Entries[0].Index)
 		}
 		reply.Index = message.Index + uint64(len(message.Entries))
 		r.commitTo(min(message.Commit, reply.Index))
@@ -167,9 +168,8 @@
 	r.log.committed = max(r.log.committed, index)
 }
 
-// stepSnapshot installs a snapshot unless the log holds all that it covers. In
-// that case the log is kept: entries after the snapshot may have been
-// acknowledged and counted as durable.
+// stepSnapshot installs a snapshot unless the log already contains the entries that it
+// covers. In that case the log is kept, because later entries may have been acknowledged.
 func (r *Raft) stepSnapshot(message Message) {
 	snapshot := message.Snapshot
 	switch {
@@ -196,7 +196,7 @@
 	}
 	follower.lastReplyTick = r.tick
 	if message.Reject {
-		// A reply to an append from before the known match is out of date.
+		// A rejection at or below the known match index is stale.
 		if message.Index > follower.match {
 			follower.next = max(min(follower.next, message.Hint+1), follower.match+1)
 			r.sendAppend(message.From, follower)
@@ -230,11 +230,11 @@
 		follower.next = follower.match + 1
 		r.sendAppend(message.From, follower)
 	}
-	r.releaseReads()
+	r.confirmReads()
 }
 
-// advanceCommit commits what a quorum holds durably. Only an entry of the
-// leader's own term is counted; those before it are committed with it (Raft,
+// advanceCommit commits the entries that a quorum has persisted. Only entries of the
+// leader's own term are counted; earlier ones are committed with them (Raft paper,
 // section 5.4.2).
 func (r *Raft) advanceCommit() {
 	matches := make([]uint64, 0, len(r.Membership().Members))
@@ -248,14 +248,14 @@
 	index := matches[len(matches)-r.quorum()]
 	if index > r.log.committed && r.log.matches(index, r.term) {
 		r.commitTo(index)
-		r.releaseReads()
+		r.confirmReads()
 	}
 }
 
-// releaseReads answers the reads whose round a quorum has acknowledged. A
-// leader that has not committed in its term yet may not know the newest commit
-// index, so reads wait for that.
-func (r *Raft) releaseReads() {
+// confirmReads confirms the reads whose heartbeat round a quorum has acknowledged.
+// Reads wait until the leader has committed an entry in its term, because until then
+// it may not know the latest commit index.
+func (r *Raft) confirmReads() {
 	if len(r.reads) == 0 || !r.CommittedInTerm() {
 		return
 	}
@@ -290,7 +290,7 @@
 }
 
 func (r *Raft) broadcastHeartbeat() {
-	r.sinceHeartbeat = 0
+	r.heartbeatElapsed = 0
 	r.round++
 	for _, member := range r.Membership().Members {
 		follower := r.followers[member.ID]
@@ -302,7 +302,7 @@
 			Commit: min(follower.match, r.log.committed), Round: r.round,
 		})
 	}
-	r.releaseReads()
+	r.confirmReads()
 }
 
 func (r *Raft) broadcastAppend() {
@@ -314,8 +314,8 @@
 	}
 }
 
-// sendAppend sends the entries from follower.next on and counts on their
-// arrival; a refusal or a stalled heartbeat reply takes that back.
+// sendAppend sends the entries from follower.next on and advances next optimistically;
+// a rejection or a stalled heartbeat reply resets it.
 func (r *Raft) sendAppend(to ReplicaID, follower *progress) {
 	if follower.next <= r.log.snapshotIndex {
 		r.sendSnapshot(to, follower)
@@ -343,8 +343,8 @@
 	return entries
 }
 
-// sendSnapshot sends the newest snapshot, and not again before an election
-// timeout has passed without an answer.
+// sendSnapshot sends the newest snapshot, at most once per election timeout while
+// the follower has not acknowledged one.
 func (r *Raft) sendSnapshot(to ReplicaID, follower *progress) {
 	if follower.snapshotTick > 0 && r.tick-follower.snapshotTick < r.config.ElectionTicks {
 		return
--- a/control/core.go
+++ b/control/core.go
@@ -79,7 +79,7 @@
 	clock   Clock
 
 	waiting   map[uint64]waiter
-	reads     *consensus.Reads[pendingRead]
+	reads     *consensus.ReadTracker[pendingRead]
 	addresses map[consensus.ReplicaID]string
 
 	// The following belong to one leadership and are made anew with each.
@@ -118,7 +118,7 @@
 	c := &Core{
 		config: config, raft: consensus.New(config.Consensus), machine: machine,
 		applied: config.Consensus.Snapshot.Index,
-		waiting: map[uint64]waiter{}, reads: consensus.NewReads[pendingRead](),
+		waiting: map[uint64]waiter{}, reads: consensus.NewReadTracker[pendingRead](),
 		addresses: map[consensus.ReplicaID]string{},
 	}
 	for _, entry := range config.Consensus.Entries {
--- a/control/read.go
+++ b/control/read.go
@@ -66,15 +66,15 @@
 // confirmReads takes in which reads a quorum has confirmed, and serves those
 // whose index is applied.
 func (c *Core) confirmReads(ready consensus.Ready) {
-	for _, read := range c.reads.Rejected(ready) {
+	for _, read := range c.reads.TakeRejected(ready) {
 		if read.local != 0 {
 			c.answer(requester{id: read.local}, protocol.ProposeNotLeader, state.Result{})
 		}
 	}
-	for _, read := range c.reads.Confirmed(ready, c.applied) {
+	for _, read := range c.reads.TakeServable(ready, c.applied) {
 		c.serveRead(read)
 	}
-	if !c.reads.Waits(c.beatContext) {
+	if !c.reads.IsPending(c.beatContext) {
 		c.beatContext = 0
 	}
 	c.confirmBeats()
--- a/replica/core.go
+++ b/replica/core.go
@@ -92,7 +92,7 @@
 
 	waiting map[uint64]waiter
 	// reads holds the IDs of reads that wait for their confirmation.
-	reads     *consensus.Reads[uint64]
+	reads     *consensus.ReadTracker[uint64]
 	addresses map[consensus.ReplicaID]string
 	// leadingTerm is the term that this replica leads in, or 0.
 	leadingTerm uint64
@@ -123,7 +123,7 @@
 	c := &Core{
 		config: config, raft: consensus.New(config.Consensus), machine: machine,
 		applied: config.Consensus.Snapshot.Index,
-		waiting: map[uint64]waiter{}, reads: consensus.NewReads[uint64](),
+		waiting: map[uint64]waiter{}, reads: consensus.NewReadTracker[uint64](),
 		addresses: map[consensus.ReplicaID]string{}, retiring: map[consensus.ReplicaID]bool{},
 		superseded: map[consensus.ReplicaID]bool{},
 	}
@@ -272,7 +272,7 @@
 		return checked.Err()
 	}
 	c.raft.Advance(ready)
-	c.raft.ForgetSnapshotData()
+	c.raft.DropSnapshotData()
 	c.noticeLeadership()
 	c.confirmReads(ready)
 	c.compact()
@@ -306,10 +306,10 @@
 }
 
 func (c *Core) confirmReads(ready consensus.Ready) {
-	for _, id := range c.reads.Rejected(ready) {
+	for _, id := range c.reads.TakeRejected(ready) {
 		c.answer(id, NotLeader, nil)
 	}
-	for _, id := range c.reads.Confirmed(ready, c.applied) {
+	for _, id := range c.reads.TakeServable(ready, c.applied) {
 		c.answer(id, Done, nil)
 	}
 }
@@ -335,7 +335,7 @@
 	if !grown || c.job != nil {
 		return
 	}
-	if snapshot, ok := c.raft.Describe(c.applied); ok {
+	if snapshot, ok := c.raft.SnapshotMetadata(c.applied); ok {
 		c.job = &SnapshotJob{Snapshot: snapshot, Write: c.machine.Snapshot(), logBytes: c.logBytes}
 		c.offered = c.job
 	}
--- a/replica/outlive_test.go
+++ b/replica/outlive_test.go
@@ -142,7 +142,7 @@
 	}
 	core, err := NewCore(CoreConfig{
 		Consensus: consensus.Config{
-			ID: m.identity, ElectionTicks: electionTicks, FirstElectionTicks: firstElectionTicks, LastLeaderTicks: lastLeader, HeartbeatTicks: heartbeatTicks, MaxAppendBytes: 1 << 10, Seed: w.random.Uint64(),
+			ID: m.identity, ElectionTicks: electionTicks, FirstElectionTicks: firstElectionTicks, NonLeaderDelayTicks: lastLeader, HeartbeatTicks: heartbeatTicks, MaxAppendBytes: 1 << 10, Seed: w.random.Uint64(),
 			HardState: m.state, Snapshot: m.snapshot, Entries: slices.Clone(m.entries),
 		},
 		Address: m.address, Voters: w.voters, Standby: w.standby, SilentTicks: silentTicks, SnapshotBytes: 1 << 20, SnapshotEntries: 40,
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -146,7 +146,7 @@
 	core, err := NewCore(CoreConfig{
 		Consensus: consensus.Config{
 			ID: contents.Identity.Replica, ElectionTicks: electionTicks, FirstElectionTicks: firstElectionTicks, HeartbeatTicks: heartbeatTicks,
-			LastLeaderTicks: lastLeaderWait, MaxAppendBytes: maxAppendBytes, Seed: rand.Uint64(),
+			NonLeaderDelayTicks: lastLeaderWait, MaxAppendBytes: maxAppendBytes, Seed: rand.Uint64(),
 			HardState: contents.HardState, Snapshot: contents.Snapshot, Entries: contents.Entries,
 		},
 		Address: settings.Address, Voters: settings.Voters, Standby: settings.Standby, SilentTicks: silentTicks,
