--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config holds the settings of the control and node processes, read
-// strictly from one YAML file each. Command-line flags are laid over them.
+// Package config defines and validates the settings of each process, which are
+// read from one YAML file. Command-line flags override them.
 package config
 
 import (
@@ -16,33 +16,33 @@
 
 var (
 	namespace = errorx.NewNamespace("config")
-	// ErrInvalid: a settings file cannot be read or holds something wrong. The
-	// message names the file, and the line or the field's path.
+	// ErrInvalid is the type of errors for settings that cannot be read or are
+	// invalid. The message names the file and line, or the field's path.
 	ErrInvalid = namespace.NewType("invalid")
 )
 
 // Control holds the settings of a control replica.
 type Control struct {
-	// Cluster names the group of replicas; a data folder belongs to one.
+	// Cluster names the group of replicas. A data folder belongs to one cluster.
 	Cluster string `yaml:"cluster"`
-	// Address is the IP address and port that other processes and operators reach.
+	// Address is the IP address and port for other processes and operators.
 	Address string `yaml:"address"`
-	// DataFolder holds the replica's files.
+	// DataFolder is the folder of the replica's files.
 	DataFolder string `yaml:"data_folder"`
-	// PlatformURL is where the platform's list of engines is read; empty for none.
+	// PlatformURL is the URL of the platform's engine list; empty for none.
 	PlatformURL string `yaml:"platform_url"`
-	// Tick is the unit of consensus timing; the election timeout is ElectionTicks of it.
+	// Tick is the duration of a consensus tick. The election timeout is ElectionTicks ticks.
 	Tick          time.Duration `yaml:"tick"`
 	ElectionTicks int           `yaml:"election_ticks"`
-	// Lease is how long a silent node keeps its registration.
+	// Lease is how long a node stays registered without a heartbeat.
 	Lease time.Duration `yaml:"lease"`
-	// ReplaceAfter is how long a voter is silent before a learner takes its
-	// place; 0 turns replacement off.
+	// ReplaceAfter is how long a voter must be silent before a learner replaces
+	// it; 0 disables replacement.
 	ReplaceAfter time.Duration `yaml:"replace_after"`
-	// SnapshotBytes is the least size of the log that makes a snapshot.
+	// SnapshotBytes is the log size that triggers a snapshot.
 	SnapshotBytes int    `yaml:"snapshot_bytes"`
 	LogLevel      string `yaml:"log_level"`
-	// Pprof serves profiles under /debug/pprof.
+	// Pprof enables profiles under /debug/pprof.
 	Pprof bool `yaml:"pprof"`
 }
 
@@ -52,21 +52,21 @@
 	ID     string `yaml:"id"`
 	Zone   string `yaml:"zone"`
 	Region string `yaml:"region"`
-	// Address is the IP address and port that other processes of dillchute reach.
+	// Address is the IP address and port for other processes of dillchute.
 	Address string `yaml:"address"`
-	// CallerAddress is where callers' requests are taken in.
+	// CallerAddress is the address for callers' requests.
 	CallerAddress string `yaml:"caller_address"`
 	// Controls are the addresses of the control replicas.
 	Controls []string `yaml:"controls"`
-	// ScorerURL is where results are scored; empty for none.
+	// ScorerURL is the URL of the scoring service; empty for none.
 	ScorerURL string `yaml:"scorer_url"`
-	// DrainTimeout bounds the time that a planned stop waits for requests.
+	// DrainTimeout limits how long a planned stop waits for requests in flight.
 	DrainTimeout time.Duration `yaml:"drain_timeout"`
 	LogLevel     string        `yaml:"log_level"`
 	Pprof        bool          `yaml:"pprof"`
 }
 
-// DefaultControl returns the settings that hold where a file is silent.
+// DefaultControl returns the default settings of a control replica.
 func DefaultControl() Control {
 	return Control{
 		Tick: 50 * time.Millisecond, ElectionTicks: 10, Lease: 3 * time.Second,
@@ -74,19 +74,19 @@
 	}
 }
 
-// DefaultNode returns the settings that hold where a file is silent.
+// DefaultNode returns the default settings of a node.
 func DefaultNode() Node {
 	return Node{DrainTimeout: 10 * time.Minute, LogLevel: "info"}
 }
 
-// LoadControl reads the settings of a control replica, without checking them:
-// flags may still change them. An empty path gives the defaults.
+// LoadControl reads the settings of a control replica. It does not validate them,
+// because flags may override them. An empty path returns the defaults.
 func LoadControl(path string) (Control, error) {
 	settings := DefaultControl()
 	return settings, load(path, &settings)
 }
 
-// LoadNode is LoadControl for a node.
+// LoadNode reads the settings of a node, like LoadControl.
 func LoadNode(path string) (Node, error) {
 	settings := DefaultNode()
 	return settings, load(path, &settings)
@@ -106,15 +106,15 @@
 	return nil
 }
 
-type check struct {
-	path   string
-	wrong  bool
-	reason string
+type fieldCheck struct {
+	field   string
+	invalid bool
+	reason  string
 }
 
-// Validate returns an ErrInvalid error that names every wrong field.
+// Validate returns an ErrInvalid error that lists all invalid fields.
 func (c Control) Validate() error {
-	return report([]check{
+	return validationError([]fieldCheck{
 		{"cluster", c.Cluster == "", "must not be empty"},
 		{"address", !validAddress(c.Address), "must be an IP address and a port"},
 		{"data_folder", c.DataFolder == "", "must not be empty"},
@@ -128,9 +128,9 @@
 	})
 }
 
-// Validate returns an ErrInvalid error that names every wrong field.
+// Validate returns an ErrInvalid error that lists all invalid fields.
 func (n Node) Validate() error {
-	checks := []check{
+	checks := []fieldCheck{
 		{"id", n.ID == "", "must not be empty"},
 		{"zone", n.Zone == "", "must not be empty"},
 		{"region", n.Region == "", "must not be empty"},
@@ -145,27 +145,27 @@
 	for position, address := range n.Controls {
 		path := fmt.Sprintf("controls[%d]", position)
 		checks = append(checks,
-			check{path, !validAddress(address), "must be an IP address and a port"},
-			check{path, seen[address], "is there twice"})
+			fieldCheck{path, !validAddress(address), "must be an IP address and a port"},
+			fieldCheck{path, seen[address], "is listed twice"})
 		seen[address] = true
 	}
-	return report(checks)
+	return validationError(checks)
 }
 
-func report(checks []check) error {
-	var wrong []string
+func validationError(checks []fieldCheck) error {
+	var failures []string
 	for _, check := range checks {
-		if check.wrong {
-			wrong = append(wrong, check.path+": "+check.reason)
+		if check.invalid {
+			failures = append(failures, check.field+": "+check.reason)
 		}
 	}
-	if len(wrong) == 0 {
+	if len(failures) == 0 {
 		return nil
 	}
-	return ErrInvalid.New("%s", strings.Join(wrong, "; "))
+	return ErrInvalid.New("%s", strings.Join(failures, "; "))
 }
 
-// validAddress tells whether the text is an IP address with a port, which may be 0.
+// validAddress reports whether the text is an IP address with a port, which may be 0.
 func validAddress(text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	return err == nil && net.ParseIP(host) != nil && port != ""
--- a/config/decode.go
+++ b/config/decode.go
@@ -10,17 +10,17 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// durationError is a duration that cannot be read. The library does not tell
-// custom decoders where a value stands, so that is looked up afterwards.
+// durationError reports an invalid duration. The YAML library does not give custom
+// decoders the position of a value, so addPosition looks it up afterwards.
 type durationError struct{ text string }
 
 func (e *durationError) Error() string {
 	return "must be a duration such as 300ms, 5s or 2m"
 }
 
-// DecodeStrict decodes a YAML document and refuses unknown and repeated keys
-// and further documents. Its errors name line and column where there is one.
-// The library panics on some malformed documents, which is an error here.
+// DecodeStrict decodes a YAML document and rejects unknown and duplicate keys. Its
+// errors name the line and column if known. The library's panics on some malformed
+// documents are returned as errors.
 func DecodeStrict(data []byte, into any) (err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -40,15 +40,15 @@
 	if parseErr != nil || len(file.Docs) == 0 {
 		return err
 	}
-	return locate(file.Docs[0].Body, duration)
+	return addPosition(file.Docs[0].Body, duration)
 }
 
-// DecodeNode is DecodeStrict for a part of a document.
+// DecodeNode decodes a node of a document, like DecodeStrict.
 func DecodeNode(node ast.Node, into any) error {
 	err := yaml.NodeToValue(node, into, strictOptions()...)
 	var duration *durationError
 	if errors.As(err, &duration) {
-		return locate(node, duration)
+		return addPosition(node, duration)
 	}
 	return err
 }
@@ -70,14 +70,14 @@
 	return nil
 }
 
-// locate adds the place of the first value that reads as the duration's text.
-func locate(node ast.Node, wrong *durationError) error {
-	finder := &valueFinder{text: wrong.text}
+// addPosition adds the position of the first value that equals the duration's text.
+func addPosition(node ast.Node, cause *durationError) error {
+	finder := &valueFinder{text: cause.text}
 	ast.Walk(finder, node)
 	if finder.found == nil {
-		return wrong
+		return cause
 	}
-	return &yaml.SyntaxError{Message: wrong.Error(), Token: finder.found.GetToken()}
+	return &yaml.SyntaxError{Message: cause.Error(), Token: finder.found.GetToken()}
 }
 
 type valueFinder struct {
@@ -85,11 +85,11 @@
 	found ast.Node
 }
 
-// Visit looks at the values of mappings.
+// Visit implements ast.Visitor: it records the first matching value of a mapping.
 func (f *valueFinder) Visit(node ast.Node) ast.Visitor {
-	pair, ok := node.(*ast.MappingValueNode)
-	if ok && f.found == nil && pair.Value.Type() != ast.MappingType && pair.Value.GetToken().Value == f.text {
-		f.found = pair.Value
+	mapping, ok := node.(*ast.MappingValueNode)
+	if ok && f.found == nil && mapping.Value.Type() != ast.MappingType && mapping.Value.GetToken().Value == f.text {
+		f.found = mapping.Value
 	}
 	return f
 }
--- a/config/roles.go
+++ b/config/roles.go
@@ -8,116 +8,118 @@
 	"time"
 )
 
-// Process holds the settings that every role of a deployment with stores has.
+// Process holds the settings common to directory replicas, stores and gateways.
 type Process struct {
-	// Cluster names the deployment; a data folder belongs to one.
+	// Cluster names the deployment. A data folder belongs to one cluster.
 	Cluster string `yaml:"cluster"`
 	// Name is the process's unique name.
 	Name   string `yaml:"name"`
 	Zone   string `yaml:"zone"`
 	Region string `yaml:"region"`
-	// InternalAddress is where other processes of dillchute reach this one.
+	// InternalAddress is the address for other processes of dillchute.
 	InternalAddress string `yaml:"internal_address"`
-	// MetricsAddress is where metrics and profiles are served; empty for none.
+	// MetricsAddress is the address for metrics and profiles; empty to disable them.
 	MetricsAddress string `yaml:"metrics_address"`
-	// Peers are addresses of replicas of the directory.
+	// Peers are the addresses of directory replicas.
 	Peers []string `yaml:"peers"`
-	// PeerPort, if it is not 0, is the port of the peers' internal addresses,
-	// in place of the one in Peers.
+	// PeerPort, if not 0, replaces the ports in Peers.
 	PeerPort int `yaml:"peer_port"`
-	// MemoryLimit is the number of MiB that the process may use; 0 for no limit.
+	// MemoryLimit is the memory limit of the process in MiB; 0 for no limit.
 	MemoryLimit int    `yaml:"memory_limit_mib"`
 	LogLevel    string `yaml:"log_level"`
-	// Grace is how long a planned stop may take.
+	// Grace is the maximum duration of a planned stop.
 	Grace time.Duration `yaml:"grace"`
-	// CopyLimit is how old a process's copy of the directory may be when it sends work by it:
-	// the time within which a backend that leaves must get nothing new. An older one is asked
-	// for first; 0 for no limit.
+	// CopyLimit is the maximum age of a process's copy of the directory when it dispatches work;
+	// an older copy is refreshed first. It bounds how long a deregistered backend can still be
+	// sent new work. 0 means no limit.
 	CopyLimit time.Duration `yaml:"copy_limit"`
 }
 
-// Directory holds the settings of a replica of the directory.
+// Directory holds the settings of a directory replica.
 type Directory struct {
 	Process `yaml:",inline"`
-	// ControlAddress is where operators and backends call.
+	// ControlAddress is the address for operators and backends.
 	ControlAddress string `yaml:"control_address"`
 	DataFolder     string `yaml:"data_folder"`
-	// FirstStart is set only when the whole deployment starts for the first time.
+	// FirstStart must be set only when the whole deployment starts for the first time.
 	FirstStart bool `yaml:"first_start"`
-	// ToleratedLosses is how many machines with a disk may be lost at once; each
-	// group has twice as many voters and one more.
+	// ToleratedLosses is the number of machines with a disk that may be lost at once.
+	// Each group has 2*ToleratedLosses+1 voters.
 	ToleratedLosses int `yaml:"tolerated_losses"`
-	// HeartbeatInterval is the time between heartbeats of a backend.
+	// HeartbeatInterval is the interval between a backend's heartbeats.
 	HeartbeatInterval time.Duration `yaml:"heartbeat_interval"`
-	// DutyAddress is where the calls go that one process at a time makes, and Duties names
-	// those that are wanted there; of these, DutyUsage and DutyScale are known.
+	// DutyAddress is the address for calls that only one process makes at a time. Duties lists
+	// the enabled calls: DutyUsage, DutyScale.
 	DutyAddress string   `yaml:"duty_address"`
 	Duties      []string `yaml:"duties"`
-	// UsageWindow is the length of the windows of time that are reported one by one.
+	// UsageWindow is the length of the time windows for which usage is reported.
 	UsageWindow time.Duration `yaml:"usage_window"`
-	// DutyLease is how long a process must not act that takes a duty over from another one.
+	// DutyLease is how long a process that takes over a duty waits before it acts.
 	DutyLease time.Duration `yaml:"duty_lease"`
-	// DutyRate is how many calls a second go to DutyAddress at the most; 0 for no limit.
+	// DutyRate is the maximum number of calls per second to DutyAddress; 0 for no limit.
 	DutyRate float64 `yaml:"duty_rate"`
-	// ToleratedZones is how many zones may be lost at once.
+	// ToleratedZones is the number of zones that may be lost at once.
 	ToleratedZones int `yaml:"tolerated_zones"`
-	// HoldOrders keeps the number of backends of all services as it is, though DutyScale is wanted.
+	// HoldOrders suspends scaling orders for all services although DutyScale is enabled.
 	HoldOrders bool `yaml:"hold_orders"`
 }
 
 const (
-	// DutyUsage is the duty to report the usage of tenants.
+	// DutyUsage is the duty of reporting the tenants' usage.
 	DutyUsage = "usage"
-	// DutyScale is the duty to order backends for services that may be scaled.
+	// DutyScale is the duty of ordering backends for scalable services.
 	DutyScale = "scale"
 )
 
-// Scales tells whether backends are to be ordered.
-func (d Directory) Scales() bool { return d.DutyAddress != "" && slices.Contains(d.Duties, DutyScale) }
+// IsScalingEnabled reports whether backends are ordered.
+func (d Directory) IsScalingEnabled() bool {
+	return d.DutyAddress != "" && slices.Contains(d.Duties, DutyScale)
+}
 
-// DutyGap returns the least time between two calls to DutyAddress.
-func (d Directory) DutyGap() time.Duration {
+// MinDutyInterval returns the minimum time between two calls to DutyAddress.
+func (d Directory) MinDutyInterval() time.Duration {
 	if d.DutyRate <= 0 {
 		return 0
 	}
 	return time.Duration(float64(time.Second) / d.DutyRate)
 }
 
-// Reports tells whether the usage of tenants is to be reported.
-func (d Directory) Reports() bool { return d.DutyAddress != "" && slices.Contains(d.Duties, DutyUsage) }
+// IsUsageReportingEnabled reports whether the tenants' usage is reported.
+func (d Directory) IsUsageReportingEnabled() bool {
+	return d.DutyAddress != "" && slices.Contains(d.Duties, DutyUsage)
+}
 
-// Ledger holds the settings of a store.
+// Ledger holds the settings of a ledger store.
 type Ledger struct {
 	Process    `yaml:",inline"`
 	DataFolder string `yaml:"data_folder"`
 	FirstStart bool   `yaml:"first_start"`
-	// ToleratedLosses is as in Directory.
+	// ToleratedLosses is the same as in Directory.
 	ToleratedLosses int `yaml:"tolerated_losses"`
-	// OrderLease is how long a new leader waits before it gives orders to
-	// engines that an earlier one may have given orders to.
+	// OrderLease is how long a new leader waits before it sends orders to
+	// engines that an earlier leader may have sent orders to.
 	OrderLease time.Duration `yaml:"order_lease"`
-	// Retention is how long the results of a step are kept since it was sent.
+	// Retention is how long the results of a step are kept after its submission.
 	Retention time.Duration `yaml:"retention"`
 }
 
 // Gateway holds the settings of a gateway.
 type Gateway struct {
 	Process `yaml:",inline"`
-	// CallerAddress is where callers' requests are taken in.
+	// CallerAddress is the address for callers' requests.
 	CallerAddress string `yaml:"caller_address"`
-	// ReadyAddress is where the entry asks whether the gateway is ready.
+	// ReadyAddress is the address of the readiness check.
 	ReadyAddress string `yaml:"ready_address"`
 }
 
-// Voters returns the number of voters of a group that stays in service when so
-// many members are lost at once.
+// Voters returns the number of voters that a group needs to tolerate the losses.
 func Voters(toleratedLosses int) int { return 2*toleratedLosses + 1 }
 
 func defaultProcess() Process {
 	return Process{Cluster: "dillchute", LogLevel: "info", Grace: 8 * time.Second, CopyLimit: 2 * time.Second}
 }
 
-// DefaultDirectory returns the settings that hold where a file is silent.
+// DefaultDirectory returns the default settings of a directory replica.
 func DefaultDirectory() Directory {
 	return Directory{
 		Process: defaultProcess(), ToleratedLosses: 1, HeartbeatInterval: time.Second,
@@ -125,17 +127,17 @@
 	}
 }
 
-// DefaultLedger returns the settings that hold where a file is silent.
+// DefaultLedger returns the default settings of a ledger store.
 func DefaultLedger() Ledger {
 	return Ledger{
 		Process: defaultProcess(), ToleratedLosses: 1, OrderLease: 3 * time.Second, Retention: 2 * time.Minute,
 	}
 }
 
-// DefaultGateway returns the settings that hold where a file is silent.
+// DefaultGateway returns the default settings of a gateway.
 func DefaultGateway() Gateway { return Gateway{Process: defaultProcess()} }
 
-// LoadDirectory reads the settings of a replica of the directory and checks them.
+// LoadDirectory reads and validates the settings of a directory replica.
 func LoadDirectory(path string) (Directory, error) {
 	settings := DefaultDirectory()
 	if err := load(path, &settings); err != nil {
@@ -144,7 +146,7 @@
 	return settings, settings.Validate()
 }
 
-// LoadLedger reads the settings of a store and checks them.
+// LoadLedger reads and validates the settings of a ledger store.
 func LoadLedger(path string) (Ledger, error) {
 	settings := DefaultLedger()
 	if err := load(path, &settings); err != nil {
@@ -153,7 +155,7 @@
 	return settings, settings.Validate()
 }
 
-// LoadGateway reads the settings of a gateway and checks them.
+// LoadGateway reads and validates the settings of a gateway.
 func LoadGateway(path string) (Gateway, error) {
 	settings := DefaultGateway()
 	if err := load(path, &settings); err != nil {
@@ -174,12 +176,12 @@
 	return addresses
 }
 
-// leastCopyLimit is the least limit that is taken. Copies are up to 1.2 s old with a sound watch, so
-// below 2 s the directory is asked often, and below 1.5 s before most sends.
-const leastCopyLimit = time.Second
+// minCopyLimit is the lowest accepted copy_limit. With a healthy watch copies are up to 1.2 s old, so
+// low limits cause frequent refreshes.
+const minCopyLimit = time.Second
 
-func (p Process) checks() []check {
-	checks := []check{
+func (p Process) checks() []fieldCheck {
+	checks := []fieldCheck{
 		{"cluster", p.Cluster == "", "must not be empty"},
 		{"name", p.Name == "", "must not be empty"},
 		{"zone", p.Zone == "", "must not be empty"},
@@ -189,41 +191,41 @@
 		{"memory_limit_mib", p.MemoryLimit < 0, "must not be negative"},
 		{"log_level", !validLevel(p.LogLevel), "must be debug, info, warn or error"},
 		{"grace", p.Grace <= 0, "must be positive"},
-		{"copy_limit", p.CopyLimit != 0 && p.CopyLimit < leastCopyLimit, "must be 0, or at least 1s"},
+		{"copy_limit", p.CopyLimit != 0 && p.CopyLimit < minCopyLimit, "must be 0, or at least 1s"},
 	}
 	for position, address := range p.Peers {
-		checks = append(checks, check{fmt.Sprintf("peers[%d]", position), !validAddress(address), "must be an IP address and a port"})
+		checks = append(checks, fieldCheck{fmt.Sprintf("peers[%d]", position), !validAddress(address), "must be an IP address and a port"})
 	}
 	return checks
 }
 
-// Validate returns an ErrInvalid error that names every wrong field.
+// Validate returns an ErrInvalid error that lists all invalid fields.
 func (d Directory) Validate() error {
-	return report(append(d.checks(),
-		check{"control_address", !validAddress(d.ControlAddress), "must be an IP address and a port"},
-		check{"data_folder", d.DataFolder == "", "must not be empty"},
-		check{"tolerated_losses", d.ToleratedLosses < 0, "must not be negative"},
-		check{"heartbeat_interval", d.HeartbeatInterval <= 0, "must be positive"},
-		check{"duty_address", d.DutyAddress != "" && !validAddress(d.DutyAddress), "must be an IP address and a port"},
-		check{"duties", len(d.Duties) > 0 && d.DutyAddress == "", "need a duty_address"},
-		check{"usage_window", d.UsageWindow < time.Millisecond, "must be a millisecond or more"},
-		check{"duty_lease", d.DutyLease < 0, "must not be negative"},
-		check{"duty_rate", d.DutyRate < 0, "must not be negative"},
-		check{"tolerated_zones", d.ToleratedZones < 0, "must not be negative"}))
-}
-
-// Validate returns an ErrInvalid error that names every wrong field.
+	return validationError(append(d.checks(),
+		fieldCheck{"control_address", !validAddress(d.ControlAddress), "must be an IP address and a port"},
+		fieldCheck{"data_folder", d.DataFolder == "", "must not be empty"},
+		fieldCheck{"tolerated_losses", d.ToleratedLosses < 0, "must not be negative"},
+		fieldCheck{"heartbeat_interval", d.HeartbeatInterval <= 0, "must be positive"},
+		fieldCheck{"duty_address", d.DutyAddress != "" && !validAddress(d.DutyAddress), "must be an IP address and a port"},
+		fieldCheck{"duties", len(d.Duties) > 0 && d.DutyAddress == "", "need a duty_address"},
+		fieldCheck{"usage_window", d.UsageWindow < time.Millisecond, "must be a millisecond or more"},
+		fieldCheck{"duty_lease", d.DutyLease < 0, "must not be negative"},
+		fieldCheck{"duty_rate", d.DutyRate < 0, "must not be negative"},
+		fieldCheck{"tolerated_zones", d.ToleratedZones < 0, "must not be negative"}))
+}
+
+// Validate returns an ErrInvalid error that lists all invalid fields.
 func (l Ledger) Validate() error {
-	return report(append(l.checks(),
-		check{"data_folder", l.DataFolder == "", "must not be empty"},
-		check{"tolerated_losses", l.ToleratedLosses < 0, "must not be negative"},
-		check{"order_lease", l.OrderLease < 0, "must not be negative"},
-		check{"retention", l.Retention <= 0, "must be positive"}))
+	return validationError(append(l.checks(),
+		fieldCheck{"data_folder", l.DataFolder == "", "must not be empty"},
+		fieldCheck{"tolerated_losses", l.ToleratedLosses < 0, "must not be negative"},
+		fieldCheck{"order_lease", l.OrderLease < 0, "must not be negative"},
+		fieldCheck{"retention", l.Retention <= 0, "must be positive"}))
 }
 
-// Validate returns an ErrInvalid error that names every wrong field.
+// Validate returns an ErrInvalid error that lists all invalid fields.
 func (g Gateway) Validate() error {
-	return report(append(g.checks(),
-		check{"caller_address", !validAddress(g.CallerAddress), "must be an IP address and a port"},
-		check{"ready_address", !validAddress(g.ReadyAddress), "must be an IP address and a port"}))
+	return validationError(append(g.checks(),
+		fieldCheck{"caller_address", !validAddress(g.CallerAddress), "must be an IP address and a port"},
+		fieldCheck{"ready_address", !validAddress(g.ReadyAddress), "must be an IP address and a port"}))
 }
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -52,14 +52,14 @@
 		partial, err := cbor.Marshal(machine.DeltaFor(Watch{Since: goldenSince}))
 		require.NoError(t, err)
 		file = strings.Replace(file, "log-", "deltas-", 1)
-		if _, ok := golden.IsWriting(); ok {
-			golden.Write(t, file, goldenDeltas{hex.EncodeToString(full), hex.EncodeToString(partial)})
+		if _, ok := golden.OutputFile(); ok {
+			golden.WriteJSON(t, file, goldenDeltas{hex.EncodeToString(full), hex.EncodeToString(partial)})
 			return
 		}
 		var told goldenDeltas
-		golden.Read(t, file, &told)
-		requireTold(t, golden.Bytes(t, told.Full), full)
-		requireTold(t, golden.Bytes(t, told.Partial), partial)
+		golden.ReadJSON(t, file, &told)
+		requireTold(t, golden.DecodeHex(t, told.Full), full)
+		requireTold(t, golden.DecodeHex(t, told.Partial), partial)
 	})
 }
 
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,6 +1,6 @@
-// Package fixedseed, imported for its effect by tests, gives rapid a fixed seed,
-// so that a test run always has the same verdict. The flags -rapid.seed and
-// -rapid.checks still override it.
+// Package fixedseed sets a fixed seed for rapid, so that property tests are
+// reproducible. Tests import it for its side effect. The flag -rapid.seed still
+// overrides the seed.
 package fixedseed
 
 import (
--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -7,38 +7,38 @@
 	"strings"
 )
 
-// listLength is the number of elements of a filled list. Maps have one, since their order is not
-// told.
+// listLength is the number of elements in filled slices. Filled maps have one entry, because their
+// iteration order is undefined.
 const listLength = 2
 
-// variant is a value with the name of its case.
-type variant struct {
+// namedValue is a value with the name of its case.
+type namedValue struct {
 	name  string
 	value any
 }
 
-// variants returns the values of a kind that are written.
-func variants(kind Kind) []variant {
+// variants returns the filled values of a kind: one, or one for each field of a union.
+func variants(kind Kind) []namedValue {
 	kindType := reflect.TypeOf(kind.Zero)
 	if !kind.IsUnion {
-		return []variant{{kind.Name, Filled(kind.Zero)}}
+		return []namedValue{{kind.Name, Filled(kind.Zero)}}
 	}
-	var list []variant
+	var values []namedValue
 	for position := range kindType.NumField() {
 		field := kindType.Field(position)
 		if !field.IsExported() {
 			continue
 		}
 		value := reflect.New(kindType).Elem()
-		filler := filler{types: []reflect.Type{kindType}}
+		filler := filler{enclosing: []reflect.Type{kindType}}
 		filler.fill(value.Field(position))
-		list = append(list, variant{kind.Name + "." + field.Name, value.Interface()})
+		values = append(values, namedValue{kind.Name + "." + field.Name, value.Interface()})
 	}
-	return list
+	return values
 }
 
-// kindOf returns the kind to which a case belongs.
-func kindOf(kinds []Kind, name string) (Kind, bool) {
+// findKind returns the kind that the named case belongs to.
+func findKind(kinds []Kind, name string) (Kind, bool) {
 	if position := slices.IndexFunc(kinds, func(kind Kind) bool { return kind.Name == name }); position >= 0 {
 		return kinds[position], true
 	}
@@ -50,18 +50,17 @@
 	return kinds[position], true
 }
 
-// Filled returns a value of the type of the given one with all exported fields set, each to
-// another value.
+// Filled returns a value of type T with all exported fields set to distinct values.
 func Filled[T any](zero T) T {
 	value := reflect.New(reflect.TypeOf(zero)).Elem()
 	(&filler{}).fill(value)
 	return value.Interface().(T)
 }
 
-// filler sets fields. It leaves a type that holds itself empty within itself.
+// filler sets fields. It stops at recursive types, listed in enclosing, and leaves them zero.
 type filler struct {
-	count int64
-	types []reflect.Type
+	count     int64
+	enclosing []reflect.Type
 }
 
 func (f *filler) fill(value reflect.Value) {
@@ -70,9 +69,9 @@
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		value.SetInt(f.small())
+		value.SetInt(f.smallNumber())
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		value.SetUint(uint64(f.small()))
+		value.SetUint(uint64(f.smallNumber()))
 	case reflect.Float32, reflect.Float64:
 		value.SetFloat(float64(f.count) + 0.5)
 	case reflect.String:
@@ -90,12 +89,12 @@
 	case reflect.Struct:
 		f.fillStruct(value)
 	default:
-		panic("golden: no value for " + value.Type().String())
+		panic("golden: cannot fill a value of type " + value.Type().String())
 	}
 }
 
-// small returns a number that the smallest integer types hold.
-func (f *filler) small() int64 { return f.count%100 + 1 }
+// smallNumber returns a number that fits into the smallest integer types.
+func (f *filler) smallNumber() int64 { return f.count%100 + 1 }
 
 func (f *filler) fillMap(value reflect.Value) {
 	key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
@@ -106,14 +105,14 @@
 }
 
 func (f *filler) fillStruct(value reflect.Value) {
-	if slices.Contains(f.types, value.Type()) {
+	if slices.Contains(f.enclosing, value.Type()) {
 		return
 	}
-	f.types = append(f.types, value.Type())
+	f.enclosing = append(f.enclosing, value.Type())
 	for position := range value.NumField() {
 		if value.Type().Field(position).IsExported() {
 			f.fill(value.Field(position))
 		}
 	}
-	f.types = f.types[:len(f.types)-1]
+	f.enclosing = f.enclosing[:len(f.enclosing)-1]
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden checks that this build reads what earlier builds wrote, for tests. Each kind of
-// message, log entry or record is written by an earlier build with all of its fields set, as bytes
-// and by the names of its fields. The bytes must mean the same here, and be written again alike.
+// Package golden tests that this build can read data written by earlier builds. A golden file holds
+// each kind of message, log entry or record with all fields set, as encoded bytes and as JSON by
+// field name. Decoding the bytes must yield the same fields, and encoding these the same bytes.
 package golden
 
 import (
@@ -16,78 +16,79 @@
 )
 
 var (
-	writeTo  = flag.String("golden.write", "", "write what this build encodes to this file, in the package's folder")
-	readFrom = flag.String("golden.read", "", "read this file of a later build, of which only what is known here must be the same")
+	writeTo  = flag.String("golden.write", "", "write the golden data of this build to this file, relative to the package's folder")
+	readFrom = flag.String("golden.read", "", "check this file of a later build, comparing only the fields that this build knows")
 )
 
-// folder holds the files of earlier builds, in the folder of the package that is tested.
-const folder = "testdata/golden"
+// goldenFolder holds the files of earlier builds, relative to the tested package.
+const goldenFolder = "testdata/golden"
 
-// Kind is a kind of values that builds exchange or keep.
+// Kind is a type of value that is exchanged between builds or stored.
 type Kind struct {
 	Name string
-	// Zero is a value of the type; IsUnion says that exactly one field is set.
+	// Zero is the zero value of the type. IsUnion is true if exactly one field is set.
 	Zero    any
 	IsUnion bool
 	Encode  func(value any) []byte
 	Decode  func(data []byte, into any) error
 }
 
-// Case is a value as a build wrote it.
+// Case is a value written by an earlier build.
 type Case struct {
 	Kind  string `json:"kind"`
 	Bytes string `json:"bytes"`
-	// Fields is the value by the names of its fields.
+	// Fields is the value in JSON, by field name.
 	Fields json.RawMessage `json:"fields"`
 }
 
-// Check compares the kinds with the files of earlier builds, or does what the flags ask for.
+// Check compares the kinds with the golden files of earlier builds, or with the file given by
+// -golden.read. With -golden.write it writes a golden file instead.
 func Check(t *testing.T, kinds []Kind) {
 	if *writeTo != "" {
-		Write(t, *writeTo, casesOf(t, kinds))
+		WriteJSON(t, *writeTo, casesFor(t, kinds))
 		return
 	}
 	for _, file := range Files(t, "kinds-*.json") {
 		var cases []Case
-		Read(t, file, &cases)
+		ReadJSON(t, file, &cases)
 		require.NotEmpty(t, cases)
 		for _, written := range cases {
-			t.Run(filepath.Base(file)+"/"+written.Kind, func(t *testing.T) { check(t, kinds, written) })
+			t.Run(filepath.Base(file)+"/"+written.Kind, func(t *testing.T) { checkCase(t, kinds, written) })
 		}
 	}
 }
 
-// Files returns the files to be read.
+// Files returns the golden files to read.
 func Files(t *testing.T, pattern string) []string {
 	if *readFrom != "" {
 		return []string{*readFrom}
 	}
-	files, err := filepath.Glob(filepath.Join(folder, pattern))
+	files, err := filepath.Glob(filepath.Join(goldenFolder, pattern))
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	return files
 }
 
-// IsWriting returns the file that is to be written, and whether there is one.
-func IsWriting() (string, bool) { return *writeTo, *writeTo != "" }
+// OutputFile returns the file given by -golden.write, and whether it is set.
+func OutputFile() (string, bool) { return *writeTo, *writeTo != "" }
 
-// Write writes the content as JSON.
-func Write(t *testing.T, path string, content any) {
+// WriteJSON writes the content to a file as JSON.
+func WriteJSON(t *testing.T, path string, content any) {
 	data, err := json.MarshalIndent(content, "", " ")
 	require.NoError(t, err)
 	require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
 	require.NoError(t, os.WriteFile(path, append(data, '\n'), 0o644))
 }
 
-// Read reads what Write wrote.
-func Read(t *testing.T, path string, into any) {
+// ReadJSON reads a file written by WriteJSON.
+func ReadJSON(t *testing.T, path string, into any) {
 	data, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(data, into))
 }
 
-// casesOf returns each kind with all of its fields set, and a union once with each.
-func casesOf(t *testing.T, kinds []Kind) []Case {
+// casesFor returns a case for each kind with all fields set, and for each field of a union.
+func casesFor(t *testing.T, kinds []Kind) []Case {
 	var cases []Case
 	for _, kind := range kinds {
 		for _, value := range variants(kind) {
@@ -99,9 +100,9 @@
 	return cases
 }
 
-func check(t *testing.T, kinds []Kind, written Case) {
-	kind, ok := kindOf(kinds, written.Kind)
-	require.True(t, ok, "no such kind here")
+func checkCase(t *testing.T, kinds []Kind, written Case) {
+	kind, ok := findKind(kinds, written.Kind)
+	require.True(t, ok, "unknown kind")
 	data, err := hex.DecodeString(written.Bytes)
 	require.NoError(t, err)
 	value := reflect.New(reflect.TypeOf(kind.Zero))
@@ -109,10 +110,10 @@
 	fields, err := json.Marshal(value.Elem().Interface())
 	require.NoError(t, err)
 	if *readFrom != "" {
-		// This build is the earlier one: it knows some of the fields.
-		RequireSame(t, fields, written.Fields)
+		// The file is from a later build, which may have additional fields.
+		RequireCompatible(t, fields, written.Fields)
 		return
 	}
-	RequireSame(t, written.Fields, fields)
+	RequireCompatible(t, written.Fields, fields)
 	require.Equal(t, Canonical(t, data), Canonical(t, kind.Encode(value.Elem().Interface())))
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -17,8 +17,8 @@
 	hidden int
 }
 
-// TestFilledSetsEachField leaves out only what is not exported, and a type within itself.
-func TestFilledSetsEachField(t *testing.T) {
+// TestFilledSetsAllFields checks that only unexported fields and recursive types stay zero.
+func TestFilledSetsAllFields(t *testing.T) {
 	value := Filled(filled{})
 	require.NotZero(t, value.Number)
 	require.True(t, value.Flag)
@@ -34,8 +34,9 @@
 	require.Equal(t, value, Filled(filled{}))
 }
 
-// TestCanonicalTellsValuesApart finds what is the same written in another order, and what is not.
-func TestCanonicalTellsValuesApart(t *testing.T) {
+// TestCanonicalComparesValues checks that Canonical ignores the order of map keys, and CanonicalSet
+// also the order of lists, but no other differences.
+func TestCanonicalComparesValues(t *testing.T) {
 	encode := func(values ...any) []byte {
 		var all []byte
 		for _, value := range values {
@@ -53,10 +54,10 @@
 		Two []int `cbor:"2,keyasint"`
 		One int   `cbor:"1,keyasint"`
 	}
-	written := encode(forwards{1, []int{3, 4}})
-	require.Equal(t, Canonical(t, written), Canonical(t, encode(backwards{[]int{3, 4}, 1})))
-	require.NotEqual(t, Canonical(t, written), Canonical(t, encode(backwards{[]int{4, 3}, 1})))
-	require.Equal(t, CanonicalSet(t, written), CanonicalSet(t, encode(backwards{[]int{4, 3}, 1})))
-	require.NotEqual(t, CanonicalSet(t, written), CanonicalSet(t, encode(backwards{[]int{4, 5}, 1})))
-	require.NotEqual(t, Canonical(t, written), Canonical(t, encode(forwards{1, []int{3, 4}}, 5)))
+	reference := encode(forwards{1, []int{3, 4}})
+	require.Equal(t, Canonical(t, reference), Canonical(t, encode(backwards{[]int{3, 4}, 1})))
+	require.NotEqual(t, Canonical(t, reference), Canonical(t, encode(backwards{[]int{4, 3}, 1})))
+	require.Equal(t, CanonicalSet(t, reference), CanonicalSet(t, encode(backwards{[]int{4, 3}, 1})))
+	require.NotEqual(t, CanonicalSet(t, reference), CanonicalSet(t, encode(backwards{[]int{4, 5}, 1})))
+	require.NotEqual(t, Canonical(t, reference), Canonical(t, encode(forwards{1, []int{3, 4}}, 5)))
 }
--- a/internal/golden/log.go
+++ b/internal/golden/log.go
@@ -18,36 +18,36 @@
 	Restore(reader io.Reader) error
 }
 
-// Log is a log as a build wrote it, with what the build made of it.
+// Log is a log written by an earlier build, with the results of applying it.
 type Log struct {
 	Entries []string `json:"entries"`
-	// Results are those of the entries.
+	// Results are the results of applying the entries.
 	Results  []string `json:"results"`
 	Snapshot string   `json:"snapshot"`
 	// Hash is the SHA-256 of the snapshot.
 	Hash string `json:"hash"`
 }
 
-// CheckLog compares what the machine makes of the logs of earlier builds with what these made of
-// them, or writes the entries with their outcome. It calls the function with each machine that has
-// applied a log, and the name of its file.
-func CheckLog(t *testing.T, newMachine func() Machine, entries [][]byte, each func(t *testing.T, file string, machine Machine)) {
-	if file, ok := IsWriting(); ok {
-		log, machine := write(t, newMachine, entries)
-		Write(t, file, log)
-		each(t, file, machine)
+// CheckLog applies the logs of earlier builds and compares results and state with those recorded.
+// With -golden.write it records a log of the entries instead. It calls checkMachine with each file
+// and the machine that has applied its log.
+func CheckLog(t *testing.T, newMachine func() Machine, entries [][]byte, checkMachine func(t *testing.T, file string, machine Machine)) {
+	if file, ok := OutputFile(); ok {
+		log, machine := recordLog(t, newMachine, entries)
+		WriteJSON(t, file, log)
+		checkMachine(t, file, machine)
 		return
 	}
 	for _, file := range Files(t, "log-*.json") {
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			var log Log
-			Read(t, file, &log)
-			each(t, file, checkLog(t, newMachine, log))
+			ReadJSON(t, file, &log)
+			checkMachine(t, file, checkLog(t, newMachine, log))
 		})
 	}
 }
 
-func write(t *testing.T, newMachine func() Machine, entries [][]byte) (Log, Machine) {
+func recordLog(t *testing.T, newMachine func() Machine, entries [][]byte) (Log, Machine) {
 	machine, log := newMachine(), Log{}
 	for _, entry := range entries {
 		log.Entries = append(log.Entries, hex.EncodeToString(entry))
@@ -62,16 +62,16 @@
 	machine := newMachine()
 	require.NotEmpty(t, log.Entries)
 	for position, entry := range log.Entries {
-		require.Equal(t, log.Results[position], hex.EncodeToString(machine.Apply(Bytes(t, entry))), "the result of entry %d", position)
+		require.Equal(t, log.Results[position], hex.EncodeToString(machine.Apply(DecodeHex(t, entry))), "the result of entry %d", position)
 	}
-	written := Bytes(t, log.Snapshot)
-	require.Equal(t, log.Hash, hashOf(written))
-	made := snapshotOf(t, machine)
-	require.Equal(t, Canonical(t, written), Canonical(t, made), "the state after the log")
-	require.Equal(t, log.Hash, hashOf(made))
+	expected := DecodeHex(t, log.Snapshot)
+	require.Equal(t, log.Hash, hashOf(expected))
+	actual := snapshotOf(t, machine)
+	require.Equal(t, Canonical(t, expected), Canonical(t, actual), "the state after the log")
+	require.Equal(t, log.Hash, hashOf(actual))
 	restored := newMachine()
-	require.NoError(t, restored.Restore(bytes.NewReader(written)))
-	require.Equal(t, made, snapshotOf(t, restored), "the state from the snapshot")
+	require.NoError(t, restored.Restore(bytes.NewReader(expected)))
+	require.Equal(t, actual, snapshotOf(t, restored), "the state from the snapshot")
 	return machine
 }
 
@@ -86,8 +86,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Bytes returns what the text stands for.
-func Bytes(t *testing.T, text string) []byte {
+// DecodeHex decodes hexadecimal text.
+func DecodeHex(t *testing.T, text string) []byte {
 	data, err := hex.DecodeString(text)
 	require.NoError(t, err)
 	return data
--- a/internal/golden/same.go
+++ b/internal/golden/same.go
@@ -14,37 +14,37 @@
 	"github.com/dillchute/dillchute/internal/pack"
 )
 
-// mostBytes bounds what is unpacked.
-const mostBytes = 1 << 20
+// maxUnpackedBytes limits the size of unpacked data.
+const maxUnpackedBytes = 1 << 20
 
-// RequireSame fails unless the second has all fields of the first with the same values, and any
-// others empty. Both are JSON.
-func RequireSame(t *testing.T, known, all []byte) {
+// RequireCompatible requires that all has every field of known with the same value. Its other fields
+// must be empty unless -golden.read is set. Both arguments are JSON.
+func RequireCompatible(t *testing.T, known, all []byte) {
 	var knownFields, allFields any
 	require.NoError(t, json.Unmarshal(known, &knownFields))
 	require.NoError(t, json.Unmarshal(all, &allFields))
-	requireSame(t, "", knownFields, allFields)
+	requireCompatible(t, "", knownFields, allFields)
 }
 
-func requireSame(t *testing.T, path string, known, all any) {
+func requireCompatible(t *testing.T, path string, known, all any) {
 	switch known := known.(type) {
 	case map[string]any:
-		others, ok := all.(map[string]any)
+		allFields, ok := all.(map[string]any)
 		require.True(t, ok, "%s: %v", path, all)
 		for _, name := range slices.Sorted(maps.Keys(known)) {
-			require.Contains(t, others, name, path)
-			requireSame(t, path+"."+name, known[name], others[name])
+			require.Contains(t, allFields, name, path)
+			requireCompatible(t, path+"."+name, known[name], allFields[name])
 		}
-		for _, name := range slices.Sorted(maps.Keys(others)) {
+		for _, name := range slices.Sorted(maps.Keys(allFields)) {
 			if _, ok := known[name]; !ok && *readFrom == "" {
-				require.True(t, isEmpty(others[name]), "%s.%s: %v", path, name, others[name])
+				require.True(t, isEmpty(allFields[name]), "%s.%s: %v", path, name, allFields[name])
 			}
 		}
 	case []any:
-		others, ok := all.([]any)
-		require.True(t, ok && len(others) == len(known), "%s: %v", path, all)
+		allElements, ok := all.([]any)
+		require.True(t, ok && len(allElements) == len(known), "%s: %v", path, all)
 		for position := range known {
-			requireSame(t, path+"[]", known[position], others[position])
+			requireCompatible(t, path+"[]", known[position], allElements[position])
 		}
 	default:
 		require.Equal(t, known, all, path)
@@ -53,23 +53,22 @@
 
 func isEmpty(value any) bool { return value == nil || reflect.ValueOf(value).IsZero() }
 
-var deterministic = func() cbor.EncMode {
+var canonicalMode = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic("golden: encoder options: " + err.Error())
+		panic("golden: invalid encoder options: " + err.Error())
 	}
 	return mode
 }()
 
-// Canonical returns the items of the CBOR, which may be packed, in the one way in which they are
-// written with sorted keys.
+// Canonical returns the deterministic encoding of a sequence of CBOR items, which may be packed.
 func Canonical(t *testing.T, data []byte) []byte { return canonical(t, data, false) }
 
-// CanonicalSet is Canonical where the order of lists says nothing.
+// CanonicalSet is like Canonical but ignores the order of lists.
 func CanonicalSet(t *testing.T, data []byte) []byte { return canonical(t, data, true) }
 
 func canonical(t *testing.T, data []byte, sorted bool) []byte {
-	unpacked, err := pack.Unpack(data, mostBytes)
+	unpacked, err := pack.Unpack(data, maxUnpackedBytes)
 	require.NoError(t, err)
 	var result []byte
 	for len(unpacked) > 0 {
@@ -99,7 +98,7 @@
 }
 
 func encoded(t *testing.T, item any) []byte {
-	data, err := deterministic.Marshal(item)
+	data, err := canonicalMode.Marshal(item)
 	require.NoError(t, err)
 	return data
 }
--- a/internal/pack/pack.go
+++ b/internal/pack/pack.go
@@ -1,6 +1,5 @@
-// Package pack makes messages between dillchute's own processes, and entries of
-// their logs, smaller: the texts of samples are a third shorter deflated, and
-// bytes between zones are dear.
+// Package pack compresses messages between dillchute's own processes and entries of
+// their logs, to reduce traffic between zones.
 package pack
 
 import (
@@ -14,33 +13,33 @@
 )
 
 const (
-	// deflated is the first byte of a packed message. A message that is not packed
-	// is a CBOR map, which begins with another byte.
-	deflated = 0x01
-	// leastBytes is the size from which a message is packed.
-	leastBytes = 512
+	// compressedMarker is the first byte of a compressed message. An uncompressed
+	// message is a CBOR map, which never starts with this byte.
+	compressedMarker = 0x01
+	// minCompressBytes is the size from which messages are compressed.
+	minCompressBytes = 512
 )
 
-// ErrDamaged: a packed message cannot be read.
-var ErrDamaged = errorx.NewNamespace("pack").NewType("damaged")
+// ErrCorrupt is the type of errors for messages that cannot be decompressed.
+var ErrCorrupt = errorx.NewNamespace("pack").NewType("damaged")
 
-// writers are kept, since each has tables of several hundred KiB.
+// writers is a pool, because each writer allocates several hundred KiB of tables.
 var writers = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		panic("pack: the level must be known: " + err.Error())
+		panic("pack: cannot create a writer: " + err.Error())
 	}
 	return writer
 }}
 
-// Pack returns the message packed, or as it is where that is no larger. The
-// message must be a CBOR map.
+// Pack compresses the message, which must be a CBOR map. It returns the message
+// unchanged if it is short or does not get smaller.
 func Pack(message []byte) []byte {
-	if len(message) < leastBytes {
+	if len(message) < minCompressBytes {
 		return message
 	}
 	var packed bytes.Buffer
-	packed.WriteByte(deflated)
+	packed.WriteByte(compressedMarker)
 	writer := writers.Get().(*flate.Writer)
 	defer writers.Put(writer)
 	writer.Reset(&packed)
@@ -53,36 +52,36 @@
 	return packed.Bytes()
 }
 
-// Unpack returns the message that Pack was given. It fails with ErrDamaged if
-// there is none, or if it has more than the most bytes.
-func Unpack(packed []byte, most int) ([]byte, error) {
-	if len(packed) == 0 || packed[0] != deflated {
+// Unpack reverses Pack. It returns an ErrCorrupt error if the data cannot be
+// decompressed or decompresses to more than maxBytes.
+func Unpack(packed []byte, maxBytes int) ([]byte, error) {
+	if len(packed) == 0 || packed[0] != compressedMarker {
 		return packed, nil
 	}
 	reader := flate.NewReader(bytes.NewReader(packed[1:]))
 	defer reader.Close()
-	message, err := io.ReadAll(io.LimitReader(reader, int64(most)+1))
+	message, err := io.ReadAll(io.LimitReader(reader, int64(maxBytes)+1))
 	if err != nil {
-		return nil, ErrDamaged.Wrap(err, "inflate a message")
+		return nil, ErrCorrupt.Wrap(err, "cannot decompress a message")
 	}
-	if len(message) > most {
-		return nil, ErrDamaged.New("a message has more than %d bytes", most)
+	if len(message) > maxBytes {
+		return nil, ErrCorrupt.New("decompressed message exceeds %d bytes", maxBytes)
 	}
 	return message, nil
 }
 
-// Encode returns the value in CBOR, packed. The value must encode to a map.
+// Encode returns the packed CBOR encoding of the value, which must encode to a map.
 func Encode(value any) []byte {
 	data, err := cbor.Marshal(value)
 	if err != nil {
-		panic("pack: an internal message must encode: " + err.Error())
+		panic("pack: cannot encode an internal message: " + err.Error())
 	}
 	return Pack(data)
 }
 
-// Decode reads what Encode returned, of the most bytes unpacked.
-func Decode(data []byte, most int, into any) error {
-	unpacked, err := Unpack(data, most)
+// Decode reverses Encode. It fails if the data unpacks to more than maxBytes.
+func Decode(data []byte, maxBytes int, into any) error {
+	unpacked, err := Unpack(data, maxBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous spreads things over places by their names alone, so that each process chooses
-// alike without a word between them.
+// Package rendezvous implements rendezvous hashing: processes that know the same names make the same
+// assignments without coordination.
 package rendezvous
 
 import (
@@ -7,16 +7,16 @@
 	"io"
 )
 
-// Rank rates a place for a thing: the thing prefers the place with the highest rank, so that one
-// place more or less changes few choices.
-func Rank(thing, place string) uint64 {
+// Score returns the score of a node for a key. A key is assigned to the node with the highest score,
+// so that adding or removing a node moves few keys.
+func Score(key, node string) uint64 {
 	hash := fnv.New64a()
 	// Writes to a hash do not fail.
-	_, _ = io.WriteString(hash, thing)
+	_, _ = io.WriteString(hash, key)
 	_, _ = io.WriteString(hash, "/")
-	_, _ = io.WriteString(hash, place)
-	// The sum of names that differ in their ends alone differs in few bits: mix it
-	// (the finaliser of MurmurHash3).
+	_, _ = io.WriteString(hash, node)
+	// FNV sums of names that differ only at the end differ in few bits; mix them
+	// with the finalizer of MurmurHash3.
 	sum := hash.Sum64()
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
--- a/ledger/command.go
+++ b/ledger/command.go
@@ -183,7 +183,7 @@
 	return pack.Pack(data)
 }
 
-// decodeCommand reads what Encode returned. It fails with a pack.ErrDamaged error
+// decodeCommand reads what Encode returned. It fails with a pack.ErrCorrupt error
 // or one of the decoder's.
 func decodeCommand(data []byte) (Command, error) {
 	var command Command
--- a/runner/choose.go
+++ b/runner/choose.go
@@ -26,5 +26,5 @@
 	if s.Member != other.Member {
 		return !s.Member
 	}
-	return rendezvous.Rank(engine, s.Name) > rendezvous.Rank(engine, other.Name)
+	return rendezvous.Score(engine, s.Name) > rendezvous.Score(engine, other.Name)
 }
--- a/scheduler/workingset.go
+++ b/scheduler/workingset.go
@@ -96,7 +96,7 @@
 		if w.chosen[backend.ID] || !isSound(backend) {
 			continue
 		}
-		one := candidate{backend: backend, preferred: w.preferred[backend.OwnName()], rank: rendezvous.Rank(backend.Service, backend.ID)}
+		one := candidate{backend: backend, preferred: w.preferred[backend.OwnName()], rank: rendezvous.Score(backend.Service, backend.ID)}
 		for _, held := range backend.Models {
 			one.versions += held.Version
 		}
--- a/server/duty_keeper.go
+++ b/server/duty_keeper.go
@@ -86,7 +86,7 @@
 // then calls send. Each is an entry of its own, since earlier builds know no batches. What took too
 // long is not sent: another process may act by then.
 func (k *dutyKeeper) act(subject string, further []directory.Command, send func(ctx context.Context, send DutySend) DutyOutcome) (DutyOutcome, error) {
-	k.wait(k.pace.Reserve(nowMillis(), k.settings.DutyGap()))
+	k.wait(k.pace.Reserve(nowMillis(), k.settings.MinDutyInterval()))
 	term := k.replica.Status().Term
 	if !k.mayAct(subject) {
 		return DutyBusy, nil
--- a/server/scale_keeper.go
+++ b/server/scale_keeper.go
@@ -55,7 +55,7 @@
 }
 
 // enabled tells whether backends are ordered at all.
-func (k *scaleKeeper) enabled() bool { return k.settings.Scales() && k.client != nil }
+func (k *scaleKeeper) enabled() bool { return k.settings.IsScalingEnabled() && k.client != nil }
 
 // begin forgets what an earlier leadership has seen.
 func (k *scaleKeeper) begin() {
--- a/server/usage_keeper.go
+++ b/server/usage_keeper.go
@@ -62,7 +62,7 @@
 }
 
 // enabled tells whether usage is reported at all.
-func (k *usageKeeper) enabled() bool { return k.settings.Reports() && k.client != nil }
+func (k *usageKeeper) enabled() bool { return k.settings.IsUsageReportingEnabled() && k.client != nil }
 
 // take keeps a gateway's totals, on the leader. It returns once they are committed. While the
 // true time is not known, the answer says nothing of it.
--- a/storage/golden_test.go
+++ b/storage/golden_test.go
@@ -31,7 +31,7 @@
 
 // TestGoldenFolder opens the data folders of earlier builds, and goes on in them.
 func TestGoldenFolder(t *testing.T) {
-	if folder, ok := golden.IsWriting(); ok {
+	if folder, ok := golden.OutputFile(); ok {
 		writeGoldenFolder(t, folder)
 		return
 	}
