--- a/consensus/election.go
+++ b/consensus/election.go
@@ -9,8 +9,8 @@
 		if !member.Voter {
 			continue
 		}
-		_, silent := r.Match(member.ID)
-		if member.ID == r.config.ID || silent <= r.config.ElectionTicks {
+		_, silentTicks := r.Match(member.ID)
+		if member.ID == r.config.ID || silentTicks <= r.config.ElectionTicks {
 			active++
 		}
 	}
