--- a/server/plan.go
+++ b/server/plan.go
@@ -20,7 +20,7 @@
 		return
 	}
 	t.planLoggedAt = clock.Now()
-	event.GroupsPutBack.On(t.logger).Uint("chosen", uint64(counts.Chosen)).Uint("put_back", uint64(counts.Deferred)).
+	event.GroupsDeferred.On(t.logger).Uint("chosen", uint64(counts.Chosen)).Uint("put_back", uint64(counts.Deferred)).
 		Uint("late", uint64(counts.Late)).Str("shares", t.scheduler.FormatShares()).Send()
 }
 
