--- a/directory/suspects.go
+++ b/directory/suspects.go
@@ -29,7 +29,7 @@
 func (m *Machine) applySuspects(command Command) {
 	for _, crash := range command.Crashes {
 		known, _, _ := m.Suspect(crash.Fingerprint)
-		if next, news := known.With(crash); news {
+		if next, news := known.WithCrash(crash); news {
 			m.putSuspect(next)
 		}
 	}
@@ -38,7 +38,7 @@
 	}
 	if offer := command.OfferTrial; offer != nil {
 		if known, revision, ok := m.Suspect(offer.Fingerprint); ok && revision == offer.Revision {
-			m.putSuspect(known.WithOffer())
+			m.putSuspect(known.WithTrialOffered())
 		}
 	}
 	if forget := command.ForgetSuspect; forget != nil {
@@ -54,7 +54,7 @@
 	if !ok || !known.Offered {
 		return false
 	}
-	m.putSuspect(known.WithoutOffer())
+	m.putSuspect(known.WithTrialTaken())
 	return true
 }
 
@@ -79,8 +79,8 @@
 }
 
 func goesBefore(one, other *versioned[quarantine.Suspect]) bool {
-	if one.Object.IsHeld() != other.Object.IsHeld() {
-		return other.Object.IsHeld()
+	if one.Object.IsQuarantined() != other.Object.IsQuarantined() {
+		return other.Object.IsQuarantined()
 	}
 	return one.Revision < other.Revision
 }
--- a/directory/suspects_test.go
+++ b/directory/suspects_test.go
@@ -24,15 +24,15 @@
 func TestSuspectsOutliveTheirProcesses(t *testing.T) {
 	m := NewMachine()
 	trailing := NewCatalog().With(m.DeltaSince(0))
-	crashTimes(m, deadly, quarantine.HeldFrom)
+	crashTimes(m, deadly, quarantine.CrashThreshold)
 	var written bytes.Buffer
 	require.NoError(t, m.Snapshot()(&written))
 	restored := NewMachine()
 	require.NoError(t, restored.Restore(&written))
 	trailing = trailing.With(restored.DeltaSince(trailing.Revision))
 	started := NewCatalog().With(restored.DeltaSince(0))
-	require.True(t, trailing.Suspects[deadly].IsHeld())
-	require.True(t, started.Suspects[deadly].IsHeld())
+	require.True(t, trailing.Suspects[deadly].IsQuarantined())
+	require.True(t, started.Suspects[deadly].IsQuarantined())
 	restored.Apply(Command{Answered: []quarantine.Fingerprint{deadly}}.Encode())
 	trailing = trailing.With(restored.DeltaSince(trailing.Revision))
 	require.Empty(t, trailing.Suspects)
@@ -42,7 +42,7 @@
 // by a state that has passed has no effect.
 func TestTrialIsTakenOnce(t *testing.T) {
 	m := NewMachine()
-	crashTimes(m, deadly, quarantine.HeldFrom)
+	crashTimes(m, deadly, quarantine.CrashThreshold)
 	_, revision, _ := m.Suspect(deadly)
 	take := func() bool {
 		result, err := DecodeResult(m.Apply(Command{TakeTrial: deadly}.Encode()))
@@ -63,14 +63,14 @@
 // TestSuspectsAreBounded: beyond the bound those that are not held back go first.
 func TestSuspectsAreBounded(t *testing.T) {
 	m := NewMachine()
-	crashTimes(m, deadly, quarantine.HeldFrom)
+	crashTimes(m, deadly, quarantine.CrashThreshold)
 	for number := range maxSuspects + 10 {
 		crashTimes(m, quarantine.Fingerprint(fmt.Sprint("other-", number)), 1)
 	}
 	require.Len(t, m.state.Suspects, maxSuspects)
 	known, _, ok := m.Suspect(deadly)
 	require.True(t, ok)
-	require.True(t, known.IsHeld())
+	require.True(t, known.IsQuarantined())
 	_, _, ok = m.Suspect("other-0")
 	require.False(t, ok)
 }
@@ -78,7 +78,7 @@
 // TestKindsOutliveTheirProcesses: what is known of a kind is in snapshots and reaches watchers.
 func TestKindsOutliveTheirProcesses(t *testing.T) {
 	m := NewMachine()
-	for number := range quarantine.HeldFrom {
+	for number := range quarantine.CrashThreshold {
 		m.Apply(Command{Crashes: []quarantine.Crash{{
 			Fingerprint: "kind", Backend: fmt.Sprint(number), Known: number, Of: quarantine.Fingerprint(fmt.Sprint("content-", number)),
 		}}}.Encode())
@@ -88,5 +88,5 @@
 	restored := NewMachine()
 	require.NoError(t, restored.Restore(&written))
 	started := NewCatalog().With(restored.DeltaSince(0))
-	require.True(t, started.Suspects["kind"].IsHeld())
+	require.True(t, started.Suspects["kind"].IsQuarantined())
 }
--- a/forward/clearance.go
+++ b/forward/clearance.go
@@ -38,8 +38,8 @@
 // clear judges a request that has come. The trial of one that is held back is asked for.
 func (f *Forwarder) clear(ctx context.Context, catalog *directory.Catalog, services []string, request *Request) clearance {
 	c := clearance{guard: f.guard, content: request.Content()}
-	c.verdict = c.guard.JudgeContent(c.content)
-	if c.verdict.Held && c.verdict.Offered && !f.Spares(catalog, services) {
+	c.verdict = c.guard.CheckContent(c.content)
+	if c.verdict.Quarantined && c.verdict.TrialOffered && !f.Spares(catalog, services) {
 		c.trial = c.guard.TakeTrial(ctx, c.verdict.Fingerprint)
 	}
 	return c
@@ -54,8 +54,8 @@
 
 // mayStart judges the request anew, and tells whether it may be sent to one more backend.
 func (c *clearance) mayStart() bool {
-	c.verdict = c.guard.JudgeContent(c.content)
-	mayStart := !c.verdict.Held
+	c.verdict = c.guard.CheckContent(c.content)
+	mayStart := !c.verdict.Quarantined
 	if c.trial {
 		mayStart = !c.sent
 		c.sent = true
@@ -74,8 +74,8 @@
 // mayHedge tells whether the request may run at two backends side by side: one under which a
 // backend has ended could end both.
 func (c *clearance) mayHedge() bool {
-	verdict := c.guard.JudgeContent(c.content)
-	return !c.trial && verdict.Known == 0 && verdict.KindKnown == 0
+	verdict := c.guard.CheckContent(c.content)
+	return !c.trial && verdict.KnownCrashes == 0 && verdict.KnownKindCrashes == 0
 }
 
 // unsent returns why a request was not sent at all.
@@ -94,10 +94,10 @@
 	switch {
 	case attempt.Outcome == Answered && attempt.Response.Status < http.StatusInternalServerError:
 		if !f.guard.IsIdle() {
-			f.guard.NoteServed(request.Content().Subject())
+			f.guard.RecordResponse(request.Content().Subject())
 		}
 	case attempt.Outcome == Lost && attempt.Broken && f.HasEnded(ctx, backend):
-		f.guard.NoteEnd(request.Content().Subject(), backend.ID, verdict)
+		f.guard.RecordCrash(request.Content().Subject(), backend.ID, verdict)
 	}
 }
 
--- a/forward/clearance_test.go
+++ b/forward/clearance_test.go
@@ -43,7 +43,7 @@
 	client := mortalOf(true)
 	forwarder := New(client, "z", noSuspects())
 	backends := []directory.Backend{backend("a"), backend("b"), backend("c"), backend("d"), backend("e")}
-	for number := range 3*quarantine.HeldFrom - len(backends) {
+	for number := range 3*quarantine.CrashThreshold - len(backends) {
 		id := fmt.Sprint("more-", number)
 		client.answers[id], client.ended[id] = broken, true
 		backends = append(backends, backend(id))
@@ -52,7 +52,7 @@
 	result := forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 5), deadlyRequest())
 	require.Equal(t, NoAnswer, result.Reason)
 	require.True(t, result.MayHaveRun)
-	require.Len(t, client.asked, quarantine.HeldFrom)
+	require.Len(t, client.asked, quarantine.CrashThreshold)
 	result = forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 5), deadlyRequest())
 	require.Equal(t, Quarantined, result.Reason)
 	require.False(t, result.MayHaveRun, "it was sent nowhere")
@@ -81,7 +81,7 @@
 // time.
 func TestSuspectsAreNotHedged(t *testing.T) {
 	guard := noSuspects()
-	guard.NoteCrash(deadlyRequest().Content().Fingerprint(), "gone", 0)
+	guard.RecordFingerprintCrash(deadlyRequest().Content().Fingerprint(), "gone", 0)
 	asked := make(chan string, 5)
 	client := &scripted{answers: map[string]func(context.Context) Attempt{}}
 	for _, id := range []string{"a", "b"} {
@@ -116,9 +116,9 @@
 // to one backend, and the next one to none.
 func TestTrialIsSentOnce(t *testing.T) {
 	fingerprint := deadlyRequest().Content().Fingerprint()
-	held := map[quarantine.Fingerprint]quarantine.Suspect{fingerprint: {Fingerprint: fingerprint, Crashes: quarantine.HeldFrom, Offered: true}}
+	held := map[quarantine.Fingerprint]quarantine.Suspect{fingerprint: {Fingerprint: fingerprint, Crashes: quarantine.CrashThreshold, Offered: true}}
 	trials := 1
-	guard := quarantine.NewGuard(quarantine.Sharing{
+	guard := quarantine.NewGuard(quarantine.SharedRecord{
 		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return held },
 		TakeTrial: func(context.Context, quarantine.Fingerprint) bool {
 			trials--
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -33,7 +33,7 @@
 
 // noSuspects is a guard that knows of no crashes but those that it is told.
 func noSuspects() *quarantine.Guard {
-	return quarantine.NewGuard(quarantine.Sharing{}, time.Now)
+	return quarantine.NewGuard(quarantine.SharedRecord{}, time.Now)
 }
 
 func outcome(kind Outcome) func(context.Context) Attempt {
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -45,7 +45,7 @@
 			away++
 		}
 	}
-	return quarantine.MostAway(len(backends)) - away
+	return quarantine.MaxUnavailable(len(backends)) - away
 }
 
 // Ends are the backends that have ended under requests, as far as a process knows.
@@ -56,7 +56,7 @@
 
 // EndsKnown returns the ends that the process with the guard knows of.
 func EndsKnown(catalog *directory.Catalog, guard *quarantine.Guard) Ends {
-	return Ends{catalog: catalog, seen: guard.SeenEnds()}
+	return Ends{catalog: catalog, seen: guard.RecentlyCrashedBackends()}
 }
 
 // Has tells whether the backend has ended.
--- a/forward/suspects_bench_test.go
+++ b/forward/suspects_bench_test.go
@@ -25,7 +25,7 @@
 			delta.Suspects = append(delta.Suspects, quarantine.Suspect{Fingerprint: fingerprint, Crashes: 1, Ended: []string{fmt.Sprint("b-", number%10)}})
 		}
 		catalog := directory.NewCatalog().With(delta)
-		guard := quarantine.NewGuard(quarantine.Sharing{
+		guard := quarantine.NewGuard(quarantine.SharedRecord{
 			Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return catalog.Suspects },
 		}, time.Now)
 		forwarder := New(nil, "z", guard)
@@ -33,7 +33,7 @@
 			b.Run(fmt.Sprintf("%s-%d", name, suspects), func(b *testing.B) {
 				judged := &clearance{guard: guard}
 				if suspect {
-					judged.verdict.Known = 1
+					judged.verdict.KnownCrashes = 1
 				}
 				for b.Loop() {
 					backend, ok := forwarder.pick(judged, catalog, []string{"s"}, map[string]bool{})
--- a/forward/suspects_test.go
+++ b/forward/suspects_test.go
@@ -33,7 +33,7 @@
 		delta.Suspects = append(delta.Suspects, quarantine.Suspect{Fingerprint: request.Content().Fingerprint(), Crashes: 1, Ended: ended})
 	}
 	catalog := directory.NewCatalog().With(delta)
-	guard := quarantine.NewGuard(quarantine.Sharing{
+	guard := quarantine.NewGuard(quarantine.SharedRecord{
 		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return catalog.Suspects },
 	}, time.Now)
 	return catalog, guard
@@ -126,7 +126,7 @@
 	for range suspects * processes {
 		<-ends
 	}
-	require.LessOrEqual(t, len(wards), quarantine.MostAway(len(backends)))
+	require.LessOrEqual(t, len(wards), quarantine.MaxUnavailable(len(backends)))
 }
 
 // TestBackendsOfSuspectsAreLeft: a suspect that has ended leaves its ward to others.
@@ -169,10 +169,10 @@
 	client, backends := fleet(3)
 	fingerprint := deadlyRequest().Content().Fingerprint()
 	catalog := directory.NewCatalog().With(directory.Delta{Revision: 1, Full: true, Backends: backends, Suspects: []quarantine.Suspect{
-		{Fingerprint: fingerprint, Crashes: quarantine.HeldFrom, Ended: []string{"b-0"}, Offered: true},
+		{Fingerprint: fingerprint, Crashes: quarantine.CrashThreshold, Ended: []string{"b-0"}, Offered: true},
 	}})
 	trials := 0
-	guard := quarantine.NewGuard(quarantine.Sharing{
+	guard := quarantine.NewGuard(quarantine.SharedRecord{
 		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return catalog.Suspects },
 		TakeTrial: func(context.Context, quarantine.Fingerprint) bool {
 			trials++
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -9,27 +9,27 @@
 	"math"
 )
 
-// Fingerprint tells requests of the same content apart from others, in hexadecimal digits. A
-// request that comes again has another ID, so it is known by its content only.
+// Fingerprint is a hexadecimal hash that identifies a request by its content, since a repeated
+// request has a new ID.
 type Fingerprint string
 
-// fingerprintBytes is how much of a hash a fingerprint holds: two contents among billions do
-// not meet by chance.
+// fingerprintBytes is the number of hash bytes in a fingerprint, enough to make a collision among
+// billions of contents unlikely.
 const fingerprintBytes = 16
 
-// fraction returns a number of 0 to 1 that differs between fingerprints.
+// fraction hashes the fingerprint to a number from 0 to 1.
 func (f Fingerprint) fraction() float64 {
-	sum := fnv.New32a()
-	// A hash takes in all that it is given.
-	_, _ = sum.Write([]byte(f))
-	return float64(sum.Sum32()) / math.MaxUint32
+	hasher := fnv.New32a()
+	// Write of a hash never returns an error.
+	_, _ = hasher.Write([]byte(f))
+	return float64(hasher.Sum32()) / math.MaxUint32
 }
 
-// Content is what makes two requests the same.
+// Content holds the parts of a request that its fingerprint covers.
 type Content struct {
-	// ID is what the sender calls the request each time, "" where it comes under another ID.
+	// ID identifies the request if the sender repeats it under the same ID, "" otherwise.
 	ID string
-	// Tenant is the name of the caller's tenant, "" for none.
+	// Tenant is the name of the caller's tenant, or "".
 	Tenant string
 	Method string
 	Host   string
@@ -38,42 +38,44 @@
 	Body   []byte
 }
 
-// Fingerprint returns the content's fingerprint.
+// Fingerprint returns the fingerprint of all fields.
 func (c Content) Fingerprint() Fingerprint {
-	sum := sha256.New()
+	hasher := sha256.New()
 	for _, part := range []string{c.ID, c.Tenant, c.Method, c.Host, c.Target} {
-		writePart(sum, []byte(part))
+		writePart(hasher, []byte(part))
 	}
-	writePart(sum, c.Body)
-	return Fingerprint(hex.EncodeToString(sum.Sum(nil)[:fingerprintBytes]))
+	writePart(hasher, c.Body)
+	return Fingerprint(hex.EncodeToString(hasher.Sum(nil)[:fingerprintBytes]))
 }
 
-// kindMark keeps the fingerprints of kinds apart from those of contents.
-const kindMark = "kind"
+// kindDomain separates the hashes of kinds from those of contents.
+const kindDomain = "kind"
 
-// Kind returns the fingerprint of all requests of the tenant to the same target, whatever their
-// IDs and bodies.
-func (c Content) Kind() Fingerprint {
-	sum := sha256.New()
-	for _, part := range []string{kindMark, c.Tenant, c.Method, c.Host, c.Target} {
-		writePart(sum, []byte(part))
+// KindFingerprint returns the fingerprint shared by all requests of the tenant to the same target,
+// regardless of ID and body.
+func (c Content) KindFingerprint() Fingerprint {
+	hasher := sha256.New()
+	for _, part := range []string{kindDomain, c.Tenant, c.Method, c.Host, c.Target} {
+		writePart(hasher, []byte(part))
 	}
-	return Fingerprint(hex.EncodeToString(sum.Sum(nil)[:fingerprintBytes]))
+	return Fingerprint(hex.EncodeToString(hasher.Sum(nil)[:fingerprintBytes]))
 }
 
-// Subject names a request by its content and by its kind.
+// Subject identifies a request by the fingerprints of its content and of its kind.
 type Subject struct {
 	Content, Kind Fingerprint
 }
 
-// Subject returns what names the request.
-func (c Content) Subject() Subject { return Subject{Content: c.Fingerprint(), Kind: c.Kind()} }
+// Subject returns both fingerprints of the request.
+func (c Content) Subject() Subject {
+	return Subject{Content: c.Fingerprint(), Kind: c.KindFingerprint()}
+}
 
-// writePart adds a part with its length before it, so that no two lists of parts look alike.
-func writePart(sum hash.Hash, part []byte) {
+// writePart hashes a part prefixed with its length, so that different lists of parts give different input.
+func writePart(hasher hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-	// A hash takes in all that it is given.
-	_, _ = sum.Write(length[:])
-	_, _ = sum.Write(part)
+	// Write of a hash never returns an error.
+	_, _ = hasher.Write(length[:])
+	_, _ = hasher.Write(part)
 }
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -8,245 +8,243 @@
 )
 
 const (
-	// localLife is how long a process goes by a crash that it has told of alone: the shared
-	// record comes back to it within some hundredths of a second.
-	localLife = 5 * time.Second
-	// mostNews bounds what waits to be told. Beyond it a crash is not told: a process that
-	// sees so many at once sees more than requests crash.
-	mostNews = 1000
+	// localTTL is how long a process applies crashes that it observed itself. The shared record
+	// normally includes them within milliseconds after they were reported.
+	localTTL = 5 * time.Second
+	// maxObservations bounds each list of observations that a process keeps. Further ones are dropped.
+	maxObservations = 1000
 )
 
-// Verdict is what a process knows of a request before it sends it.
+// Verdict is the result of checking a request before it is sent.
 type Verdict struct {
 	Subject Subject
-	// Fingerprint is what a trial is to be asked for: that of the kind if the kind is held back,
-	// and otherwise that of the content.
+	// Fingerprint is the one to request a trial for: the kind's if the kind is quarantined, and
+	// the content's otherwise.
 	Fingerprint Fingerprint
-	// Known is the number of crashes that are counted, 0 for a request without suspicion, and
-	// KindKnown that of its kind.
-	Known, KindKnown int
-	// Held is set if the request must not be sent, and Offered if a trial of it may be asked for.
-	Held, Offered bool
-	// Doubted is set if different requests of its kind have crashed backends.
-	Doubted bool
+	// KnownCrashes and KnownKindCrashes are the numbers of counted crashes of the content and of
+	// its kind.
+	KnownCrashes, KnownKindCrashes int
+	// Quarantined is set if the request must not be sent, and TrialOffered if a trial may be taken.
+	Quarantined, TrialOffered bool
+	// KindSuspected is set if different contents of the kind have crashed backends.
+	KindSuspected bool
 }
 
-// IsSuspect tells whether the request may end the backend that it is sent to: it has ended one, or
-// others of its kind have, and none was answered since.
-func (v Verdict) IsSuspect() bool { return v.Known > 0 || v.Doubted }
+// IsSuspect reports whether the request or others of its kind have crashed backends without a
+// response since.
+func (v Verdict) IsSuspect() bool { return v.KnownCrashes > 0 || v.KindSuspected }
 
-// News is what a process has to tell.
-type News struct {
+// Report holds observations of a process that are not yet in the shared record.
+type Report struct {
 	Crashes []Crash
-	// Answered are suspects that a backend has answered.
+	// Answered lists suspects that received a response.
 	Answered []Fingerprint
 }
 
-// IsEmpty tells whether there is nothing to tell.
-func (n News) IsEmpty() bool { return len(n.Crashes) == 0 && len(n.Answered) == 0 }
+// IsEmpty reports whether there is nothing to report.
+func (r Report) IsEmpty() bool { return len(r.Crashes) == 0 && len(r.Answered) == 0 }
 
-// localSuspect is a suspect as this process knows it before the shared record does.
+// localSuspect is a suspect that includes crashes observed by this process.
 type localSuspect struct {
 	suspect Suspect
-	// until is when the shared record goes alone; it is moved on while the crash is not told.
-	until time.Time
+	// expiresAt is when the entry is dropped. It is extended while the crash could not be reported.
+	expiresAt time.Time
 }
 
-// Sharing is how a process knows the shared record. Without functions there is none.
-type Sharing struct {
-	// Suspects returns the record as the process knows it. It must not be changed.
+// SharedRecord gives access to the replicated suspects. Either function may be nil.
+type SharedRecord struct {
+	// Suspects returns the latest suspects that the process has received. Callers must not change them.
 	Suspects func() map[Fingerprint]Suspect
-	// TakeTrial asks for the trial of a request, and tells whether this process has got it.
+	// TakeTrial requests a trial and reports whether it was granted to this process.
 	TakeTrial func(ctx context.Context, fingerprint Fingerprint) bool
 }
 
-// Guard judges what a process may send, by the shared record and by what the process has seen
-// itself. It may be used concurrently.
+// Guard decides which requests a process may send, based on the shared record and on crashes that the
+// process observed itself. It is safe for concurrent use.
 type Guard struct {
-	sharing Sharing
-	now     func() time.Time
-	// Told is signalled once there are news.
-	Told chan struct{}
+	sharedRecord SharedRecord
+	now          func() time.Time
+	// ReportReady is signalled when there are observations to report.
+	ReportReady chan struct{}
 
 	mutex sync.Mutex
 	local map[Fingerprint]localSuspect
-	// permits are the trials that this process has taken and not used.
+	// permits holds the contents that may be sent once although they are quarantined.
 	permits map[Fingerprint]bool
-	// ended holds the backends that this process has seen end, and until when it goes by that.
-	ended map[string]time.Time
-	news  News
+	// crashedBackends maps backends that this process has seen crash to the expiry of the entry.
+	crashedBackends map[string]time.Time
+	pending         Report
 }
 
-// NewGuard returns a guard that goes by the shared record and the clock.
-func NewGuard(sharing Sharing, now func() time.Time) *Guard {
+// NewGuard returns a guard that uses the shared record and the clock.
+func NewGuard(sharedRecord SharedRecord, now func() time.Time) *Guard {
 	return &Guard{
-		sharing: sharing, now: now, Told: make(chan struct{}, 1),
-		local: map[Fingerprint]localSuspect{}, permits: map[Fingerprint]bool{}, ended: map[string]time.Time{},
+		sharedRecord: sharedRecord, now: now, ReportReady: make(chan struct{}, 1),
+		local: map[Fingerprint]localSuspect{}, permits: map[Fingerprint]bool{}, crashedBackends: map[string]time.Time{},
 	}
 }
 
-func (g *Guard) shared() map[Fingerprint]Suspect {
-	if g.sharing.Suspects == nil {
+func (g *Guard) sharedSuspects() map[Fingerprint]Suspect {
+	if g.sharedRecord.Suspects == nil {
 		return nil
 	}
-	return g.sharing.Suspects()
+	return g.sharedRecord.Suspects()
 }
 
-// TakeTrial asks for the trial of a request, and tells whether this process has got it.
+// TakeTrial requests a trial and reports whether it was granted to this process.
 func (g *Guard) TakeTrial(ctx context.Context, fingerprint Fingerprint) bool {
-	return g.sharing.TakeTrial != nil && g.sharing.TakeTrial(ctx, fingerprint)
+	return g.sharedRecord.TakeTrial != nil && g.sharedRecord.TakeTrial(ctx, fingerprint)
 }
 
-// IsIdle tells whether there are no suspects at all, so that no request needs to be judged.
+// IsIdle reports whether there are no suspects, so that no request needs to be checked.
 func (g *Guard) IsIdle() bool {
-	if len(g.shared()) > 0 {
+	if len(g.sharedSuspects()) > 0 {
 		return false
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.now()
-	maps.DeleteFunc(g.local, func(_ Fingerprint, local localSuspect) bool { return now.After(local.until) })
+	maps.DeleteFunc(g.local, func(_ Fingerprint, local localSuspect) bool { return now.After(local.expiresAt) })
 	return len(g.local) == 0
 }
 
-// JudgeContent judges a request by its content, which is looked at only if there are suspects.
-func (g *Guard) JudgeContent(content Content) Verdict {
+// CheckContent checks a request. It computes the fingerprints only if there are suspects.
+func (g *Guard) CheckContent(content Content) Verdict {
 	if g.IsIdle() {
 		return Verdict{}
 	}
-	return g.JudgeSubject(content.Subject())
+	return g.CheckSubject(content.Subject())
 }
 
-// JudgeSubject judges a request by its content and its kind. One whose kind is held back waits
-// for the kind's trial only.
-func (g *Guard) JudgeSubject(subject Subject) Verdict {
-	kind := g.Judge(subject.Kind)
-	verdict := g.Judge(subject.Content)
-	verdict.Subject, verdict.KindKnown, verdict.Doubted = subject, kind.Known, kind.Doubted
-	if kind.Held && !g.isPermitted(subject.Content) {
-		verdict.Held, verdict.Fingerprint, verdict.Offered = true, kind.Fingerprint, kind.Offered
+// CheckSubject checks a request by its content and its kind. While the kind is quarantined, the request
+// can only be sent as a trial of the kind.
+func (g *Guard) CheckSubject(subject Subject) Verdict {
+	kind := g.CheckFingerprint(subject.Kind)
+	verdict := g.CheckFingerprint(subject.Content)
+	verdict.Subject, verdict.KnownKindCrashes, verdict.KindSuspected = subject, kind.KnownCrashes, kind.KindSuspected
+	if kind.Quarantined && !g.hasPermit(subject.Content) {
+		verdict.Quarantined, verdict.Fingerprint, verdict.TrialOffered = true, kind.Fingerprint, kind.TrialOffered
 	}
 	return verdict
 }
 
-func (g *Guard) isPermitted(content Fingerprint) bool {
+func (g *Guard) hasPermit(content Fingerprint) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.permits[content]
 }
 
-// Judge judges by the record of a content or of a kind alone.
-func (g *Guard) Judge(fingerprint Fingerprint) Verdict {
-	shared := g.shared()[fingerprint]
+// CheckFingerprint checks a content or a kind alone.
+func (g *Guard) CheckFingerprint(fingerprint Fingerprint) Verdict {
+	shared := g.sharedSuspects()[fingerprint]
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	own := g.own(fingerprint)
+	local := g.lookupLocal(fingerprint)
 	return Verdict{
-		Fingerprint: fingerprint, Known: max(shared.Crashes, own.Crashes), Offered: shared.Offered,
-		Held:    (shared.IsHeld() || own.IsHeld()) && !g.permits[fingerprint],
-		Doubted: shared.isDoubted() || own.isDoubted(),
+		Fingerprint: fingerprint, KnownCrashes: max(shared.Crashes, local.Crashes), TrialOffered: shared.Offered,
+		Quarantined:   (shared.IsQuarantined() || local.IsQuarantined()) && !g.permits[fingerprint],
+		KindSuspected: shared.isSuspectedKind() || local.isSuspectedKind(),
 	}
 }
 
-// own returns the suspect as this process has counted its crashes itself.
-func (g *Guard) own(fingerprint Fingerprint) Suspect {
+// lookupLocal returns the local suspect, or a zero value after it expired. The mutex must be held.
+func (g *Guard) lookupLocal(fingerprint Fingerprint) Suspect {
 	local, ok := g.local[fingerprint]
-	if ok && g.now().After(local.until) {
+	if ok && g.now().After(local.expiresAt) {
 		delete(g.local, fingerprint)
 		return Suspect{}
 	}
 	return local.suspect
 }
 
-// NoteEnd takes in that the backend has ended under the request, which was judged so before it
-// was sent.
-func (g *Guard) NoteEnd(subject Subject, backend string, verdict Verdict) {
-	g.NoteCrash(subject.Content, backend, verdict.Known)
-	g.note(Crash{Fingerprint: subject.Kind, Backend: backend, Known: verdict.KindKnown, Of: subject.Content})
+// RecordCrash records for the content and the kind that the backend crashed while it ran the request.
+// The verdict is that on which the request was sent.
+func (g *Guard) RecordCrash(subject Subject, backend string, verdict Verdict) {
+	g.RecordFingerprintCrash(subject.Content, backend, verdict.KnownCrashes)
+	g.addCrash(Crash{Fingerprint: subject.Kind, Backend: backend, Known: verdict.KnownKindCrashes, Of: subject.Content})
 }
 
-// NoteServed takes in that a backend has answered the request, which ends any suspicion against
-// it and its kind.
-func (g *Guard) NoteServed(subject Subject) {
-	g.NoteAnswer(subject.Content)
-	g.NoteAnswer(subject.Kind)
+// RecordResponse records that a backend responded to the request, which clears its content and kind.
+func (g *Guard) RecordResponse(subject Subject) {
+	g.RecordFingerprintResponse(subject.Content)
+	g.RecordFingerprintResponse(subject.Kind)
 }
 
-// NoteCrash takes in that the backend has ended under the request, of which the process knew so
-// many crashes as it sent it. It returns the number of crashes that this process counts now.
-func (g *Guard) NoteCrash(fingerprint Fingerprint, backend string, known int) int {
-	return g.note(Crash{Fingerprint: fingerprint, Backend: backend, Known: known})
+// RecordFingerprintCrash records a crash for one fingerprint, of which the sender knew the given number
+// of crashes. It returns the number of crashes now counted by this process.
+func (g *Guard) RecordFingerprintCrash(fingerprint Fingerprint, backend string, known int) int {
+	return g.addCrash(Crash{Fingerprint: fingerprint, Backend: backend, Known: known})
 }
 
-func (g *Guard) note(crash Crash) int {
+func (g *Guard) addCrash(crash Crash) int {
 	crash.Exact = true
 	fingerprint := crash.Fingerprint
-	shared := g.shared()[fingerprint]
+	shared := g.sharedSuspects()[fingerprint]
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.noteBackend(crash.Backend)
+	g.addCrashedBackend(crash.Backend)
 	base := g.local[fingerprint].suspect
 	if shared.Crashes > base.Crashes {
 		base = shared
 	}
-	next, news := base.With(crash)
-	if !news || len(g.news.Crashes) >= mostNews {
+	next, changed := base.WithCrash(crash)
+	if !changed || len(g.pending.Crashes) >= maxObservations {
 		return next.Crashes
 	}
-	g.local[fingerprint] = localSuspect{suspect: next, until: g.now().Add(localLife)}
-	g.news.Crashes = append(g.news.Crashes, crash)
-	g.wake()
+	g.local[fingerprint] = localSuspect{suspect: next, expiresAt: g.now().Add(localTTL)}
+	g.pending.Crashes = append(g.pending.Crashes, crash)
+	g.signalReport()
 	return next.Crashes
 }
 
-// noteBackend remembers that the backend has ended. The mutex must be held.
-func (g *Guard) noteBackend(backend string) {
+// addCrashedBackend records the crashed backend. The mutex must be held.
+func (g *Guard) addCrashedBackend(backend string) {
 	now := g.now()
-	maps.DeleteFunc(g.ended, func(_ string, until time.Time) bool { return now.After(until) })
-	if len(g.ended) < mostNews {
-		g.ended[backend] = now.Add(localLife)
+	maps.DeleteFunc(g.crashedBackends, func(_ string, expiresAt time.Time) bool { return now.After(expiresAt) })
+	if len(g.crashedBackends) < maxObservations {
+		g.crashedBackends[backend] = now.Add(localTTL)
 	}
 }
 
-// SeenEnds returns the backends that this process has seen end under requests lately, nil for none.
-func (g *Guard) SeenEnds() map[string]bool {
+// RecentlyCrashedBackends returns the backends that this process recently saw crash, or nil.
+func (g *Guard) RecentlyCrashedBackends() map[string]bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if len(g.ended) == 0 {
+	if len(g.crashedBackends) == 0 {
 		return nil
 	}
 	now := g.now()
-	seen := make(map[string]bool, len(g.ended))
-	for backend, until := range g.ended {
-		if !now.After(until) {
-			seen[backend] = true
+	recent := make(map[string]bool, len(g.crashedBackends))
+	for backend, expiresAt := range g.crashedBackends {
+		if !now.After(expiresAt) {
+			recent[backend] = true
 		}
 	}
-	return seen
+	return recent
 }
 
-// NoteAnswer takes in that a backend has answered the request, which ends any suspicion.
-func (g *Guard) NoteAnswer(fingerprint Fingerprint) {
-	if g.Judge(fingerprint).Known == 0 {
+// RecordFingerprintResponse records a response for one fingerprint, which clears the suspect.
+func (g *Guard) RecordFingerprintResponse(fingerprint Fingerprint) {
+	if g.CheckFingerprint(fingerprint).KnownCrashes == 0 {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(g.local, fingerprint)
-	if len(g.news.Answered) < mostNews {
-		g.news.Answered = append(g.news.Answered, fingerprint)
+	if len(g.pending.Answered) < maxObservations {
+		g.pending.Answered = append(g.pending.Answered, fingerprint)
 	}
-	g.wake()
+	g.signalReport()
 }
 
-// Permit lets the request be sent once although it is held back.
+// Permit allows the request to be sent once although it is quarantined.
 func (g *Guard) Permit(fingerprint Fingerprint) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.permits[fingerprint] = true
 }
 
-// UsePermit uses up a permit, and tells whether there was one.
+// UsePermit consumes a permit and reports whether there was one.
 func (g *Guard) UsePermit(fingerprint Fingerprint) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -255,38 +253,39 @@
 	return permitted
 }
 
-// TakeNews returns what is to be told.
-func (g *Guard) TakeNews() News {
+// TakeReport returns and clears the pending observations.
+func (g *Guard) TakeReport() Report {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	news := g.news
-	g.news = News{}
-	return news
+	report := g.pending
+	g.pending = Report{}
+	return report
 }
 
-// ReturnNews takes back news that could not be told. The process goes by them itself until
-// they are.
-func (g *Guard) ReturnNews(news News) {
+// RequeueReport puts back a report that could not be delivered, and extends the local suspects.
+func (g *Guard) RequeueReport(report Report) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for _, crash := range news.Crashes {
+	for _, crash := range report.Crashes {
 		if local, ok := g.local[crash.Fingerprint]; ok {
-			local.until = g.now().Add(localLife)
+			local.expiresAt = g.now().Add(localTTL)
 			g.local[crash.Fingerprint] = local
 		}
 	}
-	g.news.Crashes = earliest(append(news.Crashes, g.news.Crashes...))
-	g.news.Answered = earliest(append(news.Answered, g.news.Answered...))
-	g.wake()
+	g.pending.Crashes = truncateObservations(append(report.Crashes, g.pending.Crashes...))
+	g.pending.Answered = truncateObservations(append(report.Answered, g.pending.Answered...))
+	g.signalReport()
 }
 
-// earliest returns as many of the news as are kept.
-func earliest[T any](news []T) []T { return news[:min(len(news), mostNews)] }
+// truncateObservations keeps the first maxObservations entries.
+func truncateObservations[T any](observations []T) []T {
+	return observations[:min(len(observations), maxObservations)]
+}
 
-// wake says that there are news.
-func (g *Guard) wake() {
+// signalReport signals ReportReady without blocking.
+func (g *Guard) signalReport() {
 	select {
-	case g.Told <- struct{}{}:
+	case g.ReportReady <- struct{}{}:
 	default:
 	}
 }
--- a/quarantine/kind_test.go
+++ b/quarantine/kind_test.go
@@ -9,168 +9,164 @@
 	"pgregory.net/rapid"
 )
 
-const deadlyKind = Fingerprint("deadly kind")
+const poisonKind = Fingerprint("deadly kind")
 
-// ofKind returns the numbered request of the deadly kind.
-func ofKind(number int) Subject {
-	return Subject{Content: Fingerprint(fmt.Sprint("content-", number)), Kind: deadlyKind}
+// poisonSubject returns a crashing request of poisonKind; each number has its own content.
+func poisonSubject(number int) Subject {
+	return Subject{Content: Fingerprint(fmt.Sprint("content-", number)), Kind: poisonKind}
 }
 
-// end has a backend end under the request, as the process knows it, and everybody hear of it.
-func end(guard *Guard, shared *record, subject Subject, backend string) {
-	guard.NoteEnd(subject, backend, guard.JudgeSubject(subject))
-	shared.take(guard.TakeNews())
+// crashBackend records a crash under the request and reports it to the shared record.
+func crashBackend(guard *Guard, shared *fakeRecord, subject Subject, backend string) {
+	guard.RecordCrash(subject, backend, guard.CheckSubject(subject))
+	shared.apply(guard.TakeReport())
 }
 
-func TestKindsTellTargetsApart(t *testing.T) {
-	kinds := []Content{{}, {Tenant: "a"}, {Method: "a"}, {Host: "a"}, {Target: "a"}, {Tenant: "a", Method: "b"}, {Tenant: "ab"}}
+func TestKindFingerprintsDifferByTarget(t *testing.T) {
+	contents := []Content{{}, {Tenant: "a"}, {Method: "a"}, {Host: "a"}, {Target: "a"}, {Tenant: "a", Method: "b"}, {Tenant: "ab"}}
 	seen := map[Fingerprint]bool{}
-	for _, content := range kinds {
-		require.False(t, seen[content.Kind()], "%v", content)
-		seen[content.Kind()] = true
-		require.NotEqual(t, content.Fingerprint(), content.Kind())
+	for _, content := range contents {
+		require.False(t, seen[content.KindFingerprint()], "%v", content)
+		seen[content.KindFingerprint()] = true
+		require.NotEqual(t, content.Fingerprint(), content.KindFingerprint())
 		other := content
 		other.ID, other.Body = "x", []byte("y")
-		require.Equal(t, content.Kind(), other.Kind())
+		require.Equal(t, content.KindFingerprint(), other.KindFingerprint())
 	}
 }
 
-// TestKindIsHeldBackAfterDifferentContents: each request has another content, and a request
-// that was never sent is held back once three of its kind have crashed backends one after the
-// other.
-func TestKindIsHeldBackAfterDifferentContents(t *testing.T) {
-	shared, c := newRecord(), &clock{at: time.Now()}
-	one, other := guardOf(shared, c), guardOf(shared, c)
-	for number := range HeldFrom {
-		require.False(t, other.JudgeSubject(ofKind(number)).Held)
-		end(one, shared, ofKind(number), fmt.Sprint("b", number))
+// TestKindIsQuarantinedAfterDifferentContents verifies that a request that was never sent is quarantined
+// once CrashThreshold others of its kind have crashed backends in sequence.
+func TestKindIsQuarantinedAfterDifferentContents(t *testing.T) {
+	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+	guardA, guardB := newTestGuard(shared, clock), newTestGuard(shared, clock)
+	for number := range CrashThreshold {
+		require.False(t, guardB.CheckSubject(poisonSubject(number)).Quarantined)
+		crashBackend(guardA, shared, poisonSubject(number), fmt.Sprint("b", number))
 	}
-	verdict := other.JudgeSubject(ofKind(100))
-	require.True(t, verdict.Held)
-	require.Zero(t, verdict.Known, "it has crashed nothing itself")
-	require.Equal(t, deadlyKind, verdict.Fingerprint, "its kind's trial is the one that it waits for")
-	require.False(t, other.JudgeSubject(Subject{Content: "content-100", Kind: "other"}).Held)
+	verdict := guardB.CheckSubject(poisonSubject(100))
+	require.True(t, verdict.Quarantined)
+	require.Zero(t, verdict.KnownCrashes, "the content itself has no crashes")
+	require.Equal(t, poisonKind, verdict.Fingerprint, "the trial is that of the kind")
+	require.False(t, guardB.CheckSubject(Subject{Content: "content-100", Kind: "other"}).Quarantined)
 }
 
-// TestOneContentHoldsItselfBackOnly: what shares its target with a request that crashes
-// backends is sent, whatever that request does.
-func TestOneContentHoldsItselfBackOnly(t *testing.T) {
-	shared, c := newRecord(), &clock{at: time.Now()}
-	guard := guardOf(shared, c)
-	for number := range mostEnded {
-		end(guard, shared, ofKind(1), fmt.Sprint("b", number))
+// TestSingleContentDoesNotQuarantineKind guards other requests to the target of a crashing request.
+func TestSingleContentDoesNotQuarantineKind(t *testing.T) {
+	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+	guard := newTestGuard(shared, clock)
+	for number := range maxCrashedBackends {
+		crashBackend(guard, shared, poisonSubject(1), fmt.Sprint("b", number))
 	}
-	require.True(t, guard.JudgeSubject(ofKind(1)).Held)
-	require.False(t, guard.JudgeSubject(ofKind(2)).Held)
+	require.True(t, guard.CheckSubject(poisonSubject(1)).Quarantined)
+	require.False(t, guard.CheckSubject(poisonSubject(2)).Quarantined)
 }
 
-// TestKindIsDoubtedAfterTwoContents: what was never sent is a suspect once two contents of its kind
-// have crashed backends one after the other, and until one is answered.
-func TestKindIsDoubtedAfterTwoContents(t *testing.T) {
-	shared, c := newRecord(), &clock{at: time.Now()}
-	guard := guardOf(shared, c)
-	end(guard, shared, ofKind(1), "b1")
-	require.False(t, guard.JudgeSubject(ofKind(100)).IsSuspect(), "its mates are not suspected for one crash")
-	end(guard, shared, ofKind(1), "b2")
-	require.False(t, guard.JudgeSubject(ofKind(100)).IsSuspect(), "nor for two of one content")
-	end(guard, shared, ofKind(2), "b2")
-	verdict := guard.JudgeSubject(ofKind(100))
+// TestKindIsSuspectedAfterTwoContents verifies that all requests of a kind are suspects after two of
+// its contents crashed backends, until one receives a response.
+func TestKindIsSuspectedAfterTwoContents(t *testing.T) {
+	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+	guard := newTestGuard(shared, clock)
+	crashBackend(guard, shared, poisonSubject(1), "b1")
+	require.False(t, guard.CheckSubject(poisonSubject(100)).IsSuspect(), "one crash does not make the kind suspected")
+	crashBackend(guard, shared, poisonSubject(1), "b2")
+	require.False(t, guard.CheckSubject(poisonSubject(100)).IsSuspect(), "nor do two crashes of the same content")
+	crashBackend(guard, shared, poisonSubject(2), "b2")
+	verdict := guard.CheckSubject(poisonSubject(100))
 	require.True(t, verdict.IsSuspect())
-	require.False(t, verdict.Held)
-	guard.NoteServed(ofKind(3))
-	shared.take(guard.TakeNews())
-	require.False(t, guard.JudgeSubject(ofKind(100)).IsSuspect())
-	require.True(t, guard.JudgeSubject(ofKind(1)).IsSuspect())
+	require.False(t, verdict.Quarantined)
+	guard.RecordResponse(poisonSubject(3))
+	shared.apply(guard.TakeReport())
+	require.False(t, guard.CheckSubject(poisonSubject(100)).IsSuspect())
+	require.True(t, guard.CheckSubject(poisonSubject(1)).IsSuspect())
 }
 
-// TestAnswerFreesTheKind: sound requests of the kind keep it from being held back, and free it.
-func TestAnswerFreesTheKind(t *testing.T) {
-	shared, c := newRecord(), &clock{at: time.Now()}
-	guard := guardOf(shared, c)
-	served := func() {
-		guard.NoteServed(ofKind(1000))
-		shared.take(guard.TakeNews())
+// TestResponseClearsKind verifies that responses prevent and end the quarantine of a kind.
+func TestResponseClearsKind(t *testing.T) {
+	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+	guard := newTestGuard(shared, clock)
+	recordResponse := func() {
+		guard.RecordResponse(poisonSubject(1000))
+		shared.apply(guard.TakeReport())
 	}
-	for number := range 5 * HeldFrom {
-		end(guard, shared, ofKind(number), fmt.Sprint("b", number))
-		if number%(HeldFrom-1) == 0 {
-			served()
+	for number := range 5 * CrashThreshold {
+		crashBackend(guard, shared, poisonSubject(number), fmt.Sprint("b", number))
+		if number%(CrashThreshold-1) == 0 {
+			recordResponse()
 		}
-		require.False(t, guard.JudgeSubject(ofKind(2000)).Held, "after %d", number)
+		require.False(t, guard.CheckSubject(poisonSubject(2000)).Quarantined, "after %d", number)
 	}
-	for number := range HeldFrom {
-		end(guard, shared, ofKind(100+number), fmt.Sprint("c", number))
+	for number := range CrashThreshold {
+		crashBackend(guard, shared, poisonSubject(100+number), fmt.Sprint("c", number))
 	}
-	require.True(t, guard.JudgeSubject(ofKind(2000)).Held)
-	served()
-	require.False(t, guard.JudgeSubject(ofKind(2000)).Held)
+	require.True(t, guard.CheckSubject(poisonSubject(2000)).Quarantined)
+	recordResponse()
+	require.False(t, guard.CheckSubject(poisonSubject(2000)).Quarantined)
 }
 
-// TestOnlyTheTrialOfAHeldKindIsSent: a content that may be sent once goes although its kind is
-// held back, others do not.
-func TestOnlyTheTrialOfAHeldKindIsSent(t *testing.T) {
-	shared, c := newRecord(), &clock{at: time.Now()}
-	guard := guardOf(shared, c)
-	for number := range HeldFrom {
-		end(guard, shared, ofKind(number), fmt.Sprint("b", number))
+// TestOnlyPermittedContentOfQuarantinedKindIsSent guards against a permit for one content that lets
+// others of its kind pass.
+func TestOnlyPermittedContentOfQuarantinedKindIsSent(t *testing.T) {
+	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+	guard := newTestGuard(shared, clock)
+	for number := range CrashThreshold {
+		crashBackend(guard, shared, poisonSubject(number), fmt.Sprint("b", number))
 	}
-	guard.Permit(ofKind(1).Content)
-	require.False(t, guard.JudgeSubject(ofKind(1)).Held)
-	require.True(t, guard.JudgeSubject(ofKind(2)).Held)
-	require.True(t, guard.UsePermit(ofKind(1).Content))
-	require.True(t, guard.JudgeSubject(ofKind(1)).Held)
+	guard.Permit(poisonSubject(1).Content)
+	require.False(t, guard.CheckSubject(poisonSubject(1)).Quarantined)
+	require.True(t, guard.CheckSubject(poisonSubject(2)).Quarantined)
+	require.True(t, guard.UsePermit(poisonSubject(1).Content))
+	require.True(t, guard.CheckSubject(poisonSubject(1)).Quarantined)
 }
 
-// TestKindIsTriedAgain: also once many backends have ended, since more waits for it than for one
-// content.
-func TestKindIsTriedAgain(t *testing.T) {
+// TestKindTrialDelays verifies that a kind is still tried regularly after many crashes.
+func TestKindTrialDelays(t *testing.T) {
 	kind := Suspect{}
-	for number := range 2 * mostEnded {
-		kind, _ = kind.With(Crash{Fingerprint: deadlyKind, Backend: fmt.Sprint(number), Known: number, Of: ofKind(number).Content})
+	for number := range 2 * maxCrashedBackends {
+		kind, _ = kind.WithCrash(Crash{Fingerprint: poisonKind, Backend: fmt.Sprint(number), Known: number, Of: poisonSubject(number).Content})
 	}
-	require.Len(t, kind.Of, kindContents)
-	require.Len(t, kind.Ended, mostEnded)
-	for _, least := range []time.Duration{firstTrial, kindTrial, kindTrial} {
-		require.GreaterOrEqual(t, kind.TrialWait(0), least)
-		require.LessOrEqual(t, kind.TrialWait(0), least+time.Duration(trialSpread*float64(least)))
-		kind = kind.WithOffer().WithoutOffer()
+	require.Len(t, kind.Of, kindContentThreshold)
+	require.Len(t, kind.Ended, maxCrashedBackends)
+	for _, minDelay := range []time.Duration{firstTrialDelay, finalKindTrialDelay, finalKindTrialDelay} {
+		require.GreaterOrEqual(t, kind.TrialDelay(0), minDelay)
+		require.LessOrEqual(t, kind.TrialDelay(0), minDelay+time.Duration(trialJitter*float64(minDelay)))
+		kind = kind.WithTrialOffered().WithTrialTaken()
 	}
 }
 
-// TestDeadlyKindIsHeldBackWhateverTheOrder draws processes with views of any age that send
-// requests of a kind which all crash what runs them. Whoever knows of three crashes of different
-// contents sends nothing, also what was never sent.
-func TestDeadlyKindIsHeldBackWhateverTheOrder(t *testing.T) {
+// TestPoisonKindIsQuarantinedInAnyOrder verifies that a process with any stale view sends no request of
+// a kind after it has learned of CrashThreshold crashes of different contents.
+func TestPoisonKindIsQuarantinedInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shared, c := newRecord(), &clock{at: time.Now()}
-		views := make([]*record, 3)
+		shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+		views := make([]*fakeRecord, 3)
 		guards := make([]*Guard, len(views))
 		for position := range views {
-			views[position] = newRecord()
-			guards[position] = guardOf(views[position], c)
+			views[position] = newFakeRecord()
+			guards[position] = newTestGuard(views[position], clock)
 		}
 		crashes := 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			process := rapid.IntRange(0, len(views)-1).Draw(t, "process")
-			guard, known := guards[process], views[process].suspects[deadlyKind]
+			guard, known := guards[process], views[process].suspects[poisonKind]
 			switch rapid.SampledFrom([]string{"send", "tell", "learn"}).Draw(t, "action") {
 			case "send":
-				subject := ofKind(rapid.IntRange(0, 5).Draw(t, "content"))
-				verdict := guard.JudgeSubject(subject)
-				require.False(t, known.Crashes >= HeldFrom && len(known.Of) >= kindContents && !verdict.Held)
-				if !verdict.Held {
+				subject := poisonSubject(rapid.IntRange(0, 5).Draw(t, "content"))
+				verdict := guard.CheckSubject(subject)
+				require.False(t, known.Crashes >= CrashThreshold && len(known.Of) >= kindContentThreshold && !verdict.Quarantined)
+				if !verdict.Quarantined {
 					crashes++
-					guard.NoteEnd(subject, fmt.Sprint(crashes), verdict)
+					guard.RecordCrash(subject, fmt.Sprint(crashes), verdict)
 				}
 			case "tell":
-				shared.take(guard.TakeNews())
+				shared.apply(guard.TakeReport())
 			case "learn":
 				views[process].suspects = map[Fingerprint]Suspect{}
 				for fingerprint, suspect := range shared.suspects {
 					views[process].suspects[fingerprint] = suspect
 				}
 			}
-			require.LessOrEqual(t, shared.suspects[deadlyKind].Crashes, crashes)
+			require.LessOrEqual(t, shared.suspects[poisonKind].Crashes, crashes)
 		}
 	})
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,29 +1,26 @@
-// Package quarantine keeps requests that crash the backends which run them away from further
-// backends.
+// Package quarantine stops requests that crash their backends from being sent to further backends.
 //
-// A request that crashes whatever runs it comes again, under another ID, at any process. No
-// process sees enough of it alone, so what is known of it is shared: a Suspect is kept in a
-// replicated log, counts over all processes, and outlives each of them. A Guard is one
-// process's part: it tells what crashed, and judges what may be sent.
+// Such a request is retried under a new ID and may arrive at any process, so no single process sees
+// all of its crashes. Each Suspect is therefore stored in a replicated log, which counts crashes
+// across all processes and survives their restarts. A Guard is the local part of a process: it
+// reports crashes and decides which requests may be sent.
 //
-// Crashes count one after the other: a crash counts if whoever sent the request knew of all
-// crashes that were counted before. Backends that fall together, by a loss of power or by
-// requests sent side by side, count once. A backend that ends under several requests of a kind
-// counts if one of those who sent them knew. An answer ends all suspicion, and a request that is
-// held back is tried again now and then, so that a sound one which was near the crashes of
-// others is served again.
+// A crash is counted only if the sender of the request knew of all crashes counted before it.
+// Backends that crash together, because of a power loss or concurrent requests, therefore count once.
+// If several senders report the same backend, one that knew of the earlier crashes is enough. A
+// response clears the suspect. A quarantined request is retried occasionally as a trial, so that a
+// harmless one that only ran alongside a crashing one is served again.
 //
-// Requests of one kind, all that a tenant sends to the same target, are counted together as well:
-// work that is asked for under an ID of its own each time has another content each time, whatever
-// it does to backends. A kind is held back once different contents of it have crashed backends and
-// none of it was answered in between, so that one deadly request among sound ones of its kind never
-// holds these back. Many of a kind run side by side, so backends that ended at once count with it
-// as soon as one more has ended after them.
+// Requests of one kind, which are all requests of a tenant to the same target, are also counted
+// together, because their contents may differ on every attempt. A kind is quarantined once different
+// contents of it have crashed backends without a response in between, so that a single crashing
+// request does not block its kind. Requests of a kind run concurrently, so backends that crashed
+// together count in full for the kind as soon as one more backend has crashed after them.
 //
-// Callers bound how often a request is sent after the third backend has ended under it. What the
-// bound leaves is spent on trials within seconds; after these a request is hardly ever tried.
+// A request has a budget of sends after CrashThreshold backends have crashed. Trials use up the
+// budget at short intervals; afterwards the request is rarely tried.
 //
-// The package has no socket or disk, and no clock but the one that it is given.
+// The package uses no network or disk, and reads time only from the clock passed to it.
 package quarantine
 
 import (
@@ -32,205 +29,205 @@
 )
 
 const (
-	// HeldFrom is the number of crashes from which on a request is held back, and of ended backends
-	// from which on the users' bound counts its sends.
-	HeldFrom = 3
-	// boundSends is the users' bound: so many sends may follow once HeldFrom backends have ended.
-	boundSends = 3
-	// EarlyTime is how long after the third end sends use nothing of the bound up: they were decided
-	// on before that end was known everywhere.
-	EarlyTime = 2 * time.Second
-	// raceSends of these are left to processes that hear of an end late, where a content comes at
-	// any of them. Requests of a suspected kind go one at a time.
-	raceSends = 1
-	// kindContents is the number of contents that must have crashed backends before their kind
-	// is held back: one alone is held back for itself.
-	kindContents = 2
-	// mostEnded is the number of backends that may end under a request before it is tried
-	// again only rarely.
-	mostEnded = HeldFrom + boundSends
-	// firstTrial is how long a request is held back before it is tried again, and secondTrial
-	// how long after that once more, and again: a sound request is wanted within seconds, and a
-	// backend that a trial has ended is back by then.
-	firstTrial  = 5 * time.Second
-	secondTrial = 7500 * time.Millisecond
-	// rareTrial is the least wait once the bound leaves no more, and lastTrial that after the
-	// last of the trials that it leaves.
-	rareTrial = 10 * time.Minute
-	lastTrial = 24 * time.Hour
-	// kindTrial is the same for a kind. More depends on it than on one content, and what crashes
-	// backends today may be mended without a change of its target.
-	kindTrial = rareTrial
-	// trialSpread is the part by which the waits of requests differ at the most.
-	trialSpread = 0.5
-	// RetryAfter is what callers are told whose request is held back.
-	RetryAfter = firstTrial
-	// ForgetAfter is how long a suspect that is not held back is remembered after its last
-	// crash.
+	// CrashThreshold is the number of crashes after which a request is quarantined, and the number
+	// of crashed backends after which sends use up the send budget.
+	CrashThreshold = 3
+	// sendBudget is the number of sends allowed once CrashThreshold backends have crashed.
+	sendBudget = 3
+	// CrashGracePeriod is how long after the CrashThreshold crash sends are not charged to the
+	// budget: they were decided on before every process knew of that crash.
+	CrashGracePeriod = 2 * time.Second
+	// reservedSends is the part of a content's budget kept for processes that learn of a crash late.
+	// Kinds need none: requests of a suspected kind are sent one at a time.
+	reservedSends = 1
+	// kindContentThreshold is the number of different contents that must have crashed backends
+	// before their kind is quarantined.
+	kindContentThreshold = 2
+	// maxCrashedBackends is the number of crashed backends after which a request is tried only rarely.
+	maxCrashedBackends = CrashThreshold + sendBudget
+	// firstTrialDelay precedes the first trial of a quarantined request, repeatTrialDelay each
+	// further quick trial. They let a harmless request run within seconds, and leave a backend
+	// crashed by a trial enough time to restart.
+	firstTrialDelay  = 5 * time.Second
+	repeatTrialDelay = 7500 * time.Millisecond
+	// exhaustedTrialDelay is the minimum delay once the send budget is exhausted, and
+	// finalTrialDelay the delay after a content's quick trials.
+	exhaustedTrialDelay = 10 * time.Minute
+	finalTrialDelay     = 24 * time.Hour
+	// finalKindTrialDelay is the delay after a kind's quick trials. It is shorter because more
+	// requests depend on a kind, and the fault may be fixed without a change of the target.
+	finalKindTrialDelay = exhaustedTrialDelay
+	// trialJitter is the largest fraction added to a trial delay.
+	trialJitter = 0.5
+	// RetryAfter is the retry delay returned to callers whose request is quarantined.
+	RetryAfter = firstTrialDelay
+	// ForgetAfter is how long a suspect that is not quarantined is kept after its last crash.
 	ForgetAfter = 10 * time.Minute
 )
 
-// doubtedFrom is the number of crashes from which on a kind is doubted; it is held back once HeldFrom
-// backends have ended, too. It is more than one, since an answer to any of a mostly sound kind comes
-// before a second crash and ends the doubt.
-const doubtedFrom = HeldFrom - 1
+// suspectedKindThreshold is the number of crashes after which a kind is suspected. It is more than
+// one, since in a mostly harmless kind a response clears the suspect before a second crash.
+const suspectedKindThreshold = CrashThreshold - 1
 
-// awayShare of a service's backends may be away at once since they ended under requests before a
-// suspect is sent to one more: what is left must carry the service's sound work.
-const awayShare = 1.0 / 3
+// maxUnavailableFraction limits the share of a service's backends that suspects may have crashed
+// at a time, so that the others can carry the service's load.
+const maxUnavailableFraction = 1.0 / 3
 
-// MostAway returns how many of so many backends of a service may be away at once since they ended
-// under requests. One may, however few there are: else no suspect would ever be cleared.
-func MostAway(backends int) int { return max(int(awayShare*float64(backends)), 1) }
+// MaxUnavailable returns how many of a service's backends may be down after crashes at a time. It is at
+// least one, since otherwise no suspect could be cleared.
+func MaxUnavailable(backends int) int { return max(int(maxUnavailableFraction*float64(backends)), 1) }
 
-// Crash says that a backend has ended while it ran a request.
+// Crash reports that a backend crashed while it ran a request.
 type Crash struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
-	// Backend is the ID of the backend's incarnation.
+	// Backend is the ID of the crashed backend process.
 	Backend string `cbor:"2,keyasint"`
-	// Known is the number of counted crashes that the sender knew of as it sent the request.
+	// Known is the number of counted crashes that the sender knew of when it sent the request.
 	Known int `cbor:"3,keyasint"`
-	// Of is the content that crashed the backend where Fingerprint is that of its kind, or "".
+	// Of is the content that crashed the backend if Fingerprint is that of its kind, "" otherwise.
 	Of Fingerprint `cbor:"4,keyasint,omitempty"`
-	// Exact has an end that is told more than once count by whoever knew most. Without it, whoever
-	// tells first decides.
+	// Exact selects the report with the highest Known if a crash is reported more than once.
+	// Otherwise the first report decides.
 	Exact bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Suspect is a request under which backends have ended. It is never changed.
+// Suspect is the record of a request that ran on crashed backends. Values are immutable.
 type Suspect struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
-	// Crashes counts the crashes that came one after the other.
+	// Crashes counts the crashes whose senders knew of all crashes counted before.
 	Crashes int `cbor:"2,keyasint"`
-	// Ended are the IDs of the backends that have ended, mostEnded of them at the most.
+	// Ended lists the IDs of the crashed backends, at most maxCrashedBackends of them.
 	Ended []string `cbor:"3,keyasint"`
-	// Trials counts the trials that were offered, and Offered is set while one may be taken.
+	// Trials counts the trials offered, and Offered is set while one may be taken.
 	Trials  int  `cbor:"4,keyasint,omitempty"`
 	Offered bool `cbor:"5,keyasint,omitempty"`
-	// Of are the contents that have crashed backends where this is a kind, kindContents of them
-	// at the most.
+	// Of lists the contents that crashed backends if this is a kind, at most kindContentThreshold
+	// of them.
 	Of []Fingerprint `cbor:"6,keyasint,omitempty"`
-	// Uncounted are those of Ended that are not among the crashes so far: whoever has told of them
-	// knew of too few.
+	// Uncounted lists the backends in Ended that Crashes does not include, because their reporters
+	// did not know of all earlier crashes.
 	Uncounted []string `cbor:"7,keyasint,omitempty"`
 }
 
-// isKind tells whether this is a kind of requests.
+// isKind reports whether the suspect is a kind rather than a content.
 func (s Suspect) isKind() bool { return len(s.Of) > 0 }
 
-// IsHeld tells whether the request is held back.
-func (s Suspect) IsHeld() bool {
+// IsQuarantined reports whether the request must not be sent except as a trial.
+func (s Suspect) IsQuarantined() bool {
 	if s.isKind() {
-		return s.isDoubted() && len(s.Ended) >= HeldFrom
+		return s.isSuspectedKind() && len(s.Ended) >= CrashThreshold
 	}
-	return s.Crashes >= HeldFrom
+	return s.Crashes >= CrashThreshold
 }
 
-// ended returns how many backends have ended as the users' bound counts them. Of those that fell
-// together no more than HeldFrom count: the others were sent to before the third had ended.
-func (s Suspect) ended() int { return min(len(s.Ended), s.Crashes+HeldFrom-1) }
+// budgetedCrashes returns the number of crashed backends that the send budget takes into account. Of
+// backends that crashed together at most CrashThreshold count: the request was sent to the others
+// before the threshold was reached.
+func (s Suspect) budgetedCrashes() int { return min(len(s.Ended), s.Crashes+CrashThreshold-1) }
 
-// isDoubted tells whether this is a kind of which different contents have crashed backends, so
-// that all of it is suspected.
-func (s Suspect) isDoubted() bool { return s.Crashes >= doubtedFrom && len(s.Of) >= kindContents }
+// isSuspectedKind reports whether different contents of a kind have crashed backends, so that all
+// requests of the kind are suspects.
+func (s Suspect) isSuspectedKind() bool {
+	return s.Crashes >= suspectedKindThreshold && len(s.Of) >= kindContentThreshold
+}
 
-// With returns the suspect after the crash, and whether that is news.
-func (s Suspect) With(crash Crash) (Suspect, bool) {
-	next := s.withOf(crash.Of)
-	counts := crash.Known >= s.Crashes
+// WithCrash returns the suspect with the crash added, and whether this changed it.
+func (s Suspect) WithCrash(crash Crash) (Suspect, bool) {
+	next := s.withContent(crash.Of)
+	isCounted := crash.Known >= s.Crashes
 	if slices.Contains(s.Ended, crash.Backend) {
-		if counts && slices.Contains(s.Uncounted, crash.Backend) {
+		if isCounted && slices.Contains(s.Uncounted, crash.Backend) {
 			next.Crashes++
 			next.Uncounted = without(s.Uncounted, crash.Backend)
 		}
 		return next, next.Crashes != s.Crashes || len(next.Of) != len(s.Of)
 	}
 	next.Fingerprint = crash.Fingerprint
-	if counts {
+	if isCounted {
 		next.Crashes++
 	}
-	if len(s.Ended) < mostEnded {
+	if len(s.Ended) < maxCrashedBackends {
 		next.Ended = append(slices.Clone(s.Ended), crash.Backend)
-		if crash.Exact && !counts {
+		if crash.Exact && !isCounted {
 			next.Uncounted = append(slices.Clone(s.Uncounted), crash.Backend)
 		}
 	}
 	return next, next.Crashes != s.Crashes || len(next.Ended) != len(s.Ended) || len(next.Of) != len(s.Of)
 }
 
-// without returns the list without the name, nil if nothing is left.
+// without returns the list without the name, or nil if nothing is left.
 func without(list []string, name string) []string {
-	var rest []string
-	for _, one := range list {
-		if one != name {
-			rest = append(rest, one)
+	var remaining []string
+	for _, item := range list {
+		if item != name {
+			remaining = append(remaining, item)
 		}
 	}
-	return rest
+	return remaining
 }
 
-// withOf returns the suspect after the content has crashed a backend, if it is a kind.
-func (s Suspect) withOf(content Fingerprint) Suspect {
-	if content != "" && len(s.Of) < kindContents && !slices.Contains(s.Of, content) {
+// withContent returns the suspect with the content added to Of. An empty content is ignored.
+func (s Suspect) withContent(content Fingerprint) Suspect {
+	if content != "" && len(s.Of) < kindContentThreshold && !slices.Contains(s.Of, content) {
 		s.Of = append(slices.Clone(s.Of), content)
 	}
 	return s
 }
 
-// WithOffer returns the suspect with a trial that may be taken.
-func (s Suspect) WithOffer() Suspect {
+// WithTrialOffered returns the suspect with a trial that may be taken.
+func (s Suspect) WithTrialOffered() Suspect {
 	s.Offered = true
 	s.Trials++
 	return s
 }
 
-// WithoutOffer returns the suspect after its trial was taken.
-func (s Suspect) WithoutOffer() Suspect {
+// WithTrialTaken returns the suspect after its trial was taken.
+func (s Suspect) WithTrialTaken() Suspect {
 	s.Offered = false
 	return s
 }
 
-// soonTrials returns how many trials may follow one another within seconds.
-func (s Suspect) soonTrials() int {
+// quickTrials returns the number of trials made at short intervals.
+func (s Suspect) quickTrials() int {
 	if s.isKind() {
-		return boundSends
+		return sendBudget
 	}
-	return boundSends - raceSends
+	return sendBudget - reservedSends
 }
 
-// isSpent tells whether the users' bound leaves no further trial for now, where it does not count
-// so many of the ends.
-func (s Suspect) isSpent(early int) bool {
+// isBudgetExhausted reports whether the send budget leaves no quick trial, without the exempt crashes.
+func (s Suspect) isBudgetExhausted(exempt int) bool {
 	if s.Trials == 0 {
-		return !s.isKind() && s.ended() >= mostEnded
+		return !s.isKind() && s.budgetedCrashes() >= maxCrashedBackends
 	}
-	return s.ended()-early >= HeldFrom+s.soonTrials()
+	return s.budgetedCrashes()-exempt >= CrashThreshold+s.quickTrials()
 }
 
-// EndsAfterThird returns how many backends have ended after the third, and whether the third has.
-func (s Suspect) EndsAfterThird() (ends int, third bool) {
-	return max(s.ended()-HeldFrom, 0), len(s.Ended) >= HeldFrom
+// CrashesAfterThreshold returns the number of backends that crashed after CrashThreshold was
+// reached, and whether it was reached.
+func (s Suspect) CrashesAfterThreshold() (crashes int, reached bool) {
+	return max(s.budgetedCrashes()-CrashThreshold, 0), len(s.Ended) >= CrashThreshold
 }
 
-// TrialWait returns how long after the last change the request is to be tried again. Of a kind's
-// ends, the bound does not count early ones, which came right after the third; a negative number
-// stands for ends to come, of trials that are under way. Requests that fell together wait for
-// different times, so that a sound one does not meet the other again.
-func (s Suspect) TrialWait(early int) time.Duration {
+// TrialDelay returns the time from the suspect's last change to its next trial. The send budget of a
+// kind does not count exempt crashes, which came within CrashGracePeriod; a negative number adds the
+// crashes expected of running trials. The jitter separates requests that crashed the same backends,
+// so that a harmless one does not run beside the crashing one again.
+func (s Suspect) TrialDelay(exempt int) time.Duration {
 	if !s.isKind() {
-		early = 0
+		exempt = 0
 	}
-	wait := lastTrial
+	delay := finalTrialDelay
 	switch {
 	case s.Trials == 0:
-		wait = firstTrial
-	case s.Trials < s.soonTrials():
-		wait = secondTrial
+		delay = firstTrialDelay
+	case s.Trials < s.quickTrials():
+		delay = repeatTrialDelay
 	case s.isKind():
-		wait = kindTrial
+		delay = finalKindTrialDelay
 	}
-	if s.isSpent(early) {
-		wait = max(wait, rareTrial)
+	if s.isBudgetExhausted(exempt) {
+		delay = max(delay, exhaustedTrialDelay)
 	}
-	return wait + time.Duration(float64(wait)*trialSpread*s.Fingerprint.fraction())
+	return delay + time.Duration(float64(delay)*trialJitter*s.Fingerprint.fraction())
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -10,38 +10,38 @@
 	"pgregory.net/rapid"
 )
 
-// record is a shared record that processes know a little late.
-type record struct {
+// fakeRecord is an in-memory shared record.
+type fakeRecord struct {
 	suspects map[Fingerprint]Suspect
 }
 
-func (r *record) take(news News) {
-	for _, crash := range news.Crashes {
-		if next, changed := r.suspects[crash.Fingerprint].With(crash); changed {
+func (r *fakeRecord) apply(report Report) {
+	for _, crash := range report.Crashes {
+		if next, changed := r.suspects[crash.Fingerprint].WithCrash(crash); changed {
 			r.suspects[crash.Fingerprint] = next
 		}
 	}
-	for _, fingerprint := range news.Answered {
+	for _, fingerprint := range report.Answered {
 		delete(r.suspects, fingerprint)
 	}
 }
 
-func (r *record) view() map[Fingerprint]Suspect { return r.suspects }
+func (r *fakeRecord) list() map[Fingerprint]Suspect { return r.suspects }
 
-func newRecord() *record { return &record{suspects: map[Fingerprint]Suspect{}} }
+func newFakeRecord() *fakeRecord { return &fakeRecord{suspects: map[Fingerprint]Suspect{}} }
 
-// clock is a clock that a test moves.
-type clock struct{ at time.Time }
+// fakeClock is set by the tests.
+type fakeClock struct{ current time.Time }
 
-func (c *clock) now() time.Time { return c.at }
+func (c *fakeClock) now() time.Time { return c.current }
 
-func guardOf(shared *record, c *clock) *Guard {
-	return NewGuard(Sharing{Suspects: shared.view}, c.now)
+func newTestGuard(shared *fakeRecord, clock *fakeClock) *Guard {
+	return NewGuard(SharedRecord{Suspects: shared.list}, clock.now)
 }
 
-const deadly = Fingerprint("deadly")
+const poisonRequest = Fingerprint("deadly")
 
-func TestFingerprintsTellContentsApart(t *testing.T) {
+func TestFingerprintsDifferByContent(t *testing.T) {
 	contents := []Content{
 		{}, {ID: "a"}, {Tenant: "a"}, {Method: "a"}, {Host: "a"}, {Target: "a"}, {Body: []byte("a")},
 		{Tenant: "a", Method: "b"}, {Tenant: "ab"}, {Host: "a", Target: "b"}, {Target: "ab"},
@@ -54,127 +54,126 @@
 	}
 }
 
-// TestCrashesOneAfterTheOtherCount: crashes that each sender knew of the one before count, over
-// processes; those that come side by side, and a crash that is told again, count once.
-func TestCrashesOneAfterTheOtherCount(t *testing.T) {
-	shared, c := newRecord(), &clock{at: time.Now()}
-	one, other := guardOf(shared, c), guardOf(shared, c)
-	crash := func(guard *Guard, backend string, known int) {
-		guard.NoteCrash(deadly, backend, known)
-		news := guard.TakeNews()
-		shared.take(news)
-		shared.take(news)
+// TestOnlySequentialCrashesCount verifies that crashes count across processes if each sender knew of the
+// earlier ones, and that concurrent crashes and repeated reports count once.
+func TestOnlySequentialCrashesCount(t *testing.T) {
+	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+	guardA, guardB := newTestGuard(shared, clock), newTestGuard(shared, clock)
+	recordCrash := func(guard *Guard, backend string, known int) {
+		guard.RecordFingerprintCrash(poisonRequest, backend, known)
+		report := guard.TakeReport()
+		shared.apply(report)
+		shared.apply(report)
 	}
 	for number := range 8 {
-		crash(one, fmt.Sprintf("together-%d", number), 0)
+		recordCrash(guardA, fmt.Sprintf("together-%d", number), 0)
 	}
-	require.Equal(t, 1, one.Judge(deadly).Known, "a loss of all backends at once is one crash")
-	require.False(t, other.Judge(deadly).Held)
-	crash(other, "second", other.Judge(deadly).Known)
-	require.Equal(t, 2, one.Judge(deadly).Known)
-	crash(one, "third", one.Judge(deadly).Known)
-	require.True(t, one.Judge(deadly).Held)
-	require.True(t, other.Judge(deadly).Held)
-	started := guardOf(shared, c)
-	require.True(t, started.Judge(deadly).Held, "a process that starts knows what is shared")
+	require.Equal(t, 1, guardA.CheckFingerprint(poisonRequest).KnownCrashes, "concurrent crashes count once")
+	require.False(t, guardB.CheckFingerprint(poisonRequest).Quarantined)
+	recordCrash(guardB, "second", guardB.CheckFingerprint(poisonRequest).KnownCrashes)
+	require.Equal(t, 2, guardA.CheckFingerprint(poisonRequest).KnownCrashes)
+	recordCrash(guardA, "third", guardA.CheckFingerprint(poisonRequest).KnownCrashes)
+	require.True(t, guardA.CheckFingerprint(poisonRequest).Quarantined)
+	require.True(t, guardB.CheckFingerprint(poisonRequest).Quarantined)
+	newGuard := newTestGuard(shared, clock)
+	require.True(t, newGuard.CheckFingerprint(poisonRequest).Quarantined, "a new process uses the shared record")
 }
 
-// TestLocalCrashesHoldBeforeTheyAreTold: a process goes by what it has seen itself until the
-// shared record takes over, also while it can tell nobody.
-func TestLocalCrashesHoldBeforeTheyAreTold(t *testing.T) {
-	shared, c := newRecord(), &clock{at: time.Now()}
-	guard := guardOf(shared, c)
-	for number := range HeldFrom {
-		guard.NoteCrash(deadly, fmt.Sprint(number), guard.Judge(deadly).Known)
+// TestLocalCrashesApplyBeforeReporting verifies that a process applies crashes that it observed until
+// they expire, and longer while it cannot report them.
+func TestLocalCrashesApplyBeforeReporting(t *testing.T) {
+	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+	guard := newTestGuard(shared, clock)
+	for number := range CrashThreshold {
+		guard.RecordFingerprintCrash(poisonRequest, fmt.Sprint(number), guard.CheckFingerprint(poisonRequest).KnownCrashes)
 	}
-	require.True(t, guard.Judge(deadly).Held)
+	require.True(t, guard.CheckFingerprint(poisonRequest).Quarantined)
 	for range 3 {
-		c.at = c.at.Add(localLife)
-		guard.ReturnNews(guard.TakeNews())
+		clock.current = clock.current.Add(localTTL)
+		guard.RequeueReport(guard.TakeReport())
 	}
-	require.True(t, guard.Judge(deadly).Held, "what is not told is not forgotten")
-	c.at = c.at.Add(2 * localLife)
-	require.False(t, guard.Judge(deadly).Held, "the shared record goes alone")
+	require.True(t, guard.CheckFingerprint(poisonRequest).Quarantined, "unreported crashes do not expire")
+	clock.current = clock.current.Add(2 * localTTL)
+	require.False(t, guard.CheckFingerprint(poisonRequest).Quarantined, "local crashes have expired")
 	require.True(t, guard.IsIdle())
 }
 
-func TestAnswerEndsSuspicion(t *testing.T) {
-	shared, c := newRecord(), &clock{at: time.Now()}
-	guard := guardOf(shared, c)
-	guard.NoteAnswer(deadly)
-	require.True(t, guard.TakeNews().IsEmpty(), "answers of others are not told")
-	guard.NoteCrash(deadly, "a", 0)
-	guard.NoteCrash(deadly, "b", 1)
-	shared.take(guard.TakeNews())
-	guard.NoteAnswer(deadly)
-	shared.take(guard.TakeNews())
-	require.Zero(t, guard.Judge(deadly).Known)
+func TestResponseClearsSuspect(t *testing.T) {
+	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+	guard := newTestGuard(shared, clock)
+	guard.RecordFingerprintResponse(poisonRequest)
+	require.True(t, guard.TakeReport().IsEmpty(), "responses to requests that are no suspects are not reported")
+	guard.RecordFingerprintCrash(poisonRequest, "a", 0)
+	guard.RecordFingerprintCrash(poisonRequest, "b", 1)
+	shared.apply(guard.TakeReport())
+	guard.RecordFingerprintResponse(poisonRequest)
+	shared.apply(guard.TakeReport())
+	require.Zero(t, guard.CheckFingerprint(poisonRequest).KnownCrashes)
 }
 
-// TestNewsAreBounded: also where the directory cannot be told for long.
-func TestNewsAreBounded(t *testing.T) {
-	guard := guardOf(newRecord(), &clock{at: time.Now()})
+// TestPendingReportIsBounded guards against unbounded growth while reports cannot be delivered.
+func TestPendingReportIsBounded(t *testing.T) {
+	guard := newTestGuard(newFakeRecord(), &fakeClock{current: time.Now()})
 	for range 3 {
-		for number := range mostNews + 10 {
-			guard.NoteCrash(Fingerprint(fmt.Sprint(number)), fmt.Sprint("b", number), 0)
+		for number := range maxObservations + 10 {
+			guard.RecordFingerprintCrash(Fingerprint(fmt.Sprint(number)), fmt.Sprint("b", number), 0)
 		}
-		guard.ReturnNews(guard.TakeNews())
+		guard.RequeueReport(guard.TakeReport())
 	}
-	require.Len(t, guard.TakeNews().Crashes, mostNews)
+	require.Len(t, guard.TakeReport().Crashes, maxObservations)
 }
 
-// TestPermitLetsOneThrough: a permit holds until it is used.
-func TestPermitLetsOneThrough(t *testing.T) {
-	shared, c := newRecord(), &clock{at: time.Now()}
-	shared.suspects[deadly] = Suspect{Fingerprint: deadly, Crashes: HeldFrom, Offered: true}
-	guard := guardOf(shared, c)
-	require.True(t, guard.Judge(deadly).Offered)
-	require.False(t, guard.TakeTrial(context.Background(), deadly), "nobody gives it")
-	guard.Permit(deadly)
-	require.False(t, guard.Judge(deadly).Held)
-	require.True(t, guard.UsePermit(deadly))
-	require.True(t, guard.Judge(deadly).Held)
-	require.False(t, guard.UsePermit(deadly))
+// TestPermitAllowsOneSend verifies that a permit is valid until it is used.
+func TestPermitAllowsOneSend(t *testing.T) {
+	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+	shared.suspects[poisonRequest] = Suspect{Fingerprint: poisonRequest, Crashes: CrashThreshold, Offered: true}
+	guard := newTestGuard(shared, clock)
+	require.True(t, guard.CheckFingerprint(poisonRequest).TrialOffered)
+	require.False(t, guard.TakeTrial(context.Background(), poisonRequest), "the shared record has no TakeTrial")
+	guard.Permit(poisonRequest)
+	require.False(t, guard.CheckFingerprint(poisonRequest).Quarantined)
+	require.True(t, guard.UsePermit(poisonRequest))
+	require.True(t, guard.CheckFingerprint(poisonRequest).Quarantined)
+	require.False(t, guard.UsePermit(poisonRequest))
 }
 
-// TestTrialsGetRare: a request that goes on crashing is tried at lengthening intervals, and
-// hardly ever once many backends have ended.
-func TestTrialsGetRare(t *testing.T) {
+// TestTrialDelaysGrow verifies that trial delays grow with the trials and the crashed backends.
+func TestTrialDelaysGrow(t *testing.T) {
 	suspect := Suspect{}
-	for number := range HeldFrom {
-		suspect, _ = suspect.With(Crash{Fingerprint: deadly, Backend: fmt.Sprint(number), Known: number})
+	for number := range CrashThreshold {
+		suspect, _ = suspect.WithCrash(Crash{Fingerprint: poisonRequest, Backend: fmt.Sprint(number), Known: number})
 	}
-	waits := func(least time.Duration) {
-		require.GreaterOrEqual(t, suspect.TrialWait(0), least)
-		require.LessOrEqual(t, suspect.TrialWait(0), least+time.Duration(trialSpread*float64(least)))
+	requireDelay := func(minDelay time.Duration) {
+		require.GreaterOrEqual(t, suspect.TrialDelay(0), minDelay)
+		require.LessOrEqual(t, suspect.TrialDelay(0), minDelay+time.Duration(trialJitter*float64(minDelay)))
 	}
-	waits(firstTrial)
-	suspect = suspect.WithOffer().WithoutOffer()
-	waits(secondTrial)
-	for number := HeldFrom; number < mostEnded; number++ {
-		suspect, _ = suspect.With(Crash{Fingerprint: deadly, Backend: fmt.Sprint(number), Known: number})
+	requireDelay(firstTrialDelay)
+	suspect = suspect.WithTrialOffered().WithTrialTaken()
+	requireDelay(repeatTrialDelay)
+	for number := CrashThreshold; number < maxCrashedBackends; number++ {
+		suspect, _ = suspect.WithCrash(Crash{Fingerprint: poisonRequest, Backend: fmt.Sprint(number), Known: number})
 	}
-	waits(rareTrial)
-	suspect = suspect.WithOffer().WithoutOffer()
-	waits(lastTrial)
-	require.Len(t, suspect.Ended, mostEnded)
-	again, news := suspect.With(Crash{Fingerprint: deadly, Backend: "0", Known: 9})
-	require.False(t, news)
+	requireDelay(exhaustedTrialDelay)
+	suspect = suspect.WithTrialOffered().WithTrialTaken()
+	requireDelay(finalTrialDelay)
+	require.Len(t, suspect.Ended, maxCrashedBackends)
+	again, changed := suspect.WithCrash(Crash{Fingerprint: poisonRequest, Backend: "0", Known: 9})
+	require.False(t, changed)
 	require.Equal(t, suspect, again)
 }
 
-// TestDeadlyRequestIsHeldBackWhateverTheOrder draws processes that send a deadly request with
-// views of any age. Whoever sends it after the record has counted three crashes that he knows
-// of sends nothing; the record never goes back; no crash counts twice.
-func TestDeadlyRequestIsHeldBackWhateverTheOrder(t *testing.T) {
+// TestPoisonRequestIsQuarantinedInAnyOrder verifies, for processes with views of any age, that a process
+// that knows of CrashThreshold crashes does not send the request, that the shared count never
+// decreases, and that no crash counts twice.
+func TestPoisonRequestIsQuarantinedInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shared, c := newRecord(), &clock{at: time.Now()}
-		views := make([]*record, 4)
+		shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
+		views := make([]*fakeRecord, 4)
 		guards := make([]*Guard, len(views))
-		untold := make([]News, len(views))
+		reports := make([]Report, len(views))
 		for position := range views {
-			views[position] = newRecord()
-			guards[position] = guardOf(views[position], c)
+			views[position] = newFakeRecord()
+			guards[position] = newTestGuard(views[position], clock)
 		}
 		crashes, highest := 0, 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -182,25 +181,25 @@
 			guard := guards[process]
 			switch rapid.SampledFrom([]string{"send", "tell", "lose", "learn"}).Draw(t, "action") {
 			case "send":
-				verdict := guard.Judge(deadly)
-				require.Equal(t, verdict.Known >= HeldFrom, verdict.Held)
-				if !verdict.Held {
+				verdict := guard.CheckFingerprint(poisonRequest)
+				require.Equal(t, verdict.KnownCrashes >= CrashThreshold, verdict.Quarantined)
+				if !verdict.Quarantined {
 					crashes++
-					guard.NoteCrash(deadly, fmt.Sprint(crashes), verdict.Known)
+					guard.RecordFingerprintCrash(poisonRequest, fmt.Sprint(crashes), verdict.KnownCrashes)
 				}
 			case "tell":
-				shared.take(untold[process])
-				untold[process] = guard.TakeNews()
-				shared.take(untold[process])
+				shared.apply(reports[process])
+				reports[process] = guard.TakeReport()
+				shared.apply(reports[process])
 			case "lose":
-				guard.ReturnNews(guard.TakeNews())
+				guard.RequeueReport(guard.TakeReport())
 			case "learn":
 				views[process].suspects = map[Fingerprint]Suspect{}
 				for fingerprint, suspect := range shared.suspects {
 					views[process].suspects[fingerprint] = suspect
 				}
 			}
-			counted := shared.suspects[deadly].Crashes
+			counted := shared.suspects[poisonRequest].Crashes
 			require.GreaterOrEqual(t, counted, highest)
 			require.LessOrEqual(t, counted, crashes)
 			highest = counted
--- a/quarantine/trial_test.go
+++ b/quarantine/trial_test.go
@@ -8,95 +8,95 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fallen returns a suspect under which backends have ended in rounds of so many at once; each
-// sender knew of all rounds before. A kind has another content for each end.
-func fallen(kind bool, rounds ...int) Suspect {
-	suspect, ended := Suspect{}, 0
-	for round, many := range rounds {
-		for range many {
-			crash := Crash{Fingerprint: deadly, Backend: fmt.Sprint(ended), Known: round}
-			if kind {
-				crash.Of = ofKind(ended).Content
+// newCrashedSuspect returns a suspect after rounds of concurrent crashes, whose senders knew of all
+// earlier rounds. For a kind each crash has its own content.
+func newCrashedSuspect(isKind bool, crashesPerRound ...int) Suspect {
+	suspect, backends := Suspect{}, 0
+	for round, crashes := range crashesPerRound {
+		for range crashes {
+			crash := Crash{Fingerprint: poisonRequest, Backend: fmt.Sprint(backends), Known: round}
+			if isKind {
+				crash.Of = poisonSubject(backends).Content
 			}
-			suspect, _ = suspect.With(crash)
-			ended++
+			suspect, _ = suspect.WithCrash(crash)
+			backends++
 		}
 	}
 	return suspect
 }
 
-// TestHeldRequestIsTriedAsOftenAsTheBoundLeaves: whoever waits for a request that is held back
-// waits for some seconds, as long as fewer than three sends have followed the third end, of which a
-// content leaves one to races.
-func TestHeldRequestIsTriedAsOftenAsTheBoundLeaves(t *testing.T) {
+// TestQuickTrialsWithinSendBudget verifies that a quarantined request is tried at short intervals as
+// often as the send budget allows; a content keeps reservedSends of it.
+func TestQuickTrialsWithinSendBudget(t *testing.T) {
 	cases := []struct {
-		name   string
-		kind   bool
-		rounds []int
-		trials int
+		name            string
+		isKind          bool
+		crashesPerRound []int
+		quickTrials     int
 	}{
-		{"a content, one after the other", false, []int{1, 1, 1}, 2},
-		{"a content, two at once", false, []int{2, 1, 1}, 1},
-		{"a content, three at once", false, []int{3, 1, 1}, 1},
-		{"a kind, one after the other", true, []int{1, 1, 1}, 3},
-		{"a kind, two at once and one", true, []int{2, 1}, 3},
-		{"a kind, one and two at once", true, []int{1, 2}, 3},
-		{"a kind, three at once and one", true, []int{3, 1}, 2},
-		{"a kind, all at once and one", true, []int{8, 1}, 2},
+		{"content, sequential crashes", false, []int{1, 1, 1}, 2},
+		{"content, two concurrent crashes first", false, []int{2, 1, 1}, 1},
+		{"content, three concurrent crashes first", false, []int{3, 1, 1}, 1},
+		{"kind, sequential crashes", true, []int{1, 1, 1}, 3},
+		{"kind, two concurrent crashes, then one", true, []int{2, 1}, 3},
+		{"kind, one crash, then two concurrent ones", true, []int{1, 2}, 3},
+		{"kind, three concurrent crashes, then one", true, []int{3, 1}, 2},
+		{"kind, eight concurrent crashes, then one", true, []int{8, 1}, 2},
 	}
-	for _, one := range cases {
-		suspect, trials := fallen(one.kind, one.rounds...), 0
-		require.True(t, suspect.IsHeld(), one.name)
-		for suspect.TrialWait(0) <= soonTried {
-			suspect = suspect.WithOffer().WithoutOffer()
-			suspect, _ = suspect.With(Crash{Fingerprint: deadly, Backend: fmt.Sprint("trial-", trials), Known: suspect.Crashes, Of: suspect.firstOf()})
+	for _, test := range cases {
+		suspect, trials := newCrashedSuspect(test.isKind, test.crashesPerRound...), 0
+		require.True(t, suspect.IsQuarantined(), test.name)
+		for suspect.TrialDelay(0) <= maxQuickTrialDelay {
+			suspect = suspect.WithTrialOffered().WithTrialTaken()
+			suspect, _ = suspect.WithCrash(Crash{Fingerprint: poisonRequest, Backend: fmt.Sprint("trial-", trials), Known: suspect.Crashes, Of: suspect.firstContent()})
 			trials++
 		}
-		require.Equal(t, one.trials, trials, one.name)
+		require.Equal(t, test.quickTrials, trials, test.name)
 	}
 }
 
-// soonTried is the longest wait for a trial of which there will be more.
-const soonTried = 12 * time.Second
+// maxQuickTrialDelay is an upper bound of the delay before a quick trial.
+const maxQuickTrialDelay = 12 * time.Second
 
-func (s Suspect) firstOf() Fingerprint {
+func (s Suspect) firstContent() Fingerprint {
 	if len(s.Of) == 0 {
 		return ""
 	}
 	return s.Of[0]
 }
 
-// TestLossOfAllHoldsNoKindBack: backends that fall together, by a loss of power, end under
-// different contents of a kind; it is held back once the next send ends one more.
-func TestLossOfAllHoldsNoKindBack(t *testing.T) {
-	require.False(t, fallen(true, 8).IsHeld())
-	require.False(t, fallen(true, 1, 1).IsHeld(), "two ends are fewer than the bound")
-	require.True(t, fallen(true, 8, 1).IsHeld())
+// TestSimultaneousCrashesDoNotQuarantineKind guards against quarantining a kind for a power loss: it
+// takes a later crash as well.
+func TestSimultaneousCrashesDoNotQuarantineKind(t *testing.T) {
+	require.False(t, newCrashedSuspect(true, 8).IsQuarantined())
+	require.False(t, newCrashedSuspect(true, 1, 1).IsQuarantined(), "two crashes are below the threshold")
+	require.True(t, newCrashedSuspect(true, 8, 1).IsQuarantined())
 }
 
-// TestContentThatEndedManyWaitsLong: the bound leaves nothing for it, however often it was tried.
-func TestContentThatEndedManyWaitsLong(t *testing.T) {
-	require.LessOrEqual(t, fallen(false, 3, 1, 1).TrialWait(0), soonTried)
-	require.GreaterOrEqual(t, fallen(false, 3, 1, 1, 1).TrialWait(0), rareTrial)
+// TestExhaustedContentIsRarelyTried verifies that a content whose send budget is exhausted has no quick
+// trials, even if none was made before.
+func TestExhaustedContentIsRarelyTried(t *testing.T) {
+	require.LessOrEqual(t, newCrashedSuspect(false, 3, 1, 1).TrialDelay(0), maxQuickTrialDelay)
+	require.GreaterOrEqual(t, newCrashedSuspect(false, 3, 1, 1, 1).TrialDelay(0), exhaustedTrialDelay)
 }
 
-// TestEarlyEndsAreOfKinds: a content comes at any process, and leaves what it can to races.
-func TestEarlyEndsAreOfKinds(t *testing.T) {
-	content := fallen(false, 1, 1, 1, 1, 1).WithOffer().WithoutOffer()
-	require.GreaterOrEqual(t, content.TrialWait(1), rareTrial)
-	kind := fallen(true, 1, 1, 1, 1, 1, 1).WithOffer().WithoutOffer()
-	require.GreaterOrEqual(t, kind.TrialWait(0), rareTrial)
-	require.LessOrEqual(t, kind.TrialWait(1), soonTried)
+// TestExemptCrashesApplyToKindsOnly verifies that exempt crashes do not extend a content's budget.
+func TestExemptCrashesApplyToKindsOnly(t *testing.T) {
+	content := newCrashedSuspect(false, 1, 1, 1, 1, 1).WithTrialOffered().WithTrialTaken()
+	require.GreaterOrEqual(t, content.TrialDelay(1), exhaustedTrialDelay)
+	kind := newCrashedSuspect(true, 1, 1, 1, 1, 1, 1).WithTrialOffered().WithTrialTaken()
+	require.GreaterOrEqual(t, kind.TrialDelay(0), exhaustedTrialDelay)
+	require.LessOrEqual(t, kind.TrialDelay(1), maxQuickTrialDelay)
 }
 
-// TestTrialThatNobodyTellsOfCountsToo: one whose sender was lost is not made up for.
-func TestTrialThatNobodyTellsOfCountsToo(t *testing.T) {
-	for _, kind := range []bool{false, true} {
-		suspect := fallen(kind, 1, 1, 1)
-		for range suspect.soonTrials() {
-			require.LessOrEqual(t, suspect.TrialWait(0), soonTried)
-			suspect = suspect.WithOffer().WithoutOffer()
+// TestUnreportedTrialsCount verifies that a trial without a reported result still uses up the budget.
+func TestUnreportedTrialsCount(t *testing.T) {
+	for _, isKind := range []bool{false, true} {
+		suspect := newCrashedSuspect(isKind, 1, 1, 1)
+		for range suspect.quickTrials() {
+			require.LessOrEqual(t, suspect.TrialDelay(0), maxQuickTrialDelay)
+			suspect = suspect.WithTrialOffered().WithTrialTaken()
 		}
-		require.GreaterOrEqual(t, suspect.TrialWait(0), rareTrial)
+		require.GreaterOrEqual(t, suspect.TrialDelay(0), exhaustedTrialDelay)
 	}
 }
--- a/server/demand.go
+++ b/server/demand.go
@@ -49,7 +49,7 @@
 // neededFrom tells the services that the task needs. It changes nothing: no trial is asked for by a
 // sample that is only counted.
 func (t *tenure) neededFrom(task *scheduler.Task) ([]string, bool) {
-	if task.State == scheduler.Waiting && !t.guard.IsIdle() && t.guard.JudgeSubject(task.Subject()).Held {
+	if task.State == scheduler.Waiting && !t.guard.IsIdle() && t.guard.CheckSubject(task.Subject()).Quarantined {
 		return nil, false
 	}
 	return t.routeOf(task)
--- a/server/demand_test.go
+++ b/server/demand_test.go
@@ -22,9 +22,9 @@
 	task := &scheduler.Task{Step: &ledger.Step{ID: "step", Host: "h"}, Sample: sample}
 	content := scheduler.SubjectOf("h", "", sample).Content
 	suspects := map[quarantine.Fingerprint]quarantine.Suspect{
-		content: {Fingerprint: content, Crashes: quarantine.HeldFrom, Offered: true},
+		content: {Fingerprint: content, Crashes: quarantine.CrashThreshold, Offered: true},
 	}
-	tenured.guard = quarantine.NewGuard(quarantine.Sharing{
+	tenured.guard = quarantine.NewGuard(quarantine.SharedRecord{
 		Suspects:  func() map[quarantine.Fingerprint]quarantine.Suspect { return suspects },
 		TakeTrial: func(context.Context, quarantine.Fingerprint) bool { return true },
 	}, clock.Now)
--- a/server/followed_run.go
+++ b/server/followed_run.go
@@ -48,7 +48,7 @@
 		stall = loadStall
 	}
 	verdict, trial := t.clearedFor(task)
-	task.KindSuspected = verdict.KindKnown > 0
+	task.KindSuspected = verdict.KnownKindCrashes > 0
 	return &followedRun{
 		verdict: verdict, trial: trial, tenure: t, assignment: assignment, context: ctx, cancel: cancel, progress: progress,
 		silence: time.AfterFunc(stall, cancel), stall: stall,
@@ -90,12 +90,12 @@
 	}
 	switch {
 	case end == scheduler.Complete && !guard.IsIdle():
-		guard.NoteServed(subject())
+		guard.RecordResponse(subject())
 	case f.trial && (end == scheduler.Rejected || end == scheduler.Elsewhere || end == scheduler.Unreachable):
 		// It has not run: the trial is still to come.
 		guard.Permit(subject().Content)
 	case end == scheduler.Crashed:
-		guard.NoteEnd(subject(), f.assignment.Backend.ID, f.verdict)
+		guard.RecordCrash(subject(), f.assignment.Backend.ID, f.verdict)
 	}
 }
 
--- a/server/held_sample.go
+++ b/server/held_sample.go
@@ -16,15 +16,15 @@
 	if t.guard.IsIdle() {
 		return false
 	}
-	verdict := t.guard.JudgeSubject(task.Subject())
-	if !verdict.Held {
+	verdict := t.guard.CheckSubject(task.Subject())
+	if !verdict.Quarantined {
 		return false
 	}
 	if !t.heldBack[verdict.Subject.Content] {
 		t.heldBack[verdict.Subject.Content] = true
 		event.SampleHeldBack.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("content", string(verdict.Fingerprint)).Send()
 	}
-	if verdict.Offered && !t.asking[verdict.Fingerprint] {
+	if verdict.TrialOffered && !t.asking[verdict.Fingerprint] {
 		t.asking[verdict.Fingerprint] = true
 		go t.askForTrial(verdict)
 	}
@@ -38,8 +38,8 @@
 		task.KindSuspected = false
 		return false
 	}
-	verdict := t.guard.JudgeSubject(task.Subject())
-	task.KindSuspected = verdict.KindKnown > 0
+	verdict := t.guard.CheckSubject(task.Subject())
+	task.KindSuspected = verdict.KnownKindCrashes > 0
 	return verdict.IsSuspect() && t.forwarder.Spares(t.catalog, services)
 }
 
@@ -59,7 +59,7 @@
 	}
 	subject := task.Subject()
 	trial = t.guard.UsePermit(subject.Content)
-	return t.guard.JudgeSubject(subject), trial
+	return t.guard.CheckSubject(subject), trial
 }
 
 // guardedEngine runs samples and learns which of them crash the engines that run them. It
@@ -73,14 +73,14 @@
 // judge returns what is known of the sample that is to run. The leader may know of more crashes
 // than the runner, and the other way round.
 func (g *guardedEngine) judge(request runner.Request, subject quarantine.Subject) quarantine.Verdict {
-	verdict := g.guard.JudgeSubject(subject)
-	verdict.Known, verdict.KindKnown = max(verdict.Known, request.Known), max(verdict.KindKnown, request.KindKnown)
+	verdict := g.guard.CheckSubject(subject)
+	verdict.KnownCrashes, verdict.KnownKindCrashes = max(verdict.KnownCrashes, request.Known), max(verdict.KnownKindCrashes, request.KindKnown)
 	return verdict
 }
 
 // Run implements runner.Engine. A run that breaks off by the engine's end has crashed.
 func (g *guardedEngine) Run(ctx context.Context, request runner.Request, each func(runner.Event)) scheduler.RunEnd {
-	verdict := quarantine.Verdict{Known: request.Known, KindKnown: request.KindKnown}
+	verdict := quarantine.Verdict{KnownCrashes: request.Known, KnownKindCrashes: request.KindKnown}
 	if !g.guard.IsIdle() {
 		verdict = g.judge(request, scheduler.SubjectOf(request.Host, request.Tenant, request.Sample))
 	}
@@ -88,6 +88,6 @@
 	if end != scheduler.Broken || ctx.Err() != nil || !g.hasEnded(ctx, request.Backend) {
 		return end
 	}
-	g.guard.NoteEnd(scheduler.SubjectOf(request.Host, request.Tenant, request.Sample), request.Backend.ID, verdict)
+	g.guard.RecordCrash(scheduler.SubjectOf(request.Host, request.Tenant, request.Sample), request.Backend.ID, verdict)
 	return scheduler.Crashed
 }
--- a/server/held_sample_test.go
+++ b/server/held_sample_test.go
@@ -30,20 +30,20 @@
 	}
 	subject := scheduler.SubjectOf(request.Host, request.Tenant, request.Sample)
 	for _, runnerFirst := range []bool{true, false} {
-		leader, follower := quarantine.NewGuard(quarantine.Sharing{}, clock.Now), quarantine.NewGuard(quarantine.Sharing{}, clock.Now)
-		leader.NoteEnd(quarantine.Subject{Content: "one", Kind: subject.Kind}, "first", quarantine.Verdict{})
-		follower.NoteEnd(quarantine.Subject{Content: "other", Kind: "other"}, "third", quarantine.Verdict{})
-		told := leader.TakeNews().Crashes
-		verdict := leader.JudgeSubject(subject)
-		request.Known, request.KindKnown = verdict.Known, verdict.KindKnown
+		leader, follower := quarantine.NewGuard(quarantine.SharedRecord{}, clock.Now), quarantine.NewGuard(quarantine.SharedRecord{}, clock.Now)
+		leader.RecordCrash(quarantine.Subject{Content: "one", Kind: subject.Kind}, "first", quarantine.Verdict{})
+		follower.RecordCrash(quarantine.Subject{Content: "other", Kind: "other"}, "third", quarantine.Verdict{})
+		told := leader.TakeReport().Crashes
+		verdict := leader.CheckSubject(subject)
+		request.Known, request.KindKnown = verdict.KnownCrashes, verdict.KnownKindCrashes
 		hasEnded := func(context.Context, directory.Backend) bool { return true }
 		engine := guardedEngine{engine: brokenEngine{}, guard: follower, hasEnded: hasEnded}
 		require.Equal(t, scheduler.Crashed, engine.Run(context.Background(), request, func(runner.Event) {}))
-		leader.NoteEnd(subject, "second", verdict)
+		leader.RecordCrash(subject, "second", verdict)
 		if runnerFirst {
-			told = append(told, follower.TakeNews().Crashes...)
+			told = append(told, follower.TakeReport().Crashes...)
 		}
-		told = append(append(told, leader.TakeNews().Crashes...), follower.TakeNews().Crashes...)
+		told = append(append(told, leader.TakeReport().Crashes...), follower.TakeReport().Crashes...)
 		machine := directory.NewMachine()
 		machine.Apply(directory.Command{Crashes: told}.Encode())
 		suspect, _, _ := machine.Suspect(subject.Kind)
@@ -54,9 +54,9 @@
 // TestRunnerTellsACrashAsItKnewItself: a new leader may know less than the runner.
 func TestRunnerTellsACrashAsItKnewItself(t *testing.T) {
 	subject := quarantine.Subject{Content: "one", Kind: "kind"}
-	guard := quarantine.NewGuard(quarantine.Sharing{}, clock.Now)
-	guard.NoteEnd(subject, "first", quarantine.Verdict{})
+	guard := quarantine.NewGuard(quarantine.SharedRecord{}, clock.Now)
+	guard.RecordCrash(subject, "first", quarantine.Verdict{})
 	engine := guardedEngine{guard: guard}
 	verdict := engine.judge(runner.Request{}, subject)
-	require.Equal(t, []int{1, 1}, []int{verdict.Known, verdict.KindKnown})
+	require.Equal(t, []int{1, 1}, []int{verdict.KnownCrashes, verdict.KnownKindCrashes})
 }
--- a/server/quarantine.go
+++ b/server/quarantine.go
@@ -33,7 +33,7 @@
 
 // newGuard returns a process's guard, which goes by the directory's record.
 func newGuard(watcher *Watcher) *quarantine.Guard {
-	return quarantine.NewGuard(quarantine.Sharing{
+	return quarantine.NewGuard(quarantine.SharedRecord{
 		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return watcher.Catalog().Suspects },
 		TakeTrial: func(ctx context.Context, fingerprint quarantine.Fingerprint) bool {
 			answer, err := watcher.call(ctx, directoryCall{Quarantine: &quarantineCall{TakeTrial: fingerprint}})
@@ -53,7 +53,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-guard.Told:
+		case <-guard.ReportReady:
 		}
 		sleep(ctx, crashGather)
 		if !tellNews(ctx, guard, watcher) {
@@ -65,7 +65,7 @@
 // tellNews tells the directory what there is to tell, and whether it was taken. It is also what
 // a process does last at a planned stop.
 func tellNews(ctx context.Context, guard *quarantine.Guard, watcher *Watcher) bool {
-	news := guard.TakeNews()
+	news := guard.TakeReport()
 	if news.IsEmpty() {
 		return true
 	}
@@ -74,7 +74,7 @@
 	_, err := watcher.call(limited, directoryCall{Quarantine: &quarantineCall{Crashes: news.Crashes, Answered: news.Answered}})
 	if err != nil {
 		event.CrashesUntold.On(watcher.logger).Uint("crashes", uint64(len(news.Crashes))).Err(err).Send()
-		guard.ReturnNews(news)
+		guard.RequeueReport(news)
 	}
 	return err == nil
 }
@@ -113,7 +113,7 @@
 	d.replica.Do(func() { suspect, _, _ = d.machine.Suspect(crash.Fingerprint) })
 	event.CrashTold.On(d.logger).Str("content", string(crash.Fingerprint)).Str("backend", crash.Backend).
 		Uint("known", uint64(crash.Known)).Uint("crashes", uint64(suspect.Crashes)).Uint("ended", uint64(len(suspect.Ended))).
-		Uint("held", boolToUint(suspect.IsHeld())).Send()
+		Uint("held", boolToUint(suspect.IsQuarantined())).Send()
 }
 
 // suspectClock remembers since when this leader has known each suspect as it is. A new leader
@@ -150,12 +150,12 @@
 
 // noteEnds takes in how many backends have ended under the suspect, which was known before.
 func (s *suspectSince) noteEnds(now time.Time, before, suspect quarantine.Suspect) {
-	_, had := before.EndsAfterThird()
-	ends, third := suspect.EndsAfterThird()
+	_, had := before.CrashesAfterThreshold()
+	ends, third := suspect.CrashesAfterThreshold()
 	if third && !had {
 		s.thirdAt = now
 	}
-	if !s.thirdAt.IsZero() && now.Sub(s.thirdAt) <= quarantine.EarlyTime {
+	if !s.thirdAt.IsZero() && now.Sub(s.thirdAt) <= quarantine.CrashGracePeriod {
 		s.early = ends
 	}
 }
@@ -182,9 +182,9 @@
 		known[fingerprint] = since
 		at := directory.SuspectAt{Fingerprint: fingerprint, Revision: one.revision}
 		switch age := now.Sub(since.at); {
-		case !one.suspect.IsHeld() && age >= quarantine.ForgetAfter:
+		case !one.suspect.IsQuarantined() && age >= quarantine.ForgetAfter:
 			forget = append(forget, at)
-		case one.suspect.IsHeld() && !one.suspect.Offered && age >= one.suspect.TrialWait(since.uncounted()):
+		case one.suspect.IsQuarantined() && !one.suspect.Offered && age >= one.suspect.TrialDelay(since.uncounted()):
 			try = append(try, at)
 		}
 	}
--- a/server/quarantine_bound_test.go
+++ b/server/quarantine_bound_test.go
@@ -102,7 +102,7 @@
 }
 
 func (w *boundWorld) newGuard() *quarantine.Guard {
-	return quarantine.NewGuard(quarantine.Sharing{
+	return quarantine.NewGuard(quarantine.SharedRecord{
 		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return w.view.Suspects },
 		TakeTrial: func(_ context.Context, fingerprint quarantine.Fingerprint) bool {
 			return w.apply(directory.Command{TakeTrial: fingerprint}).Granted
@@ -123,11 +123,11 @@
 
 // tell has the directory hear a process's news.
 func (w *boundWorld) tell(guard *quarantine.Guard) {
-	news := guard.TakeNews()
+	news := guard.TakeReport()
 	w.apply(directory.Command{Crashes: news.Crashes, Answered: news.Answered})
 	for _, crash := range news.Crashes {
 		suspect, _, _ := w.machine.Suspect(crash.Fingerprint)
-		if _, third := suspect.EndsAfterThird(); third && w.thirdAt[crash.Fingerprint].IsZero() {
+		if _, third := suspect.CrashesAfterThreshold(); third && w.thirdAt[crash.Fingerprint].IsZero() {
 			w.thirdAt[crash.Fingerprint] = w.now
 		}
 	}
@@ -146,21 +146,21 @@
 	if sample.run != nil {
 		return
 	}
-	verdict := w.leader.JudgeSubject(sample.subject)
-	if verdict.Held && verdict.Offered && w.leader.TakeTrial(context.Background(), verdict.Fingerprint) {
+	verdict := w.leader.CheckSubject(sample.subject)
+	if verdict.Quarantined && verdict.TrialOffered && w.leader.TakeTrial(context.Background(), verdict.Fingerprint) {
 		w.leader.Permit(sample.subject.Content)
 		w.learn()
-		verdict = w.leader.JudgeSubject(sample.subject)
+		verdict = w.leader.CheckSubject(sample.subject)
 	}
-	if verdict.Held || verdict.KindKnown > 0 && w.triesKind(sample.subject.Kind) {
+	if verdict.Quarantined || verdict.KnownKindCrashes > 0 && w.triesKind(sample.subject.Kind) {
 		return
 	}
 	trial := w.leader.UsePermit(sample.subject.Content)
 	w.count(sample.subject, trial)
-	run := &boundRun{sample: sample, leaderKnew: verdict, suspected: verdict.KindKnown > 0}
+	run := &boundRun{sample: sample, leaderKnew: verdict, suspected: verdict.KnownKindCrashes > 0}
 	run.runner = rapid.SampledFrom(w.runners).Draw(w.t, "runner")
 	engine := guardedEngine{guard: run.runner}
-	run.runnerKnew = engine.judge(runner.Request{Known: verdict.Known, KindKnown: verdict.KindKnown}, sample.subject)
+	run.runnerKnew = engine.judge(runner.Request{Known: verdict.KnownCrashes, KindKnown: verdict.KnownKindCrashes}, sample.subject)
 	run.engine = rapid.SampledFrom(w.engines).Draw(w.t, "engine")
 	run.engine.runs = append(run.engine.runs, run)
 	sample.run = run
@@ -179,12 +179,12 @@
 // count holds the send to the bound.
 func (w *boundWorld) count(subject quarantine.Subject, trial bool) {
 	content, kind := w.view.Suspects[subject.Content], w.view.Suspects[subject.Kind]
-	require.False(w.t, content.Crashes >= quarantine.HeldFrom && !trial, "%s was sent after its third end", subject.Content)
+	require.False(w.t, content.Crashes >= quarantine.CrashThreshold && !trial, "%s was sent after its third end", subject.Content)
 	for _, suspect := range []quarantine.Suspect{content, kind} {
 		if w.now.Sub(w.thirdAt[suspect.Fingerprint]) <= boundTime {
 			continue
 		}
-		if len(suspect.Ended) >= quarantine.HeldFrom && (suspect.Fingerprint == subject.Content || len(suspect.Of) > 1) {
+		if len(suspect.Ended) >= quarantine.CrashThreshold && (suspect.Fingerprint == subject.Content || len(suspect.Of) > 1) {
 			w.after[suspect.Fingerprint]++
 			require.LessOrEqual(w.t, w.after[suspect.Fingerprint], boundSends, "%v", suspect)
 		}
@@ -195,8 +195,8 @@
 func (w *boundWorld) end(engine *boundEngine) {
 	for _, run := range engine.runs {
 		run.sample.run = nil
-		run.runner.NoteEnd(run.sample.subject, engine.id, run.runnerKnew)
-		w.leader.NoteEnd(run.sample.subject, engine.id, run.leaderKnew)
+		run.runner.RecordCrash(run.sample.subject, engine.id, run.runnerKnew)
+		w.leader.RecordCrash(run.sample.subject, engine.id, run.leaderKnew)
 	}
 	engine.runs, engine.id = nil, w.newEngine().id
 	told := append([]*quarantine.Guard{w.leader}, w.runners...)
@@ -225,7 +225,7 @@
 		}
 		engine.runs = append(engine.runs[:position:position], engine.runs[position+1:]...)
 		run.sample.run = nil
-		w.leader.NoteServed(run.sample.subject)
+		w.leader.RecordResponse(run.sample.subject)
 		w.tell(w.leader)
 		return
 	}
@@ -239,8 +239,8 @@
 		if sample.run == nil {
 			continue
 		}
-		sample.run.leaderKnew = w.leader.JudgeSubject(sample.subject)
-		sample.run.suspected = sample.run.leaderKnew.KindKnown > 0
+		sample.run.leaderKnew = w.leader.CheckSubject(sample.subject)
+		sample.run.suspected = sample.run.leaderKnew.KnownKindCrashes > 0
 	}
 }
 
--- a/server/quarantine_simulation_test.go
+++ b/server/quarantine_simulation_test.go
@@ -158,7 +158,7 @@
 	g.life++
 	g.startedAt = s.now
 	g.view, g.touchedFrom = directory.NewCatalog(), s.now+simContact
-	g.guard = quarantine.NewGuard(quarantine.Sharing{
+	g.guard = quarantine.NewGuard(quarantine.SharedRecord{
 		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return g.view.Suspects },
 		TakeTrial: func(_ context.Context, fingerprint quarantine.Fingerprint) bool {
 			return s.hears(g) && s.apply(directory.Command{TakeTrial: fingerprint}).Granted
@@ -188,18 +188,18 @@
 		if g.life != life {
 			return
 		}
-		if news := g.guard.TakeNews(); s.hears(g) {
+		if news := g.guard.TakeReport(); s.hears(g) {
 			s.apply(directory.Command{Crashes: news.Crashes, Answered: news.Answered})
 			s.noteKnown(news)
 		} else if !news.IsEmpty() {
-			g.guard.ReturnNews(news)
+			g.guard.RequeueReport(news)
 		}
 		s.tell(g, life)
 	})
 }
 
 // noteKnown notes which backends' ends the directory has taken in.
-func (s *simulation) noteKnown(news quarantine.News) {
+func (s *simulation) noteKnown(news quarantine.Report) {
 	for _, crash := range news.Crashes {
 		if _, known := s.knownAt[crash.Backend]; !known {
 			s.knownAt[crash.Backend] = s.now
@@ -276,12 +276,12 @@
 func (s *simulation) crash(b *simBackend) {
 	b.up = false
 	s.crashes++
-	if s.crashes == quarantine.HeldFrom {
+	if s.crashes == quarantine.CrashThreshold {
 		s.thirdAt = s.now
 	}
 	for run := range b.runs {
 		if run.gateway.life == run.life {
-			run.gateway.guard.NoteEnd(run.subject, b.id, run.verdict)
+			run.gateway.guard.RecordCrash(run.subject, b.id, run.verdict)
 		}
 		s.after(1, func() { run.ended(false) })
 	}
@@ -290,19 +290,19 @@
 
 // send sends a request to up to simAttempts backends, and calls done with whether it is served.
 func (s *simulation) send(g *simGateway, subject quarantine.Subject, left int, trial bool, done func(bool)) {
-	verdict := g.guard.JudgeSubject(subject)
+	verdict := g.guard.CheckSubject(subject)
 	spared := forward.SuspectRoom(g.view, g.guard, simService) <= 0
-	if verdict.Held && verdict.Offered && !trial && !spared {
+	if verdict.Quarantined && verdict.TrialOffered && !trial && !spared {
 		if trial = g.guard.TakeTrial(context.Background(), verdict.Fingerprint); trial {
 			left = 1
 		}
 	}
 	b := s.choose(g, verdict.IsSuspect())
-	if verdict.Held && !trial || left == 0 || !b.up || verdict.IsSuspect() && spared {
+	if verdict.Quarantined && !trial || left == 0 || !b.up || verdict.IsSuspect() && spared {
 		done(false)
 		return
 	}
-	if away, inTouch := s.mustKnow(g); verdict.IsSuspect() && inTouch && away >= quarantine.MostAway(simBackends) {
+	if away, inTouch := s.mustKnow(g); verdict.IsSuspect() && inTouch && away >= quarantine.MaxUnavailable(simBackends) {
 		s.overdrawn++
 	}
 	run := &simRun{gateway: g, life: g.life, subject: subject, verdict: verdict}
@@ -312,7 +312,7 @@
 			return
 		}
 		if answered {
-			g.guard.NoteServed(subject)
+			g.guard.RecordResponse(subject)
 			done(true)
 			return
 		}
@@ -440,7 +440,7 @@
 	for seed := range *simSeeds {
 		s := newSimulation(seed)
 		s.runUntil(simEnd + simPatience)
-		require.GreaterOrEqual(t, s.crashes, quarantine.HeldFrom, "seed %d", seed)
+		require.GreaterOrEqual(t, s.crashes, quarantine.CrashThreshold, "seed %d", seed)
 		require.LessOrEqual(t, s.late, 3, "seed %d: %d ended in all", seed, s.crashes)
 		require.Zero(t, s.overdrawn, "seed %d", seed)
 		require.Empty(t, s.unserved, "seed %d", seed)
--- a/server/quarantine_test.go
+++ b/server/quarantine_test.go
@@ -14,7 +14,7 @@
 // suspect as it is; a new leader counts anew, and never too early.
 func TestSuspectsAreTriedAndForgottenInTime(t *testing.T) {
 	now := time.Now()
-	held := quarantine.Suspect{Fingerprint: "held", Crashes: quarantine.HeldFrom}
+	held := quarantine.Suspect{Fingerprint: "held", Crashes: quarantine.CrashThreshold}
 	doubtful := quarantine.Suspect{Fingerprint: "doubtful", Crashes: 1}
 	suspects := map[quarantine.Fingerprint]suspectAt{
 		"held": {suspect: held, revision: 1}, "doubtful": {suspect: doubtful, revision: 2},
@@ -23,12 +23,12 @@
 	try, forget := clock.due(now, suspects)
 	require.Empty(t, try)
 	require.Empty(t, forget)
-	now = now.Add(held.TrialWait(0))
+	now = now.Add(held.TrialDelay(0))
 	try, forget = clock.due(now, suspects)
 	require.Len(t, try, 1)
 	require.Equal(t, quarantine.Fingerprint("held"), try[0].Fingerprint)
 	require.Empty(t, forget)
-	suspects["held"] = suspectAt{suspect: held.WithOffer(), revision: 3}
+	suspects["held"] = suspectAt{suspect: held.WithTrialOffered(), revision: 3}
 	try, _ = clock.due(now.Add(time.Hour), suspects)
 	require.Empty(t, try, "a trial that nobody has taken is offered already")
 	_, forget = clock.due(now.Add(quarantine.ForgetAfter), suspects)
@@ -42,7 +42,7 @@
 // TestEarlyEndsWereSentEarly: what ended within the time, as the leader's reviews see it, was sent
 // before the users count.
 func TestEarlyEndsWereSentEarly(t *testing.T) {
-	require.Less(t, quarantine.EarlyTime+2*reviewInterval, boundTime)
+	require.Less(t, quarantine.CrashGracePeriod+2*reviewInterval, boundTime)
 }
 
 // TestEndsRightAfterTheThirdLeaveTheBoundWhole: a kind that ended one more backend within two seconds
@@ -56,7 +56,7 @@
 		trials    int
 	}{
 		{name: "at once", after: time.Second, trials: 3},
-		{name: "later", after: quarantine.EarlyTime + time.Second, trials: 2},
+		{name: "later", after: quarantine.CrashGracePeriod + time.Second, trials: 2},
 		{name: "a new leader", after: time.Second, newLeader: true, trials: 2},
 	}
 	for _, one := range cases {
@@ -71,7 +71,7 @@
 			crash := quarantine.Crash{
 				Fingerprint: "kind", Backend: fmt.Sprint(revision), Known: suspect.Crashes, Of: quarantine.Fingerprint(fmt.Sprint(revision / 4)),
 			}
-			suspect, _ = suspect.With(crash)
+			suspect, _ = suspect.WithCrash(crash)
 			due()
 		}
 		end()
@@ -87,7 +87,7 @@
 			now = now.Add(time.Second)
 			if due() {
 				trials++
-				suspect = suspect.WithOffer().WithoutOffer()
+				suspect = suspect.WithTrialOffered().WithTrialTaken()
 				end()
 			}
 		}
--- a/server/quarantine_trace_test.go
+++ b/server/quarantine_trace_test.go
@@ -38,13 +38,13 @@
 
 // judge judges the sample, for which an offered trial is taken.
 func (s *script) judge(subject quarantine.Subject) quarantine.Verdict {
-	verdict := s.leader.JudgeSubject(subject)
-	if !verdict.Held || !verdict.Offered || !s.leader.TakeTrial(context.Background(), verdict.Fingerprint) {
+	verdict := s.leader.CheckSubject(subject)
+	if !verdict.Quarantined || !verdict.TrialOffered || !s.leader.TakeTrial(context.Background(), verdict.Fingerprint) {
 		return verdict
 	}
 	s.leader.Permit(subject.Content)
 	s.learn()
-	return s.leader.JudgeSubject(subject)
+	return s.leader.CheckSubject(subject)
 }
 
 // send sends the sample of the number by a runner to an engine, and tells whether it may be.
@@ -54,14 +54,14 @@
 		return false
 	}
 	verdict := s.judge(sample.subject)
-	if verdict.Held || verdict.KindKnown > 0 && s.triesKind(sample.subject.Kind) {
+	if verdict.Quarantined || verdict.KnownKindCrashes > 0 && s.triesKind(sample.subject.Kind) {
 		return false
 	}
 	s.count(sample.subject, s.leader.UsePermit(sample.subject.Content))
 	guarded := guardedEngine{guard: s.runners[by]}
 	sample.run = &boundRun{
-		sample: sample, engine: engine, runner: s.runners[by], leaderKnew: verdict, suspected: verdict.KindKnown > 0,
-		runnerKnew: guarded.judge(runner.Request{Known: verdict.Known, KindKnown: verdict.KindKnown}, sample.subject),
+		sample: sample, engine: engine, runner: s.runners[by], leaderKnew: verdict, suspected: verdict.KnownKindCrashes > 0,
+		runnerKnew: guarded.judge(runner.Request{Known: verdict.KnownCrashes, KindKnown: verdict.KnownKindCrashes}, sample.subject),
 	}
 	engine.runs = append(engine.runs, sample.run)
 	return true
@@ -72,8 +72,8 @@
 	engine := s.engines[number]
 	for _, run := range engine.runs {
 		run.sample.run = nil
-		run.runner.NoteEnd(run.sample.subject, engine.id, run.runnerKnew)
-		s.leader.NoteEnd(run.sample.subject, engine.id, run.leaderKnew)
+		run.runner.RecordCrash(run.sample.subject, engine.id, run.runnerKnew)
+		s.leader.RecordCrash(run.sample.subject, engine.id, run.leaderKnew)
 	}
 	engine.runs, engine.id = nil, s.newEngine().id
 	tellers := append([]*quarantine.Guard{s.leader}, s.runners...)
@@ -106,7 +106,7 @@
 	s.pass(pause)
 	require.True(s.t, s.send(0, 0, 1), "the first after the third end")
 	s.ends(1)
-	require.True(s.t, s.kind().IsHeld())
+	require.True(s.t, s.kind().IsQuarantined())
 }
 
 // requireSpent has the deadly samples sent as soon and as often as they may be, each of which ends its
@@ -234,7 +234,7 @@
 		s.pass(pause)
 		require.NotZero(s.t, s.thirdAt[kind])
 		s.engines[3].runs, sound.run = nil, nil
-		s.leader.NoteServed(sound.subject)
+		s.leader.RecordResponse(sound.subject)
 		s.tell(s.leader)
 		require.Len(s.t, s.kind().Ended, 3, "its news is still to come")
 		require.True(s.t, s.send(0, 0, 0))
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -135,7 +135,7 @@
 		suspects, held := 0, 0
 		d.machine.Suspects(func(suspect quarantine.Suspect, _ uint64) {
 			suspects++
-			if suspect.IsHeld() {
+			if suspect.IsQuarantined() {
 				held++
 			}
 		})
--- a/server/run.go
+++ b/server/run.go
@@ -40,7 +40,7 @@
 	request := runner.Request{
 		Backend: assignment.Backend, Step: task.Step.ID, Host: task.Step.Host, Tenant: task.Step.Tenant,
 		Sample: task.Sample, Text: task.Text, DecidedAt: clock.Now(),
-		Known: followed.verdict.Known, KindKnown: followed.verdict.KindKnown,
+		Known: followed.verdict.KnownCrashes, KindKnown: followed.verdict.KnownKindCrashes,
 	}
 	go followed.run(func(ctx context.Context) scheduler.RunEnd { return link.Run(ctx, request, followed.take) })
 }
--- a/server/score.go
+++ b/server/score.go
@@ -110,7 +110,7 @@
 		ID: reward.ID, StableID: true, Method: http.MethodPost, Host: reward.Host, Target: reward.Path,
 		Header: http.Header{}, Body: reward.Body, Deadline: clock.Now().Add(timeout),
 	}
-	if verdict := t.guard.JudgeContent(request.Content()); verdict.KindKnown > 0 {
+	if verdict := t.guard.CheckContent(request.Content()); verdict.KnownKindCrashes > 0 {
 		kind := verdict.Subject.Kind
 		if !t.turns.take(kind) {
 			return forward.Result{Reason: forward.Postponed}
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -154,7 +154,7 @@
 	response, err := http.Get("http://" + served.Addr().String())
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	store.executor.guard.NoteCrash("content", "backend", 0)
+	store.executor.guard.RecordFingerprintCrash("content", "backend", 0)
 	store.finish(httpServer)
 	require.False(t, <-directory.reachable)
 }
