--- a/directory/command.go
+++ b/directory/command.go
@@ -31,7 +31,7 @@
 	FixUsage   int64          `cbor:"10,keyasint,omitempty"`
 	ToldUsage  int64          `cbor:"11,keyasint,omitempty"`
 	// Act says that its holder is about to carry out a duty.
-	Act *duty.Act `cbor:"12,keyasint,omitempty"`
+	Act *duty.Action `cbor:"12,keyasint,omitempty"`
 	// Crashes and Answered are what processes tell of requests that may crash backends.
 	Crashes  []quarantine.Crash       `cbor:"13,keyasint,omitempty"`
 	Answered []quarantine.Fingerprint `cbor:"14,keyasint,omitempty"`
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -98,8 +98,8 @@
 		Command{CountUsage: []usage.Totals{{Source: "gateway-3", Window: 4, Counts: usage.Counts{"tenant": 5}}}},
 		Command{ToldUsage: 4},
 		Command{CountUsage: []usage.Totals{{Source: "gateway-1", Window: 6, Counts: usage.Counts{"tenant": 9}}}},
-		Command{Act: &duty.Act{Subject: "duty", Holder: "directory-1", At: 12}},
-		Command{Act: &duty.Act{Subject: "duty", Holder: "directory-2", At: 15}},
+		Command{Act: &duty.Action{Subject: "duty", Holder: "directory-1", At: 12}},
+		Command{Act: &duty.Action{Subject: "duty", Holder: "directory-2", At: 15}},
 		Command{PutZone: &ReplicaZone{Address: "127.0.0.1:1", Zone: "a"}},
 		Command{PutZone: &ReplicaZone{Address: "127.0.0.1:1", Zone: "b"}},
 	)
--- a/directory/machine.go
+++ b/directory/machine.go
@@ -73,9 +73,9 @@
 	Gone map[string]uint64 `cbor:"13,keyasint"`
 	// Tenants are those of the configuration in force, by name.
 	Tenants map[string]*versioned[routing.Tenant] `cbor:"14,keyasint,omitempty"`
-	Usage   usage.Book                            `cbor:"15,keyasint"`
+	Usage   usage.WindowStore                     `cbor:"15,keyasint"`
 	// Acts are the newest acts of duties, by subject.
-	Acts map[string]duty.Act `cbor:"16,keyasint,omitempty"`
+	Acts map[string]duty.Action `cbor:"16,keyasint,omitempty"`
 	// Suspects are requests under which backends have ended.
 	Suspects map[quarantine.Fingerprint]*versioned[quarantine.Suspect] `cbor:"17,keyasint,omitempty"`
 	GoneBorn map[string]int64                                          `cbor:"18,keyasint,omitempty"`
@@ -118,7 +118,7 @@
 		Stores:   map[string]*versioned[Store]{},
 		Gone:     map[string]uint64{},
 		Tenants:  map[string]*versioned[routing.Tenant]{},
-		Acts:     map[string]duty.Act{},
+		Acts:     map[string]duty.Action{},
 		Suspects: map[quarantine.Fingerprint]*versioned[quarantine.Suspect]{},
 		GoneBorn: map[string]int64{},
 		Zones:    map[string]*versioned[string]{},
@@ -186,10 +186,10 @@
 func (m *Machine) Group() Group { return m.state.Group.Object }
 
 // Usage returns the record of usage. It must not be changed.
-func (m *Machine) Usage() *usage.Book { return &m.state.Usage }
+func (m *Machine) Usage() *usage.WindowStore { return &m.state.Usage }
 
 // Acts returns the newest acts of duties, by subject. It must not be changed.
-func (m *Machine) Acts() map[string]duty.Act { return m.state.Acts }
+func (m *Machine) Acts() map[string]duty.Action { return m.state.Acts }
 
 func objects[T any](known map[string]*versioned[T]) []T {
 	list := make([]T, 0, len(known))
@@ -237,7 +237,7 @@
 	case command.FixUsage != 0:
 		m.state.Usage.Fix(command.FixUsage)
 	case command.ToldUsage != 0:
-		m.state.Usage.Told(command.ToldUsage)
+		m.state.Usage.RemoveReport(command.ToldUsage)
 	case len(command.Batch) > 0:
 		for _, change := range command.Batch {
 			m.apply(change)
@@ -255,7 +255,7 @@
 	}
 	m.applySuspects(command)
 	for _, totals := range command.CountUsage {
-		m.state.Usage.Count(totals)
+		m.state.Usage.Add(totals)
 	}
 	return 0
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -10,7 +10,7 @@
 	_ "github.com/dillchute/dillchute/internal/fixedseed"
 )
 
-// TestQueueMatchesSortedList compares the queue with a list that is sorted anew.
+// TestQueueMatchesSortedList compares the queue with a sorted list.
 func TestQueueMatchesSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queue Queue
@@ -41,14 +41,14 @@
 			},
 			"remove": func(t *rapid.T) {
 				id := rapid.Uint64Range(1, next+1).Draw(t, "id")
-				present := false
-				for position, item := range model {
+				wasPresent := false
+				for index, item := range model {
 					if item.ID == id {
-						model, present = append(model[:position:position], model[position+1:]...), true
+						model, wasPresent = append(model[:index:index], model[index+1:]...), true
 						break
 					}
 				}
-				require.Equal(t, present, queue.Remove(id))
+				require.Equal(t, wasPresent, queue.Remove(id))
 			},
 			"": func(t *rapid.T) {
 				tokens := 0
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestQueueAgesLowPriorities(t *testing.T) {
+func TestQueueAgesLowPriorityItems(t *testing.T) {
 	var queue Queue
 	queue.Push(Item{ID: 1, Priority: 1, EnqueuedAt: 0})
 	queue.Push(Item{ID: 2, Priority: 2, EnqueuedAt: AgeingMillis - 1})
@@ -77,46 +77,46 @@
 	require.Equal(t, uint64(3), queue.Pop().ID)
 }
 
-// TestRetryBudgetIsAShareOfFirstAttempts: however the calls are ordered, the
-// retries taken stay within the share earned.
-func TestRetryBudgetIsAShareOfFirstAttempts(t *testing.T) {
+// TestRetryBudgetIsShareOfFirstAttempts verifies for any order of calls that retries stay within the
+// earned share.
+func TestRetryBudgetIsShareOfFirstAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var budget RetryBudget
 		percent := rapid.IntRange(0, 100).Draw(t, "percent")
 		earned, taken := 0, 0
-		for _, first := range rapid.SliceOfN(rapid.Bool(), 0, 500).Draw(t, "calls") {
-			if first {
-				budget.First(percent)
+		for _, isFirst := range rapid.SliceOfN(rapid.Bool(), 0, 500).Draw(t, "calls") {
+			if isFirst {
+				budget.RecordFirstAttempt(percent)
 				earned += percent
-			} else if budget.Take() {
+			} else if budget.TakeRetry() {
 				taken++
 			}
 			require.LessOrEqual(t, taken*100, earned)
 		}
-		for burst := 0; budget.Take(); burst++ {
+		for burst := 0; budget.TakeRetry(); burst++ {
 			require.Less(t, burst, maxRetryCredit)
 		}
 	})
 }
 
-// TestSeenTakesEachIdentityAtMostOnce: copies and late ones are never taken again,
-// and in-order ones are always taken.
-func TestSeenTakesEachIdentityAtMostOnce(t *testing.T) {
+// TestDuplicateFilterAcceptsEachIDOnce verifies that duplicate IDs are never accepted and ascending ones
+// always are.
+func TestDuplicateFilterAcceptsEachIDOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var seen Seen
-		taken := map[uint64]bool{}
+		var filter DuplicateFilter
+		accepted := map[uint64]bool{}
 		next := uint64(0)
 		for _, jump := range rapid.SliceOfN(rapid.Uint64Range(0, 6000), 1, 300).Draw(t, "jumps") {
 			if jump < 3000 {
 				next++
-				require.True(t, seen.Add(next))
-				taken[next] = true
+				require.True(t, filter.Add(next))
+				accepted[next] = true
 				continue
 			}
 			late := uint64(max(1, int64(next)-int64(jump-3000)))
-			if seen.Add(late) {
-				require.False(t, taken[late])
-				taken[late] = true
+			if filter.Add(late) {
+				require.False(t, accepted[late])
+				accepted[late] = true
 			}
 			next = max(next, late)
 		}
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -1,28 +1,26 @@
-// Package dispatch holds the parts of a node that decide what runs next: a
-// bounded queue ordered by priority with ageing, the retry budget, and the
-// record of identities seen. All are deterministic values without a clock.
+// Package dispatch decides which request a node runs next. It provides a priority queue with ageing, a
+// retry budget and a filter for duplicate IDs. All types are deterministic and read no clock.
 package dispatch
 
 import "container/heap"
 
-// AgeingMillis is how long a request waits until it ranks with requests of the
-// next higher priority that arrive then.
+// AgeingMillis is the waiting time after which a request ranks equal to a new request of the next
+// higher priority.
 const AgeingMillis = 2000
 
 // Item is a request in a Queue.
 type Item struct {
 	ID       uint64
 	Priority uint8
-	// EnqueuedAt is in milliseconds; an item that is put back keeps its own.
+	// EnqueuedAt is in milliseconds. It is kept when an item is put back.
 	EnqueuedAt int64
 	Tokens     int
 }
 
-// rank orders items. All items age at the same rate, so their order does not
-// change while they wait, and the rank can stand in for the current priority.
+// rank returns the sort key. All items age at the same rate, so their order does not change over time.
 func (i Item) rank() int64 { return i.EnqueuedAt - int64(i.Priority)*AgeingMillis }
 
-// Queue is a priority queue. The zero value is an empty queue.
+// Queue is a priority queue of items. The zero value is an empty queue.
 type Queue struct {
 	items  itemHeap
 	tokens int
@@ -48,19 +46,19 @@
 	return q.items[0], true
 }
 
-// Pop removes and returns the first item of a queue that is not empty.
+// Pop removes and returns the first item. The queue must not be empty.
 func (q *Queue) Pop() Item {
 	item := heap.Pop(&q.items).(Item)
 	q.tokens -= item.Tokens
 	return item
 }
 
-// Remove takes out the item with the ID and tells whether there was one.
+// Remove removes the item with the ID and reports whether there was one.
 func (q *Queue) Remove(id uint64) bool {
-	for position := range q.items {
-		if q.items[position].ID == id {
-			q.tokens -= q.items[position].Tokens
-			heap.Remove(&q.items, position)
+	for index := range q.items {
+		if q.items[index].ID == id {
+			q.tokens -= q.items[index].Tokens
+			heap.Remove(&q.items, index)
 			return true
 		}
 	}
@@ -82,8 +80,8 @@
 func (h *itemHeap) Push(item any) { *h = append(*h, item.(Item)) }
 
 func (h *itemHeap) Pop() any {
-	last := len(*h) - 1
-	item := (*h)[last]
-	*h = (*h)[:last]
+	lastIndex := len(*h) - 1
+	item := (*h)[lastIndex]
+	*h = (*h)[:lastIndex]
 	return item
 }
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -1,23 +1,22 @@
 package dispatch
 
-// maxRetryCredit bounds the retries that a quiet time may save up.
+// maxRetryCredit bounds the retries that can be saved up.
 const maxRetryCredit = 10
 
-// RetryBudget allows retries as a share of first attempts, so that the loss of
-// many engines does not multiply the load on those that are left. The zero
-// value allows none until first attempts have been counted.
+// RetryBudget limits retries to a share of first attempts, so that the loss of many engines does not
+// multiply the load on the remaining ones. The zero value allows none until first attempts are recorded.
 type RetryBudget struct {
-	// hundredths of a retry.
+	// credit is in hundredths of a retry.
 	credit int
 }
 
-// First counts a first attempt, which earns percent hundredths of a retry.
-func (b *RetryBudget) First(percent int) {
+// RecordFirstAttempt adds the percentage of a retry that a first attempt earns.
+func (b *RetryBudget) RecordFirstAttempt(percent int) {
 	b.credit = min(b.credit+percent, maxRetryCredit*100)
 }
 
-// Take uses up one retry and tells whether there was one.
-func (b *RetryBudget) Take() bool {
+// TakeRetry consumes one retry and reports whether one was available.
+func (b *RetryBudget) TakeRetry() bool {
 	if b.credit < 100 {
 		return false
 	}
@@ -25,39 +24,38 @@
 	return true
 }
 
-// seenWindow is the number of identities below the highest that are remembered.
-const seenWindow = 4096
+// duplicateWindow is the range of IDs below the highest one that are stored.
+const duplicateWindow = 4096
 
-// Seen recognises repeated identities of one sender, which counts them upwards.
-// Identities below the window count as repeated, so that none is ever taken
-// twice, however late a copy arrives.
-type Seen struct {
+// DuplicateFilter detects repeated IDs of one sender, which assigns them in ascending order. IDs below
+// the window are treated as duplicates, so that none is ever accepted twice.
+type DuplicateFilter struct {
 	highest uint64
 	recent  map[uint64]bool
 }
 
-// Add records the identity and tells whether it is new.
-func (s *Seen) Add(id uint64) bool {
+// Add records the ID and reports whether it is new.
+func (s *DuplicateFilter) Add(id uint64) bool {
 	if s.recent == nil {
 		s.recent = map[uint64]bool{}
 	}
-	if s.recent[id] || id+seenWindow <= s.highest {
+	if s.recent[id] || id+duplicateWindow <= s.highest {
 		return false
 	}
 	s.recent[id] = true
 	if id > s.highest {
-		s.forget(id)
+		s.advance(id)
 	}
 	return true
 }
 
-func (s *Seen) forget(highest uint64) {
+func (s *DuplicateFilter) advance(highest uint64) {
 	s.highest = highest
-	if len(s.recent) <= 2*seenWindow {
+	if len(s.recent) <= 2*duplicateWindow {
 		return
 	}
 	for id := range s.recent {
-		if id+seenWindow <= highest {
+		if id+duplicateWindow <= highest {
 			delete(s.recent, id)
 		}
 	}
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,11 +1,12 @@
-// Package duty keeps acts apart that only one process may carry out at a time and that
-// reach somebody who cannot tell an earlier holder from a later one.
+// Package duty provides leases for actions that only one process may perform at a time, on receivers
+// that cannot distinguish an earlier holder from a later one.
 //
-// Whoever is about to act records so in a replicated log first, under a fencing token that
-// only it has, and acts within SendLimit of that or not at all. Whoever takes over learns of
-// the record from the log, and waits for the lease and Margin from then on. It learns of it
-// after it was recorded, so its wait ends after the earlier holder's time, whatever the
-// clocks say. The package has no clock, socket or disk.
+// Before an action, the holder records it in a replicated log under its own fencing token. It then
+// starts the action within MaxStartDelay or not at all. A successor reads the record from the log and
+// waits for the lease and LeaseMargin from that moment. Because it observes the record only after it
+// was written, the wait outlasts the earlier holder's lease without synchronized clocks.
+//
+// The package uses no clock, network or disk.
 package duty
 
 import (
@@ -14,79 +15,78 @@
 )
 
 const (
-	// SendLimit is how long after the beginning of its record an act may begin.
-	SendLimit = 400 * time.Millisecond
-	// Margin is added to the lease: an act reaches its receiver up to SendLimit and the
-	// time of a call after it was recorded.
-	Margin = 800 * time.Millisecond
+	// MaxStartDelay is the longest time from the start of recording an action to its own start.
+	MaxStartDelay = 400 * time.Millisecond
+	// LeaseMargin is added to the lease, because an action reaches its receiver up to
+	// MaxStartDelay and the duration of a call after it was recorded.
+	LeaseMargin = 800 * time.Millisecond
 )
 
-// Act says that a holder is about to act for a subject.
-type Act struct {
+// Action records that a holder is about to act on a subject.
+type Action struct {
 	Subject string `cbor:"1,keyasint"`
-	// Holder is the name of the process that acts.
+	// Holder is the name of the acting process.
 	Holder string `cbor:"2,keyasint"`
-	// At is in milliseconds since 1970, by the holder's clock. It tells acts apart, and may be
-	// compared with that of other acts but with no clock.
+	// At is the Unix time in milliseconds on the holder's clock. It distinguishes actions and may
+	// be compared with the time of other actions, but not with another clock.
 	At int64 `cbor:"3,keyasint"`
 }
 
-// Watch remembers when this process learnt of the newest act for each subject. It may be
-// used concurrently.
-type Watch struct {
-	mutex sync.Mutex
-	seen  map[string]seenAct
+// Tracker stores when this process first observed the latest action on each subject. It is safe for
+// concurrent use.
+type Tracker struct {
+	mutex    sync.Mutex
+	observed map[string]observedAction
 }
 
-// seenAct is an act with the time at which this process learnt of it, in milliseconds of
-// its own steady time.
-type seenAct struct {
-	act Act
-	at  int64
+// observedAction is an action with the monotonic time of its first observation in milliseconds.
+type observedAction struct {
+	action     Action
+	observedAt int64
 }
 
-// NewWatch returns a watch that has learnt of nothing.
-func NewWatch() *Watch { return &Watch{seen: map[string]seenAct{}} }
+// NewTracker returns an empty tracker.
+func NewTracker() *Tracker { return &Tracker{observed: map[string]observedAction{}} }
 
-// Note takes in the newest acts, by subject, and forgets subjects that are there no more.
-// Now is in milliseconds of the process's steady time.
-func (w *Watch) Note(now int64, acts map[string]Act) {
+// Observe stores the latest actions by subject and removes subjects that are missing. Now is the
+// process's monotonic time in milliseconds.
+func (w *Tracker) Observe(now int64, actions map[string]Action) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for subject, act := range acts {
-		if w.seen[subject].act != act {
-			w.seen[subject] = seenAct{act: act, at: now}
+	for subject, action := range actions {
+		if w.observed[subject].action != action {
+			w.observed[subject] = observedAction{action: action, observedAt: now}
 		}
 	}
-	for subject := range w.seen {
-		if _, ok := acts[subject]; !ok {
-			delete(w.seen, subject)
+	for subject := range w.observed {
+		if _, ok := actions[subject]; !ok {
+			delete(w.observed, subject)
 		}
 	}
 }
 
-// HeldByOthers returns when this process learnt of the subjects' newest acts that were
-// another's.
-func (w *Watch) HeldByOthers(holder string) map[string]int64 {
+// ObservedFromOthers returns, by subject, when this process first observed the latest action if it is
+// another holder's.
+func (w *Tracker) ObservedFromOthers(holder string) map[string]int64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	held := map[string]int64{}
-	for subject, seen := range w.seen {
-		if seen.act.Holder != holder {
-			held[subject] = seen.at
+	times := map[string]int64{}
+	for subject, observed := range w.observed {
+		if observed.action.Holder != holder {
+			times[subject] = observed.observedAt
 		}
 	}
-	return held
+	return times
 }
 
-// FreeAt returns from when on the holder may act for the subject, in milliseconds of the
-// steady time that Note was given; 0 if no other process has.
-func (w *Watch) FreeAt(subject, holder string, lease time.Duration) int64 {
+// FreeAt returns the time from which the holder may act on the subject, in milliseconds of the
+// monotonic time passed to Observe, or 0 if the latest action is not another holder's.
+func (w *Tracker) FreeAt(subject, holder string, lease time.Duration) int64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	seen, ok := w.seen[subject]
-	if !ok || seen.act.Holder == holder {
+	observed, ok := w.observed[subject]
+	if !ok || observed.action.Holder == holder {
 		return 0
 	}
-	return seen.at + (lease + Margin).Milliseconds()
+	return observed.observedAt + (lease + LeaseMargin).Milliseconds()
 }
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -12,41 +12,40 @@
 
 const lease = 3 * time.Second
 
-func TestSuccessorWaitsForTheLease(t *testing.T) {
-	watch := NewWatch()
-	require.Zero(t, watch.FreeAt("usage", "b", lease))
-	acts := map[string]Act{"usage": {Subject: "usage", Holder: "a", At: 1}}
-	watch.Note(1000, acts)
-	watch.Note(2000, acts)
-	require.Equal(t, int64(4800), watch.FreeAt("usage", "b", lease), "counted from when it was learnt first")
-	require.Zero(t, watch.FreeAt("usage", "a", lease), "the holder goes on")
-	acts["usage"] = Act{Subject: "usage", Holder: "a", At: 2}
-	watch.Note(3000, acts)
-	require.Equal(t, int64(6800), watch.FreeAt("usage", "b", lease))
-	require.Equal(t, map[string]int64{"usage": 3000}, watch.HeldByOthers("b"))
-	watch.Note(4000, nil)
-	require.Zero(t, watch.FreeAt("usage", "b", lease))
+func TestSuccessorWaitsForLease(t *testing.T) {
+	tracker := NewTracker()
+	require.Zero(t, tracker.FreeAt("usage", "b", lease))
+	actions := map[string]Action{"usage": {Subject: "usage", Holder: "a", At: 1}}
+	tracker.Observe(1000, actions)
+	tracker.Observe(2000, actions)
+	require.Equal(t, int64(4800), tracker.FreeAt("usage", "b", lease), "the lease runs from the first observation")
+	require.Zero(t, tracker.FreeAt("usage", "a", lease), "the holder itself may continue")
+	actions["usage"] = Action{Subject: "usage", Holder: "a", At: 2}
+	tracker.Observe(3000, actions)
+	require.Equal(t, int64(6800), tracker.FreeAt("usage", "b", lease))
+	require.Equal(t, map[string]int64{"usage": 3000}, tracker.ObservedFromOthers("b"))
+	tracker.Observe(4000, nil)
+	require.Zero(t, tracker.FreeAt("usage", "b", lease))
 }
 
-// holder is a process of the model: its clock is off by a part that no other knows, and it
-// learns of recorded acts at a time of its own.
+// holder is a simulated process with its own clock offset.
 type holder struct {
-	name  string
-	watch *Watch
-	skew  int64
+	name        string
+	tracker     *Tracker
+	clockOffset int64
 }
 
-// TestActsNeverAlternateWithinALease draws changes of the leader, lags in learning, slow
-// records and slow calls. Acts reach the receiver in the order of their terms, and those of
-// different holders are a lease apart but for the time of a call.
-func TestActsNeverAlternateWithinALease(t *testing.T) {
-	const callTime = 800
+// TestHoldersActAtLeastOneLeaseApart verifies, under leader changes, slow records and slow calls, that
+// actions of different holders reach the receiver in order and at least a lease apart, except for the
+// duration of a call.
+func TestHoldersActAtLeastOneLeaseApart(t *testing.T) {
+	const maxCallTime = 800
 	rapid.Check(t, func(t *rapid.T) {
 		holders := []*holder{}
 		for _, name := range []string{"a", "b", "c"} {
-			holders = append(holders, &holder{name: name, watch: NewWatch(), skew: rapid.Int64Range(-5000, 5000).Draw(t, "skew")})
+			holders = append(holders, &holder{name: name, tracker: NewTracker(), clockOffset: rapid.Int64Range(-5000, 5000).Draw(t, "skew")})
 		}
-		recorded := map[string]Act{}
+		recorded := map[string]Action{}
 		type arrival struct {
 			at     int64
 			holder string
@@ -56,65 +55,65 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.Int64Range(1, 1500).Draw(t, "pause")
 			leader := rapid.SampledFrom(holders).Draw(t, "leader")
-			// A leader has taken in all that was recorded before it acts.
-			leader.watch.Note(now+leader.skew, recorded)
-			if now+leader.skew < leader.watch.FreeAt("s", leader.name, lease) {
+			// A leader has applied all records before it acts.
+			leader.tracker.Observe(now+leader.clockOffset, recorded)
+			if now+leader.clockOffset < leader.tracker.FreeAt("s", leader.name, lease) {
 				continue
 			}
-			began := now
+			start := now
 			now += rapid.Int64Range(0, 600).Draw(t, "record")
-			recorded["s"] = Act{Subject: "s", Holder: leader.name, At: began + leader.skew}
-			if time.Duration(now-began)*time.Millisecond > SendLimit {
+			recorded["s"] = Action{Subject: "s", Holder: leader.name, At: start + leader.clockOffset}
+			if time.Duration(now-start)*time.Millisecond > MaxStartDelay {
 				continue
 			}
-			arrivals = append(arrivals, arrival{at: now + rapid.Int64Range(0, callTime).Draw(t, "call"), holder: leader.name})
+			arrivals = append(arrivals, arrival{at: now + rapid.Int64Range(0, maxCallTime).Draw(t, "call"), holder: leader.name})
 		}
 		for later := range arrivals {
 			for earlier := range arrivals[:later] {
 				if arrivals[earlier].holder != arrivals[later].holder {
-					apart := arrivals[later].at - arrivals[earlier].at
-					require.GreaterOrEqual(t, apart, lease.Milliseconds()+Margin.Milliseconds()-callTime)
+					gap := arrivals[later].at - arrivals[earlier].at
+					require.GreaterOrEqual(t, gap, lease.Milliseconds()+LeaseMargin.Milliseconds()-maxCallTime)
 				}
 			}
 		}
 	})
 }
 
-// TestActsCountFromWhenTheyWereLearnt: the holder's clock does not matter, a
-// repeated look does not start the lease anew, and a newer act does.
-func TestActsCountFromWhenTheyWereLearnt(t *testing.T) {
-	w := NewWatch()
-	early := Act{Subject: "e", Holder: "other", At: -1000000}
-	w.Note(100, map[string]Act{"e": early, "own": {Subject: "own", Holder: "me"}})
-	w.Note(200, map[string]Act{"e": early, "own": {Subject: "own", Holder: "me"}})
-	require.Equal(t, map[string]int64{"e": 100}, w.HeldByOthers("me"))
+// TestLeaseRunsFromFirstObservation verifies that the lease ignores the holder's clock, is not extended
+// by repeated observations, and starts again with a newer action.
+func TestLeaseRunsFromFirstObservation(t *testing.T) {
+	tracker := NewTracker()
+	early := Action{Subject: "e", Holder: "other", At: -1000000}
+	tracker.Observe(100, map[string]Action{"e": early, "own": {Subject: "own", Holder: "me"}})
+	tracker.Observe(200, map[string]Action{"e": early, "own": {Subject: "own", Holder: "me"}})
+	require.Equal(t, map[string]int64{"e": 100}, tracker.ObservedFromOthers("me"))
 	later := early
 	later.At++
-	w.Note(300, map[string]Act{"e": later})
-	require.Equal(t, map[string]int64{"e": 300}, w.HeldByOthers("me"))
-	w.Note(400, nil)
-	require.Empty(t, w.HeldByOthers("me"))
+	tracker.Observe(300, map[string]Action{"e": later})
+	require.Equal(t, map[string]int64{"e": 300}, tracker.ObservedFromOthers("me"))
+	tracker.Observe(400, nil)
+	require.Empty(t, tracker.ObservedFromOthers("me"))
 }
 
-// TestCallsKeepWithinTheRate: calls of several duties are the gap apart, whoever makes them.
-func TestCallsKeepWithinTheRate(t *testing.T) {
+// TestPacerLimitsRate verifies that reserved calls are at least the gap apart.
+func TestPacerLimitsRate(t *testing.T) {
 	const gap = 100 * time.Millisecond
-	pace := &Pace{}
-	require.Zero(t, pace.Reserve(1000, gap))
-	require.Equal(t, gap, pace.Reserve(1000, gap))
-	require.Equal(t, 150*time.Millisecond, pace.Reserve(1050, gap))
-	require.Zero(t, pace.Reserve(5000, gap))
-	require.Zero(t, (&Pace{}).Reserve(1, 0))
-	free := &Pace{}
+	pacer := &Pacer{}
+	require.Zero(t, pacer.Reserve(1000, gap))
+	require.Equal(t, gap, pacer.Reserve(1000, gap))
+	require.Equal(t, 150*time.Millisecond, pacer.Reserve(1050, gap))
+	require.Zero(t, pacer.Reserve(5000, gap))
+	require.Zero(t, (&Pacer{}).Reserve(1, 0))
+	unlimited := &Pacer{}
 	for range 3 {
-		require.Zero(t, free.Reserve(7, 0), "no limit")
+		require.Zero(t, unlimited.Reserve(7, 0), "no limit")
 	}
 }
 
-// TestGapsAreRoundedUp: a rate whose gap is no whole number of milliseconds is not exceeded.
-func TestGapsAreRoundedUp(t *testing.T) {
-	var pace Pace
-	require.Zero(t, pace.Reserve(0, time.Second/3))
-	require.Equal(t, 334*time.Millisecond, pace.Reserve(0, time.Second/3))
-	require.Equal(t, 668*time.Millisecond, pace.Reserve(0, time.Second/3))
+// TestPacerRoundsGapUp guards against exceeding a rate whose gap is not a whole number of milliseconds.
+func TestPacerRoundsGapUp(t *testing.T) {
+	var pacer Pacer
+	require.Zero(t, pacer.Reserve(0, time.Second/3))
+	require.Equal(t, 334*time.Millisecond, pacer.Reserve(0, time.Second/3))
+	require.Equal(t, 668*time.Millisecond, pacer.Reserve(0, time.Second/3))
 }
--- a/duty/pace.go
+++ b/duty/pace.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Pace keeps the calls of all duties of a process apart, so that they keep within a rate together.
-// It may be used concurrently.
-type Pace struct {
-	mutex sync.Mutex
-	next  int64
+// Pacer spaces the calls of all duties of a process to limit their common rate. It is safe for
+// concurrent use.
+type Pacer struct {
+	mutex     sync.Mutex
+	nextStart int64
 }
 
-// Reserve takes the next time for a call, in milliseconds of the process's steady time, with calls
-// at least the gap apart. It returns how long to wait for it.
-func (p *Pace) Reserve(now int64, gap time.Duration) time.Duration {
+// Reserve reserves the next start of a call, at least the gap before the following one, and returns how
+// long to wait for it. Now is the process's monotonic time in milliseconds.
+func (p *Pacer) Reserve(now int64, gap time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	at := max(now, p.next)
-	p.next = at + int64((gap+time.Millisecond-1)/time.Millisecond)
-	return time.Duration(at-now) * time.Millisecond
+	start := max(now, p.nextStart)
+	p.nextStart = start + int64((gap+time.Millisecond-1)/time.Millisecond)
+	return time.Duration(start-now) * time.Millisecond
 }
--- a/ledger/command.go
+++ b/ledger/command.go
@@ -18,7 +18,7 @@
 	Prune  *Prune  `cbor:"4,keyasint,omitempty"`
 	// Order says that the leader is about to give an order to an engine, whose ID is the
 	// subject: the next leader must know for how long it must not.
-	Order *duty.Act `cbor:"5,keyasint,omitempty"`
+	Order *duty.Action `cbor:"5,keyasint,omitempty"`
 	// Checkpoint keeps what long runs have produced so far.
 	Checkpoint *Checkpoint `cbor:"6,keyasint,omitempty"`
 	Paces      *Paces      `cbor:"7,keyasint,omitempty"`
--- a/ledger/golden_test.go
+++ b/ledger/golden_test.go
@@ -56,7 +56,7 @@
 		{End: &End{Step: "ended"}}, {End: &End{Step: "missing"}},
 		{Record: &Record{Step: "ended", Results: []Result{{Sample: "sample-1", State: Dead}}}},
 		{Prune: &Prune{Steps: []string{"pruned", "missing"}}},
-		{Order: &duty.Act{Subject: "engine-1", Holder: "ledger-1", At: 5}}, {Order: &duty.Act{Subject: "engine-1", Holder: "ledger-2", At: 9}},
+		{Order: &duty.Action{Subject: "engine-1", Holder: "ledger-1", At: 5}}, {Order: &duty.Action{Subject: "engine-1", Holder: "ledger-2", At: 9}},
 		{Paces: &Paces{Millis: map[string]float64{"engine-1": 12.5, "engine-2": 40}}},
 	}
 }
--- a/ledger/machine.go
+++ b/ledger/machine.go
@@ -54,7 +54,7 @@
 type Machine struct {
 	steps map[string]*Entry
 	// orders holds the newest order to each engine.
-	orders map[string]duty.Act
+	orders map[string]duty.Action
 	paces  map[string]float64
 	// Generation grows with each change.
 	Generation uint64
@@ -62,13 +62,13 @@
 
 // NewMachine returns the state before the first command.
 func NewMachine() *Machine {
-	return &Machine{steps: map[string]*Entry{}, orders: map[string]duty.Act{}}
+	return &Machine{steps: map[string]*Entry{}, orders: map[string]duty.Action{}}
 }
 
 // snapshotHeader comes before the entries in a snapshot.
 type snapshotHeader struct {
-	Orders map[string]duty.Act `cbor:"1,keyasint"`
-	Paces  map[string]float64  `cbor:"2,keyasint,omitempty"`
+	Orders map[string]duty.Action `cbor:"1,keyasint"`
+	Paces  map[string]float64     `cbor:"2,keyasint,omitempty"`
 }
 
 // Snapshot returns a function that writes the state as it is now, one entry after
@@ -96,7 +96,7 @@
 // Restore replaces the state by a written one; nothing to read is the state
 // before the first command.
 func (m *Machine) Restore(reader io.Reader) error {
-	m.steps, m.orders = map[string]*Entry{}, map[string]duty.Act{}
+	m.steps, m.orders = map[string]*Entry{}, map[string]duty.Action{}
 	m.Generation++
 	pieces := cbor.NewDecoder(reader)
 	var header snapshotHeader
@@ -266,10 +266,10 @@
 	orderRetention = 600000
 )
 
-func (m *Machine) order(order duty.Act) {
+func (m *Machine) order(order duty.Action) {
 	m.orders[order.Subject] = order
 	if len(m.orders) > maxOrders {
-		maps.DeleteFunc(m.orders, func(_ string, known duty.Act) bool { return known.At < order.At-orderRetention })
+		maps.DeleteFunc(m.orders, func(_ string, known duty.Action) bool { return known.At < order.At-orderRetention })
 	}
 }
 
@@ -278,4 +278,4 @@
 func (m *Machine) Paces() map[string]float64 { return m.paces }
 
 // Orders returns the newest order to each engine. It must not be changed.
-func (m *Machine) Orders() map[string]duty.Act { return m.orders }
+func (m *Machine) Orders() map[string]duty.Action { return m.orders }
--- a/node/attempt.go
+++ b/node/attempt.go
@@ -132,7 +132,7 @@
 		c.requeueSample(request)
 	case request.live.request.NotRepeatable:
 		c.end(request, protocol.OutcomeUnknown, reason)
-	case c.draining || !c.budget(request.pool).Take():
+	case c.draining || !c.budget(request.pool).TakeRetry():
 		c.end(request, protocol.OutcomeUnknown, protocol.ReasonRetryBudget)
 	default:
 		c.counters.Retries++
--- a/node/core.go
+++ b/node/core.go
@@ -124,7 +124,7 @@
 	proposals map[uint64]*proposal
 	assigns   map[string]*assign
 	budgets   map[string]*dispatch.RetryBudget
-	forwards  map[string]*dispatch.Seen
+	forwards  map[string]*dispatch.DuplicateFilter
 	// inbound are requests that other nodes have forwarded here, outbound by
 	// the number of their forwarding those forwarded from here.
 	inbound  map[inboundKey]*request
@@ -150,7 +150,7 @@
 		engines: map[string]*engine{}, groups: map[string]*group{},
 		requests: map[uint64]*request{}, attempts: map[string]*request{},
 		proposals: map[uint64]*proposal{}, assigns: map[string]*assign{},
-		budgets: map[string]*dispatch.RetryBudget{}, forwards: map[string]*dispatch.Seen{},
+		budgets: map[string]*dispatch.RetryBudget{}, forwards: map[string]*dispatch.DuplicateFilter{},
 		inbound: map[inboundKey]*request{}, outbound: map[uint64]*request{},
 		// Proposal and forwarding numbers of different incarnations differ.
 		counter: config.Incarnation << incarnationShift,
--- a/node/forward.go
+++ b/node/forward.go
@@ -93,7 +93,7 @@
 // message, or one meant for an earlier registration of this node, must not run.
 func (c *Core) receiveForward(from string, forwarded *protocol.Forward) {
 	if c.forwards[from] == nil {
-		c.forwards[from] = &dispatch.Seen{}
+		c.forwards[from] = &dispatch.DuplicateFilter{}
 	}
 	if forwarded.OwnerEpoch != c.epoch || !c.forwards[from].Add(forwarded.ID) {
 		return
--- a/node/request.go
+++ b/node/request.go
@@ -114,7 +114,7 @@
 	}
 	pool := c.catalog.Pools[live.Pool].Spec
 	admitted.group, admitted.priority = pool.EngineGroup, min(pool.LivePriority, live.PriorityCap)
-	c.budget(live.Pool).First(pool.RetryPercent)
+	c.budget(live.Pool).RecordFirstAttempt(pool.RetryPercent)
 	return admitted
 }
 
--- a/server/directory.go
+++ b/server/directory.go
@@ -128,7 +128,7 @@
 		settings: settings, logger: logger, machine: machine, replica: opened,
 		client: replica.NewInternalClient(), evidence: newEvidence(), metrics: newDirectoryMetrics(), heartbeats: newHeartbeats(), feed: newFeed(),
 	}
-	d.duties = &dutyKeeper{settings: settings, replica: opened, machine: machine, acts: duty.NewWatch(), wait: time.Sleep}
+	d.duties = &dutyKeeper{settings: settings, replica: opened, machine: machine, acts: duty.NewTracker(), wait: time.Sleep}
 	d.usage = &usageKeeper{
 		settings: settings, replica: opened, machine: machine, client: client, clock: usage.NewClock(settings.ToleratedLosses + 1), duties: d.duties,
 		metrics: d.metrics, logger: logger,
--- a/server/duty_keeper.go
+++ b/server/duty_keeper.go
@@ -11,7 +11,7 @@
 	"github.com/dillchute/dillchute/replica"
 )
 
-// dutySendTimeout bounds one call. It is shorter than a lease by more than duty.SendLimit, so that
+// dutySendTimeout bounds one call. It is shorter than a lease by more than duty.MaxStartDelay, so that
 // a successor's wait covers it.
 const dutySendTimeout = 800 * time.Millisecond
 
@@ -57,15 +57,15 @@
 	settings config.Directory
 	replica  *replica.Replica
 	machine  *directory.Machine
-	acts     *duty.Watch
-	pace     duty.Pace
+	acts     *duty.Tracker
+	pace     duty.Pacer
 	// wait sleeps; tests replace it.
 	wait func(time.Duration)
 }
 
 // noteActs has every replica learn when others have acted.
 func (k *dutyKeeper) noteActs() {
-	k.replica.Do(func() { k.acts.Note(nowMillis(), k.machine.Acts()) })
+	k.replica.Do(func() { k.acts.Observe(nowMillis(), k.machine.Acts()) })
 }
 
 // mayAct tells whether this replica leads and nobody else may be acting for the subject.
@@ -79,7 +79,7 @@
 
 // maySend tells whether a call may be sent that was recorded in the term, that long after it was begun.
 func maySend(status *replica.Status, term uint64, since time.Duration) bool {
-	return status.Serving && status.Term == term && since <= duty.SendLimit
+	return status.Serving && status.Term == term && since <= duty.MaxStartDelay
 }
 
 // act records that this process is about to act for the subject, carries out the further commands, and
@@ -92,9 +92,9 @@
 		return DutyBusy, nil
 	}
 	began := clock.Now()
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(duty.SendLimit+dutySendTimeout))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(duty.MaxStartDelay+dutySendTimeout))
 	defer cancel()
-	record := directory.Command{Act: &duty.Act{Subject: subject, Holder: k.settings.Name, At: nowMillis()}}
+	record := directory.Command{Act: &duty.Action{Subject: subject, Holder: k.settings.Name, At: nowMillis()}}
 	for _, command := range append([]directory.Command{record}, further...) {
 		if _, err := k.replica.Execute(ctx, command.Encode()); err != nil {
 			return DutyBusy, err
@@ -103,5 +103,5 @@
 	if !maySend(k.replica.Status(), term, clock.Since(began)) {
 		return DutyBusy, nil
 	}
-	return send(ctx, DutySend{Holder: k.settings.Name, Fence: term, SendBy: began.Add(duty.SendLimit)}), nil
+	return send(ctx, DutySend{Holder: k.settings.Name, Fence: term, SendBy: began.Add(duty.MaxStartDelay)}), nil
 }
--- a/server/duty_keeper_test.go
+++ b/server/duty_keeper_test.go
@@ -18,9 +18,9 @@
 func TestCallsAreSentInTheTermOfTheirRecord(t *testing.T) {
 	serving := &replica.Status{Serving: true, Term: 7}
 	require.True(t, maySend(serving, 7, 0))
-	require.True(t, maySend(serving, 7, duty.SendLimit))
+	require.True(t, maySend(serving, 7, duty.MaxStartDelay))
 	require.False(t, maySend(serving, 6, 0), "it led, lost the lead and leads again")
-	require.False(t, maySend(serving, 7, duty.SendLimit+1))
+	require.False(t, maySend(serving, 7, duty.MaxStartDelay+1))
 	require.False(t, maySend(&replica.Status{Term: 7}, 7, 0))
 }
 
--- a/server/executor.go
+++ b/server/executor.go
@@ -42,7 +42,7 @@
 	forwarder *forward.Forwarder
 	guard     *quarantine.Guard
 	metrics   ledgerMetrics
-	orders    *duty.Watch
+	orders    *duty.Tracker
 	logger    *zerolog.Logger
 	// runnersOpen is the number of the leader's runners, as of its last tick.
 	runnersOpen atomic.Int64
@@ -54,7 +54,7 @@
 	guard := newGuard(watcher)
 	return &Executor{
 		settings: settings, watcher: watcher, engines: engines, forwarder: forward.New(newCurrentClient(backends, watcher), settings.Zone, guard), guard: guard,
-		metrics: metrics, orders: duty.NewWatch(), logger: logger,
+		metrics: metrics, orders: duty.NewTracker(), logger: logger,
 	}
 }
 
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -225,7 +225,7 @@
 // was born.
 func (d *Directory) latestBirth() int64 {
 	now := time.Now().UnixMilli()
-	if ahead, ok := d.usage.clock.Ahead(nowMillis()); ok {
+	if ahead, ok := d.usage.clock.Offset(nowMillis()); ok {
 		now = nowMillis() + ahead
 	}
 	return now + birthSlack.Milliseconds()
--- a/server/inspect.go
+++ b/server/inspect.go
@@ -31,7 +31,7 @@
 // orderedLately returns the engines whose newest orders are no older than inspectWindow
 // when the newest of all was given. Orders are compared with each other only, so that the
 // time of day of this machine does not matter.
-func orderedLately(orders map[string]duty.Act) map[string]bool {
+func orderedLately(orders map[string]duty.Action) map[string]bool {
 	newest := int64(0)
 	for _, order := range orders {
 		newest = max(newest, order.At)
--- a/server/ledger.go
+++ b/server/ledger.go
@@ -238,7 +238,7 @@
 		if catalog.Revision > 0 && (!ok || known.Replica != status.ID || known.Address != l.settings.InternalAddress) {
 			l.register(ctx, status.ID)
 		}
-		opened.Do(func() { l.executor.orders.Note(nowMillis(), l.machine.Orders()) })
+		opened.Do(func() { l.executor.orders.Observe(nowMillis(), l.machine.Orders()) })
 		if status.Serving {
 			l.lead(ctx, opened, catalog, status)
 		}
--- a/server/load.go
+++ b/server/load.go
@@ -91,11 +91,11 @@
 	limited, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	began := clock.Now()
-	record := &duty.Act{Subject: orderSubject(request.Order.Backend), Holder: t.settings.Name, At: nowMillis()}
-	if _, err := t.replica.Execute(limited, ledger.Command{Order: record}.Encode()); err != nil || clock.Since(began) > duty.SendLimit {
+	record := &duty.Action{Subject: orderSubject(request.Order.Backend), Holder: t.settings.Name, At: nowMillis()}
+	if _, err := t.replica.Execute(limited, ledger.Command{Order: record}.Encode()); err != nil || clock.Since(began) > duty.MaxStartDelay {
 		return LoadConflict
 	}
-	request.SendBy = began.Add(duty.SendLimit)
+	request.SendBy = began.Add(duty.MaxStartDelay)
 	answer := t.engines.Load(limited, request)
 	t.metrics.orders.WithLabelValues(strconv.Itoa(int(answer))).Inc()
 	event.OrderSent.On(t.logger).Str("engine", request.Order.Backend.ID).Uint("version", request.Order.Version).
--- a/server/scale_keeper_test.go
+++ b/server/scale_keeper_test.go
@@ -115,7 +115,7 @@
 			require.Equal(t, ScaleSend{DutySend: send.DutySend, Wish: order.Wish}, send)
 			require.Equal(t, d.Status().Term, send.Fence)
 			require.Equal(t, "d", send.Holder)
-			require.LessOrEqual(t, clock.Until(send.SendBy), duty.SendLimit)
+			require.LessOrEqual(t, clock.Until(send.SendBy), duty.MaxStartDelay)
 			return outcome
 		}
 		d.scale.give(roundOf(d), []capacity.Order{order})
@@ -183,7 +183,7 @@
 func TestOrdersWaitForAnotherHolder(t *testing.T) {
 	taker := &orderTaker{}
 	d, _ := loneDirectory(t, taker, func(settings *config.Directory) { settings.DutyLease = time.Hour })
-	act := &duty.Act{Subject: scaleSubject + "s/z", Holder: "other", At: 1}
+	act := &duty.Action{Subject: scaleSubject + "s/z", Holder: "other", At: 1}
 	_, err := d.execute(t.Context(), directory.Command{Act: act})
 	require.NoError(t, err)
 	d.scale.give(roundOf(d), []capacity.Order{orderOf(3)})
--- a/server/suspension_test.go
+++ b/server/suspension_test.go
@@ -30,14 +30,14 @@
 func TestDutyIsFreeAfterASuspension(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
-	watch, lease := duty.NewWatch(), suspension/2
-	acts := map[string]duty.Act{"s": {Subject: "s", Holder: "other", At: 1}}
-	watch.Note(nowMillis(), acts)
+	watch, lease := duty.NewTracker(), suspension/2
+	acts := map[string]duty.Action{"s": {Subject: "s", Holder: "other", At: 1}}
+	watch.Observe(nowMillis(), acts)
 	require.Less(t, nowMillis(), watch.FreeAt("s", "me", lease))
 	source.Suspend(suspension)
 	require.GreaterOrEqual(t, nowMillis(), watch.FreeAt("s", "me", lease))
-	acts["s"] = duty.Act{Subject: "s", Holder: "other", At: 2}
-	watch.Note(nowMillis(), acts)
+	acts["s"] = duty.Action{Subject: "s", Holder: "other", At: 2}
+	watch.Observe(nowMillis(), acts)
 	require.Less(t, nowMillis(), watch.FreeAt("s", "me", lease))
 }
 
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -76,9 +76,9 @@
 // deferOrders leaves engines alone that an earlier leader has given orders to,
 // until its lease has ended.
 func (t *tenure) deferOrders() {
-	wait := (t.settings.OrderLease + duty.Margin).Milliseconds()
-	t.replica.Do(func() { t.orders.Note(nowMillis(), t.machine.Orders()) })
-	for id, learnt := range t.orders.HeldByOthers(t.settings.Name) {
+	wait := (t.settings.OrderLease + duty.LeaseMargin).Milliseconds()
+	t.replica.Do(func() { t.orders.Observe(nowMillis(), t.machine.Orders()) })
+	for id, learnt := range t.orders.ObservedFromOthers(t.settings.Name) {
 		t.scheduler.DeferOrders(id, learnt+wait)
 	}
 }
--- a/server/usage_keeper.go
+++ b/server/usage_keeper.go
@@ -116,13 +116,13 @@
 
 // noteClock takes in a replica's time of day.
 func (k *usageKeeper) noteClock(name string, timeOfDay int64) {
-	k.clock.Note(name, timeOfDay, nowMillis())
+	k.clock.AddReading(name, timeOfDay, nowMillis())
 }
 
 // now returns the true time in milliseconds since 1970, if it is known.
 func (k *usageKeeper) now() (int64, bool) {
 	steady := nowMillis()
-	ahead, known := k.clock.Ahead(steady)
+	ahead, known := k.clock.Offset(steady)
 	return steady + ahead, known
 }
 
@@ -134,7 +134,7 @@
 		return
 	}
 	var due []int64
-	k.replica.Do(func() { due = k.machine.Usage().Due(now, k.settings.UsageWindow, usageSettling) })
+	k.replica.Do(func() { due = k.machine.Usage().DueWindows(now, k.settings.UsageWindow, usageSettling) })
 	for _, window := range due {
 		if _, err := k.replica.Execute(ctx, directory.Command{FixUsage: window}.Encode()); err != nil {
 			event.UsageUnfixed.On(k.logger).Uint("window", uint64(window)).Err(err).Send()
@@ -174,7 +174,7 @@
 	if !k.duties.mayAct(usageSubject) {
 		return report, false
 	}
-	k.replica.Do(func() { report, ok = k.machine.Usage().Next() })
+	k.replica.Do(func() { report, ok = k.machine.Usage().NextReport() })
 	return report, ok
 }
 
--- a/server/usage_meter.go
+++ b/server/usage_meter.go
@@ -57,7 +57,7 @@
 	}
 	for _, attempt := range result.History {
 		if attempt.MayHaveRun() {
-			u.meter.Note(tenant, nowMillis()-clock.Since(attempt.Began).Milliseconds())
+			u.meter.Record(tenant, nowMillis()-clock.Since(attempt.Began).Milliseconds())
 			return
 		}
 	}
@@ -93,7 +93,7 @@
 	if answer.Usage == nil || answer.Usage.Window == 0 {
 		return
 	}
-	u.meter.Taken(mark, answer.Usage.Now, nowMillis(), answer.Usage.Fixed, answer.Usage.Window)
+	u.meter.Acknowledge(mark, answer.Usage.Now, nowMillis(), answer.Usage.Fixed, answer.Usage.Window)
 }
 
 // finish tells what is left at a planned stop. The first answer may only bring the time.
--- a/usage/clock.go
+++ b/usage/clock.go
@@ -7,69 +7,70 @@
 )
 
 const (
-	// readingAge is how long, in milliseconds, a machine's clock counts after it was last read.
-	readingAge = 5000
-	// gatherTime is how long readings are gathered, in milliseconds, before the first of them
-	// count: each machine tells its clock once a second, and the first to do so may be wrong.
-	gatherTime = 1500
+	// maxReadingAge is how long a clock reading is used, in milliseconds.
+	maxReadingAge = 5000
+	// initialReadingPeriod is how long readings are collected before they are used, in
+	// milliseconds. Each machine sends its clock once a second, and the first one may be wrong.
+	initialReadingPeriod = 1500
 )
 
-// reading tells by how much a machine's time of day was ahead of this process's steady
-// time, both in milliseconds.
+// reading is the offset of a machine's time of day from this process's monotonic time, and the
+// monotonic time of the reading, in milliseconds.
 type reading struct {
-	ahead int64
-	at    int64
+	offset int64
+	readAt int64
 }
 
-// Clock tells the true time from the clocks of several machines, of which fewer than half
-// may be wrong at a time. It may be used concurrently.
+// Clock estimates the true time as the median of several machines' clocks, of which fewer than half may
+// be wrong at a time. It is safe for concurrent use.
 type Clock struct {
 	mutex    sync.Mutex
 	readings map[string]reading
-	// least is the number of machines that must have been read lately.
-	least int
-	// gatheredFrom is when the first reading came after a time without any.
-	gatheredFrom int64
+	// minMachines is the number of machines that must have recent readings.
+	minMachines int
+	// firstReadAt is the time of the first reading after there were none.
+	firstReadAt int64
 }
 
-// NewClock returns a clock that has read no machine's, and goes by no fewer than the least
-// number of them.
-func NewClock(least int) *Clock { return &Clock{readings: map[string]reading{}, least: least} }
+// NewClock returns a clock without readings, which needs readings of at least minMachines machines.
+func NewClock(minMachines int) *Clock {
+	return &Clock{readings: map[string]reading{}, minMachines: minMachines}
+}
 
-// Note takes in a machine's time of day, in milliseconds since 1970, that came at a time of
-// this process's steady clock.
-func (c *Clock) Note(machine string, timeOfDay, steady int64) {
+// AddReading records a machine's time of day, in Unix milliseconds, received at this process's
+// monotonic time.
+func (c *Clock) AddReading(machine string, timeOfDay, monotonic int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.forgetOld(steady)
+	c.removeExpired(monotonic)
 	if len(c.readings) == 0 {
-		c.gatheredFrom = steady
+		c.firstReadAt = monotonic
 	}
-	c.readings[machine] = reading{ahead: timeOfDay - steady, at: steady}
+	c.readings[machine] = reading{offset: timeOfDay - monotonic, readAt: monotonic}
 }
 
-// forgetOld forgets the readings that count no more.
-func (c *Clock) forgetOld(steady int64) {
-	maps.DeleteFunc(c.readings, func(_ string, read reading) bool { return steady-read.at > readingAge })
+// removeExpired removes readings older than maxReadingAge.
+func (c *Clock) removeExpired(monotonic int64) {
+	maps.DeleteFunc(c.readings, func(_ string, r reading) bool { return monotonic-r.readAt > maxReadingAge })
 }
 
-// Ahead returns by how much the middle of the clocks is ahead of the steady time. It is
-// false if too few have been read lately.
-func (c *Clock) Ahead(steady int64) (int64, bool) {
+// Offset returns the median offset of the clocks from the monotonic time, and false if there are too
+// few recent readings.
+func (c *Clock) Offset(monotonic int64) (int64, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.forgetOld(steady)
-	if len(c.readings) < max(c.least, 1) || steady-c.gatheredFrom < gatherTime {
+	c.removeExpired(monotonic)
+	if len(c.readings) < max(c.minMachines, 1) || monotonic-c.firstReadAt < initialReadingPeriod {
 		return 0, false
 	}
-	var ahead []int64
-	for _, read := range c.readings {
-		ahead = append(ahead, read.ahead)
+	var offsets []int64
+	for _, r := range c.readings {
+		offsets = append(offsets, r.offset)
 	}
-	slices.Sort(ahead)
-	middle := len(ahead) / 2
-	if len(ahead)%2 == 1 {
-		return ahead[middle], true
+	slices.Sort(offsets)
+	middle := len(offsets) / 2
+	if len(offsets)%2 == 1 {
+		return offsets[middle], true
 	}
-	return (ahead[middle-1] + ahead[middle]) / 2, true
+	return (offsets[middle-1] + offsets[middle]) / 2, true
 }
--- a/usage/meter.go
+++ b/usage/meter.go
@@ -6,37 +6,36 @@
 	"time"
 )
 
-// maxPending bounds the requests that wait for the true time to be known.
+// maxPending bounds the requests that wait until the true time is known.
 const maxPending = 10000
 
-// begun is a request that began to run, at a time of the process's steady clock in
-// milliseconds.
-type begun struct {
-	tenant string
-	at     int64
+// startedRequest is a request with its start in milliseconds of the process's monotonic time.
+type startedRequest struct {
+	tenant    string
+	startedAt int64
 }
 
-// Meter counts, in a process that passes requests on. It may be used concurrently.
+// Meter counts the requests that a gateway forwards. It is safe for concurrent use.
 type Meter struct {
 	mutex sync.Mutex
-	// ahead is by how much the true time is ahead of the steady time, in milliseconds, and
-	// length the length of a window; they are known once length is not 0.
-	ahead   int64
-	length  time.Duration
-	pending []begun
-	open    map[int64]Counts
-	fixed   int64
-	// changes counts what was counted, and told is as of the last totals that were taken.
-	changes, told uint64
-	late, dropped uint64
+	// clockOffset is the true time minus the monotonic time, in milliseconds. It and windowLength
+	// are known once windowLength is not 0.
+	clockOffset  int64
+	windowLength time.Duration
+	pending      []startedRequest
+	open         map[int64]Counts
+	fixed        int64
+	// changes is the number of recorded requests, and acknowledged its value at the last
+	// acknowledged totals.
+	changes, acknowledged uint64
+	late, dropped         uint64
 }
 
-// NewMeter returns a meter that has counted nothing.
+// NewMeter returns an empty meter.
 func NewMeter() *Meter { return &Meter{open: map[int64]Counts{}} }
 
-// Note counts a request of the tenant that began to run at a time of the steady clock, in
-// milliseconds.
-func (m *Meter) Note(tenant string, at int64) {
+// Record counts a request of the tenant that started at the monotonic time in milliseconds.
+func (m *Meter) Record(tenant string, startedAt int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.changes++
@@ -44,28 +43,28 @@
 		m.dropped++
 		return
 	}
-	m.pending = append(m.pending, begun{tenant: tenant, at: at})
+	m.pending = append(m.pending, startedRequest{tenant: tenant, startedAt: startedAt})
 }
 
-// Totals returns what is to be told of the source, with a mark for Taken, and whether
-// there is anything that was not told yet. Before the true time is known there are none.
-func (m *Meter) Totals(source string) (totals []Totals, mark uint64, news bool) {
+// Totals returns the totals of the open windows, a mark for Acknowledge, and whether there are
+// unacknowledged changes. There are no totals before the true time is known.
+func (m *Meter) Totals(source string) (totals []Totals, mark uint64, changed bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.sort()
+	m.assignWindows()
 	for window, counts := range m.open {
 		totals = append(totals, Totals{Source: source, Window: window, Counts: maps.Clone(counts)})
 	}
-	return totals, m.changes, m.changes != m.told
+	return totals, m.changes, m.changes != m.acknowledged
 }
 
-// sort puts the pending requests into their windows.
-func (m *Meter) sort() {
-	if m.length == 0 {
+// assignWindows adds the pending requests to their windows.
+func (m *Meter) assignWindows() {
+	if m.windowLength == 0 {
 		return
 	}
-	for _, one := range m.pending {
-		window := WindowAt(one.at+m.ahead, m.length)
+	for _, request := range m.pending {
+		window := WindowAt(request.startedAt+m.clockOffset, m.windowLength)
 		if window <= m.fixed {
 			m.late++
 			continue
@@ -73,26 +72,26 @@
 		if m.open[window] == nil {
 			m.open[window] = Counts{}
 		}
-		m.open[window][one.tenant]++
+		m.open[window][request.tenant]++
 	}
 	m.pending = nil
 }
 
-// Taken notes that totals up to the mark are kept for good. Now is the true time and steady
-// this process's steady time, in milliseconds; fixed is the newest window that is fixed.
-func (m *Meter) Taken(mark uint64, now, steady, fixed int64, length time.Duration) {
+// Acknowledge notes that totals up to the mark are stored durably. Now is the true time and monotonic
+// this process's monotonic time, in milliseconds; fixed is the newest fixed window.
+func (m *Meter) Acknowledge(mark uint64, now, monotonic, fixed int64, windowLength time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.length != 0 {
-		m.told = max(m.told, mark)
+	if m.windowLength != 0 {
+		m.acknowledged = max(m.acknowledged, mark)
 	}
-	m.ahead, m.length = now-steady, length
+	m.clockOffset, m.windowLength = now-monotonic, windowLength
 	m.fixed = max(m.fixed, fixed)
 	maps.DeleteFunc(m.open, func(window int64, _ Counts) bool { return window <= m.fixed })
 }
 
-// Lost returns how many requests came too late for their window, and how many were not
-// counted for lack of room.
+// Lost returns how many requests came too late for their window, and how many were dropped because
+// maxPending requests were waiting.
 func (m *Meter) Lost() (late, dropped uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,11 +1,12 @@
-// Package usage counts the requests of each tenant that began to run in each window of
-// time, so that each window is told once and never in two ways.
+// Package usage counts the requests of each tenant that started in each time window, so that every
+// report of a window has the same counts.
 //
-// Gateways count what they see begin (Meter), and tell their totals of each window that is
-// not fixed yet, as often as they like. The replicated record (Book) keeps the highest of
-// each gateway; fixing a window adds them up, and what was fixed is told unchanged until it
-// is taken. Windows go by true time, for which the middle of several machines' clocks stands
-// (Clock). The package has no clock, socket or disk.
+// Gateways count the requests that start (Meter) and repeatedly send their totals of the open windows.
+// The replicated WindowStore keeps the highest totals of each gateway. Fixing a window adds them up and
+// makes the result final; it is reported unchanged until the receiver accepts it. Windows are based on
+// the median of several machines' clocks (Clock).
+//
+// The package reads no system clock and uses no network or disk.
 package usage
 
 import (
@@ -14,61 +15,61 @@
 	"time"
 )
 
-// WindowAt returns the number of the window that holds the time, in milliseconds since 1970.
-func WindowAt(millis int64, length time.Duration) int64 { return millis / length.Milliseconds() }
+// WindowAt returns the number of the window that contains the time in Unix milliseconds.
+func WindowAt(millis int64, windowLength time.Duration) int64 {
+	return millis / windowLength.Milliseconds()
+}
 
-// WindowEnd returns when the window ends, in milliseconds since 1970.
-func WindowEnd(window int64, length time.Duration) int64 {
-	return (window + 1) * length.Milliseconds()
+// WindowEnd returns the end of the window in Unix milliseconds.
+func WindowEnd(window int64, windowLength time.Duration) int64 {
+	return (window + 1) * windowLength.Milliseconds()
 }
 
-// Counts are numbers of requests by tenant.
+// Counts maps tenants to numbers of requests.
 type Counts map[string]uint64
 
-// Totals is what one process has counted in a window so far.
+// Totals holds the counts of one process for a window so far.
 type Totals struct {
-	// Source names one life of the process that counts.
+	// Source identifies the counting process; it changes when the process restarts.
 	Source string `cbor:"1,keyasint"`
 	Window int64  `cbor:"2,keyasint"`
 	Counts Counts `cbor:"3,keyasint"`
 }
 
-// Report is a window that is fixed.
+// Report holds the final counts of a fixed window.
 type Report struct {
 	Window int64  `cbor:"1,keyasint"`
 	Counts Counts `cbor:"2,keyasint"`
 }
 
-// Book is the replicated record. Its methods must not be called concurrently.
-type Book struct {
-	// Fixed is the newest window that is fixed, 0 for none.
+// WindowStore is the replicated state of all windows. It is not safe for concurrent use.
+type WindowStore struct {
+	// Fixed is the newest fixed window, 0 for none.
 	Fixed int64 `cbor:"1,keyasint"`
-	// Open holds the totals of windows that are not fixed, by window and source.
+	// Open holds the totals of open windows by window and source.
 	Open map[int64]map[string]Counts `cbor:"2,keyasint,omitempty"`
-	// Untold are fixed windows that have not been taken yet, the earliest first.
+	// Untold lists the pending reports, which were not accepted yet, the earliest first.
 	Untold []Report `cbor:"3,keyasint,omitempty"`
 }
 
-// maxUntold bounds the windows that wait to be told: beyond it the earliest are dropped,
-// long after they were due.
-const maxUntold = 100
+// maxPendingReports bounds the reports in Untold. Beyond it the earliest are dropped.
+const maxPendingReports = 100
 
-// Clone returns a copy that shares nothing that changes.
-func (b *Book) Clone() Book {
+// Clone returns a copy that shares no mutable state.
+func (b *WindowStore) Clone() WindowStore {
 	open := make(map[int64]map[string]Counts, len(b.Open))
 	for window, sources := range b.Open {
-		copied := make(map[string]Counts, len(sources))
+		copiedSources := make(map[string]Counts, len(sources))
 		for source, counts := range sources {
-			copied[source] = maps.Clone(counts)
+			copiedSources[source] = maps.Clone(counts)
 		}
-		open[window] = copied
+		open[window] = copiedSources
 	}
-	return Book{Fixed: b.Fixed, Open: open, Untold: slices.Clone(b.Untold)}
+	return WindowStore{Fixed: b.Fixed, Open: open, Untold: slices.Clone(b.Untold)}
 }
 
-// Count takes in totals. They may come twice and in any order; those of a window that is
-// fixed come too late.
-func (b *Book) Count(totals Totals) {
+// Add merges totals, which may arrive repeatedly and in any order. Totals of a fixed window are ignored.
+func (b *WindowStore) Add(totals Totals) {
 	if totals.Window <= b.Fixed {
 		return
 	}
@@ -88,9 +89,8 @@
 	}
 }
 
-// Fix closes the window and all before it. Only the window itself is to be told: those
-// before it that were not fixed are past telling.
-func (b *Book) Fix(window int64) {
+// Fix makes the counts of the window final. Earlier open windows are discarded without a report.
+func (b *WindowStore) Fix(window int64) {
 	if window <= b.Fixed {
 		return
 	}
@@ -103,38 +103,36 @@
 	maps.DeleteFunc(b.Open, func(open int64, _ map[string]Counts) bool { return open <= window })
 	b.Fixed = window
 	b.Untold = append(b.Untold, Report{Window: window, Counts: counts})
-	if surplus := len(b.Untold) - maxUntold; surplus > 0 {
+	if surplus := len(b.Untold) - maxPendingReports; surplus > 0 {
 		b.Untold = slices.Clone(b.Untold[surplus:])
 	}
 }
 
-// Told forgets a window that was taken.
-func (b *Book) Told(window int64) {
+// RemoveReport removes the pending report of the window after it was accepted.
+func (b *WindowStore) RemoveReport(window int64) {
 	b.Untold = slices.DeleteFunc(slices.Clone(b.Untold), func(report Report) bool { return report.Window == window })
 }
 
-// Next returns the earliest window that is to be told, and whether there is one.
-func (b *Book) Next() (Report, bool) {
+// NextReport returns the earliest pending report, and whether there is one.
+func (b *WindowStore) NextReport() (Report, bool) {
 	if len(b.Untold) == 0 {
 		return Report{}, false
 	}
 	return b.Untold[0], true
 }
 
-// maxLag is the largest number of windows that are fixed one by one after a time in which
-// none could be.
-const maxLag = 12
+// maxCatchUpWindows bounds the overdue windows that DueWindows returns besides the newest one.
+const maxCatchUpWindows = 12
 
-// Due returns the windows to be fixed at the time, in milliseconds since 1970, where a
-// window is fixed the settling time after its end. Before the first one, windows that have
-// passed are nobody's.
-func (b *Book) Due(now int64, length, settling time.Duration) []int64 {
-	newest := WindowAt(now-settling.Milliseconds(), length) - 1
+// DueWindows returns the windows to fix at the time in Unix milliseconds. A window is due the settling
+// time after its end. If none was fixed before, only the newest one is due.
+func (b *WindowStore) DueWindows(now int64, windowLength, settling time.Duration) []int64 {
+	newest := WindowAt(now-settling.Milliseconds(), windowLength) - 1
 	first := b.Fixed + 1
 	if b.Fixed == 0 {
 		first = newest
 	}
-	first = max(first, newest-maxLag)
+	first = max(first, newest-maxCatchUpWindows)
 	var due []int64
 	for window := first; window <= newest; window++ {
 		due = append(due, window)
