--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -10,7 +10,7 @@
 	credit int
 }
 
-// RecordFirstAttempt adds the percentage of a retry that a first attempt earns.
+// RecordFirstAttempt records a first attempt, which earns percent hundredths of a retry.
 func (b *RetryBudget) RecordFirstAttempt(percent int) {
 	b.credit = min(b.credit+percent, maxRetryCredit*100)
 }
@@ -24,7 +24,7 @@
 	return true
 }
 
-// duplicateWindow is the range of IDs below the highest one that are stored.
+// duplicateWindow is the number of IDs up to the highest one that are tracked.
 const duplicateWindow = 4096
 
 // DuplicateFilter detects repeated IDs of one sender, which assigns them in ascending order. IDs below
@@ -35,28 +35,28 @@
 }
 
 // Add records the ID and reports whether it is new.
-func (s *DuplicateFilter) Add(id uint64) bool {
-	if s.recent == nil {
-		s.recent = map[uint64]bool{}
+func (f *DuplicateFilter) Add(id uint64) bool {
+	if f.recent == nil {
+		f.recent = map[uint64]bool{}
 	}
-	if s.recent[id] || id+duplicateWindow <= s.highest {
+	if f.recent[id] || id+duplicateWindow <= f.highest {
 		return false
 	}
-	s.recent[id] = true
-	if id > s.highest {
-		s.advance(id)
+	f.recent[id] = true
+	if id > f.highest {
+		f.advance(id)
 	}
 	return true
 }
 
-func (s *DuplicateFilter) advance(highest uint64) {
-	s.highest = highest
-	if len(s.recent) <= 2*duplicateWindow {
+func (f *DuplicateFilter) advance(highest uint64) {
+	f.highest = highest
+	if len(f.recent) <= 2*duplicateWindow {
 		return
 	}
-	for id := range s.recent {
+	for id := range f.recent {
 		if id+duplicateWindow <= highest {
-			delete(s.recent, id)
+			delete(f.recent, id)
 		}
 	}
 }
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -50,28 +50,28 @@
 
 // Observe stores the latest actions by subject and removes subjects that are missing. Now is the
 // process's monotonic time in milliseconds.
-func (w *Tracker) Observe(now int64, actions map[string]Action) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (t *Tracker) Observe(now int64, actions map[string]Action) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	for subject, action := range actions {
-		if w.observed[subject].action != action {
-			w.observed[subject] = observedAction{action: action, observedAt: now}
+		if t.observed[subject].action != action {
+			t.observed[subject] = observedAction{action: action, observedAt: now}
 		}
 	}
-	for subject := range w.observed {
+	for subject := range t.observed {
 		if _, ok := actions[subject]; !ok {
-			delete(w.observed, subject)
+			delete(t.observed, subject)
 		}
 	}
 }
 
 // ObservedFromOthers returns, by subject, when this process first observed the latest action if it is
 // another holder's.
-func (w *Tracker) ObservedFromOthers(holder string) map[string]int64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (t *Tracker) ObservedFromOthers(holder string) map[string]int64 {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	times := map[string]int64{}
-	for subject, observed := range w.observed {
+	for subject, observed := range t.observed {
 		if observed.action.Holder != holder {
 			times[subject] = observed.observedAt
 		}
@@ -81,10 +81,10 @@
 
 // FreeAt returns the time from which the holder may act on the subject, in milliseconds of the
 // monotonic time passed to Observe, or 0 if the latest action is not another holder's.
-func (w *Tracker) FreeAt(subject, holder string, lease time.Duration) int64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	observed, ok := w.observed[subject]
+func (t *Tracker) FreeAt(subject, holder string, lease time.Duration) int64 {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	observed, ok := t.observed[subject]
 	if !ok || observed.action.Holder == holder {
 		return 0
 	}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -34,8 +34,8 @@
 	CrashThreshold = 3
 	// sendBudget is the number of sends allowed once CrashThreshold backends have crashed.
 	sendBudget = 3
-	// CrashGracePeriod is how long after the CrashThreshold crash sends are not charged to the
-	// budget: they were decided on before every process knew of that crash.
+	// CrashGracePeriod is the time after the crash that reaches CrashThreshold during which sends of
+	// a kind are not charged to the budget: not every process knows of that crash yet.
 	CrashGracePeriod = 2 * time.Second
 	// reservedSends is the part of a content's budget kept for processes that learn of a crash late.
 	// Kinds need none: requests of a suspected kind are sent one at a time.
@@ -195,7 +195,7 @@
 	return sendBudget - reservedSends
 }
 
-// isBudgetExhausted reports whether the send budget leaves no quick trial, without the exempt crashes.
+// isBudgetExhausted reports whether the send budget leaves no quick trial, not counting exempt crashes.
 func (s Suspect) isBudgetExhausted(exempt int) bool {
 	if s.Trials == 0 {
 		return !s.isKind() && s.budgetedCrashes() >= maxCrashedBackends
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -56,33 +56,33 @@
 const maxPendingReports = 100
 
 // Clone returns a copy that shares no mutable state.
-func (b *WindowStore) Clone() WindowStore {
-	open := make(map[int64]map[string]Counts, len(b.Open))
-	for window, sources := range b.Open {
+func (s *WindowStore) Clone() WindowStore {
+	open := make(map[int64]map[string]Counts, len(s.Open))
+	for window, sources := range s.Open {
 		copiedSources := make(map[string]Counts, len(sources))
 		for source, counts := range sources {
 			copiedSources[source] = maps.Clone(counts)
 		}
 		open[window] = copiedSources
 	}
-	return WindowStore{Fixed: b.Fixed, Open: open, Untold: slices.Clone(b.Untold)}
+	return WindowStore{Fixed: s.Fixed, Open: open, Untold: slices.Clone(s.Untold)}
 }
 
 // Add merges totals, which may arrive repeatedly and in any order. Totals of a fixed window are ignored.
-func (b *WindowStore) Add(totals Totals) {
-	if totals.Window <= b.Fixed {
+func (s *WindowStore) Add(totals Totals) {
+	if totals.Window <= s.Fixed {
 		return
 	}
-	if b.Open == nil {
-		b.Open = map[int64]map[string]Counts{}
+	if s.Open == nil {
+		s.Open = map[int64]map[string]Counts{}
 	}
-	if b.Open[totals.Window] == nil {
-		b.Open[totals.Window] = map[string]Counts{}
+	if s.Open[totals.Window] == nil {
+		s.Open[totals.Window] = map[string]Counts{}
 	}
-	known := b.Open[totals.Window][totals.Source]
+	known := s.Open[totals.Window][totals.Source]
 	if known == nil {
 		known = Counts{}
-		b.Open[totals.Window][totals.Source] = known
+		s.Open[totals.Window][totals.Source] = known
 	}
 	for tenant, count := range totals.Counts {
 		known[tenant] = max(known[tenant], count)
@@ -90,35 +90,35 @@
 }
 
 // Fix makes the counts of the window final. Earlier open windows are discarded without a report.
-func (b *WindowStore) Fix(window int64) {
-	if window <= b.Fixed {
+func (s *WindowStore) Fix(window int64) {
+	if window <= s.Fixed {
 		return
 	}
 	counts := Counts{}
-	for _, source := range b.Open[window] {
+	for _, source := range s.Open[window] {
 		for tenant, count := range source {
 			counts[tenant] += count
 		}
 	}
-	maps.DeleteFunc(b.Open, func(open int64, _ map[string]Counts) bool { return open <= window })
-	b.Fixed = window
-	b.Untold = append(b.Untold, Report{Window: window, Counts: counts})
-	if surplus := len(b.Untold) - maxPendingReports; surplus > 0 {
-		b.Untold = slices.Clone(b.Untold[surplus:])
+	maps.DeleteFunc(s.Open, func(open int64, _ map[string]Counts) bool { return open <= window })
+	s.Fixed = window
+	s.Untold = append(s.Untold, Report{Window: window, Counts: counts})
+	if surplus := len(s.Untold) - maxPendingReports; surplus > 0 {
+		s.Untold = slices.Clone(s.Untold[surplus:])
 	}
 }
 
 // RemoveReport removes the pending report of the window after it was accepted.
-func (b *WindowStore) RemoveReport(window int64) {
-	b.Untold = slices.DeleteFunc(slices.Clone(b.Untold), func(report Report) bool { return report.Window == window })
+func (s *WindowStore) RemoveReport(window int64) {
+	s.Untold = slices.DeleteFunc(slices.Clone(s.Untold), func(report Report) bool { return report.Window == window })
 }
 
 // NextReport returns the earliest pending report, and whether there is one.
-func (b *WindowStore) NextReport() (Report, bool) {
-	if len(b.Untold) == 0 {
+func (s *WindowStore) NextReport() (Report, bool) {
+	if len(s.Untold) == 0 {
 		return Report{}, false
 	}
-	return b.Untold[0], true
+	return s.Untold[0], true
 }
 
 // maxCatchUpWindows bounds the overdue windows that DueWindows returns besides the newest one.
@@ -126,10 +126,10 @@
 
 // DueWindows returns the windows to fix at the time in Unix milliseconds. A window is due the settling
 // time after its end. If none was fixed before, only the newest one is due.
-func (b *WindowStore) DueWindows(now int64, windowLength, settling time.Duration) []int64 {
+func (s *WindowStore) DueWindows(now int64, windowLength, settling time.Duration) []int64 {
 	newest := WindowAt(now-settling.Milliseconds(), windowLength) - 1
-	first := b.Fixed + 1
-	if b.Fixed == 0 {
+	first := s.Fixed + 1
+	if s.Fixed == 0 {
 		first = newest
 	}
 	first = max(first, newest-maxCatchUpWindows)
