--- a/scheduler/ahead.go
+++ b/scheduler/ahead.go
@@ -151,17 +151,17 @@
 
 // Promoted returns the step's tasks that began as speculative runs.
 func (s *Scheduler) Promoted(step string) []*Task {
-	var taken []*Task
+	var promoted []*Task
 	state := s.steps[step]
 	if state == nil {
 		return nil
 	}
 	for _, task := range state.tasks {
 		if task.promoted {
-			taken = append(taken, task)
+			promoted = append(promoted, task)
 		}
 	}
-	return taken
+	return promoted
 }
 
 // IsSpeculative reports whether no step has claimed the task's run yet.
@@ -197,14 +197,14 @@
 // EndUnusedSpeculative ends and returns the speculative runs that no step has claimed in time or
 // that the resubmitting step cannot use. The caller cancels them.
 func (s *Scheduler) EndUnusedSpeculative() []*Task {
-	var unwanted []*Task
+	var unused []*Task
 	for _, id := range slices.Sorted(maps.Keys(s.speculative)) {
 		task := s.speculative[id]
 		model := s.model(task.Step.Model)
 		if task.unusable || model.stepNumber > task.Step.Number+int(model.resubmissionSteps+0.5) {
 			s.endSpeculativeRun(task, Broken)
-			unwanted = append(unwanted, task)
+			unused = append(unused, task)
 		}
 	}
-	return unwanted
+	return unused
 }
--- a/scheduler/weights.go
+++ b/scheduler/weights.go
@@ -25,9 +25,9 @@
 	// minCurrentEngines is the minimum number of engines that hold a model's newest version.
 	minCurrentEngines = 2
 	// The defaults apply until the first measurement.
-	defaultLoadMillis        = 1000
-	defaultPublicationMillis = 4000
-	defaultTokenMillis       = 1
+	defaultLoadMillis            = 1000
+	defaultVersionIntervalMillis = 4000
+	defaultTokenMillis           = 1
 	// shortestLoadGrowth is the factor by which the recorded shortest load time grows with each
 	// load.
 	shortestLoadGrowth = 1.01
@@ -71,7 +71,7 @@
 func (s *Scheduler) model(name string) *modelState {
 	m := s.models[name]
 	if m == nil {
-		m = &modelState{name: name, newest: 1, versionInterval: defaultPublicationMillis, expectedTokens: 1}
+		m = &modelState{name: name, newest: 1, versionInterval: defaultVersionIntervalMillis, expectedTokens: 1}
 		s.models[name] = m
 	}
 	return m
