--- a/replica/admission.go
+++ b/replica/admission.go
@@ -13,9 +13,9 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// handOver gives leadership to another voter before a planned stop.
-func (r *Replica) handOver() {
-	deadline := time.Now().Add(transferWait)
+// transferLeadership hands leadership to another voter before a graceful shutdown.
+func (r *Replica) transferLeadership() {
+	deadline := time.Now().Add(leadershipTransferTimeout)
 	for time.Now().Before(deadline) {
 		led, ok := eventloop.Call(r.loop, func() bool { return r.core.Leading() && r.core.TransferLeadership() })
 		if !ok || !led {
@@ -25,76 +25,76 @@
 	}
 }
 
-// outsideTold is the time between two lines of a replica that nobody lets in. With it the users'
-// bound for making a lost machine good (4 s and more) shows in the logs before it is over.
-const outsideTold = 3 * time.Second
+// admissionLogInterval is the time between two log lines of a replica that waits for admission. It is
+// shorter than the time in which a lost machine must be replaced, so the wait is logged before that ends.
+const admissionLogInterval = 3 * time.Second
 
-// othersEach is the number of rounds of a replica that stands by after which it also asks one that
-// is no likely member.
-const othersEach = 10
+// otherContactRounds is the number of rounds after which a standby replica also asks one of the other
+// contacts.
+const otherContactRounds = 10
 
-// askToJoin asks for admission while this replica is not a member or hears no leader for long: it
-// may have been replaced while it was away.
-func (r *Replica) askToJoin(ctx context.Context) {
-	insideAt := clock.Now()
-	toldAt := insideAt
+// requestAdmission sends join requests while this replica is not a member or knows no leader: it may
+// have been removed from the group while it was down.
+func (r *Replica) requestAdmission(ctx context.Context) {
+	lastMemberAt := clock.Now()
+	loggedAt := lastMemberAt
 	for round := 0; ctx.Err() == nil; round++ {
-		pause := joinInterval
-		if r.outside() {
-			late := clock.Since(insideAt) > joinPatience
-			if late {
-				pause = standbyInterval
+		interval := joinInterval
+		if r.needsAdmission() {
+			standingBy := clock.Since(lastMemberAt) > standbyDelay
+			if standingBy {
+				interval = standbyJoinInterval
 			}
-			r.sendJoins(r.questions(r.contacts(), round, late))
-			toldAt = r.tellOutside(insideAt, toldAt)
+			r.sendJoins(r.joinRequests(r.contacts(), round, standingBy))
+			loggedAt = r.logAdmissionPending(lastMemberAt, loggedAt)
 		} else {
-			insideAt = clock.Now()
-			toldAt = insideAt
+			lastMemberAt = clock.Now()
+			loggedAt = lastMemberAt
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// question asks the process at the address to be let in, and to pass that on if it does not lead.
-type question struct {
+// joinRequest is a join request to an address; forward allows a follower to forward it to the leader.
+type joinRequest struct {
 	address string
-	passOn  bool
+	forward bool
 }
 
-// questions returns what is asked in a round. A group that takes in all who ask is asked at all
-// contacts. Of a bounded one many may stand by: the leader, which is among the contacts as a rule,
-// hears no more than two questions of each in a round, and after the patience one a second.
-func (r *Replica) questions(contacts []string, round int, late bool) []question {
-	turn := oneOf(contacts, round)
-	bounded := r.settings.Standby > 0
-	if bounded && late {
-		if r.settings.Others != nil && round%othersEach == 0 {
-			turn = append(turn, oneOf(r.settings.Others(), round/othersEach)...)
+// joinRequests returns the requests of one round. If the number of learners is unlimited, all contacts
+// are asked. Otherwise many replicas may stand by, and the leader, which usually is one of the contacts,
+// must receive at most two requests a round from each, and one a second after standbyDelay.
+func (r *Replica) joinRequests(contacts []string, round int, standingBy bool) []joinRequest {
+	inTurn := addressInTurn(contacts, round)
+	bounded := r.settings.StandbyLearners > 0
+	if bounded && standingBy {
+		if r.settings.OtherContacts != nil && round%otherContactRounds == 0 {
+			inTurn = append(inTurn, addressInTurn(r.settings.OtherContacts(), round/otherContactRounds)...)
 		}
-		contacts = turn
+		contacts = inTurn
 	}
-	questions := make([]question, 0, len(contacts))
+	requests := make([]joinRequest, 0, len(contacts))
 	for _, address := range contacts {
-		questions = append(questions, question{address: address, passOn: !bounded || slices.Contains(turn, address)})
+		requests = append(requests, joinRequest{address: address, forward: !bounded || slices.Contains(inTurn, address)})
 	}
-	return questions
+	return requests
 }
 
-// oneOf returns the address whose turn it is in the round, if there is any.
-func oneOf(addresses []string, round int) []string {
+// addressInTurn returns the address to ask in the round, or none if the list is empty.
+func addressInTurn(addresses []string, round int) []string {
 	if len(addresses) == 0 {
 		return nil
 	}
 	return []string{addresses[round%len(addresses)]}
 }
 
-// tellOutside says now and then that nobody lets this replica in, where the group takes all that
-// ask, and returns when it did last.
-func (r *Replica) tellOutside(insideAt, toldAt time.Time) time.Time {
-	if r.settings.Standby > 0 || clock.Since(toldAt) <= outsideTold {
+// logAdmissionPending logs at most once per admissionLogInterval that this replica is waiting for
+// admission, unless the number of learners is limited. It returns the time of the last log line.
+func (r *Replica) logAdmissionPending(insideAt, toldAt time.Time) time.Time {
+	if r.settings.StandbyLearners > 0 || clock.Since(toldAt) <= admissionLogInterval {
 		return toldAt
 	}
 	event.AdmissionPending.On(r.logger).Int("ms", clock.Since(insideAt).Milliseconds()).
@@ -102,9 +102,9 @@
 	return clock.Now()
 }
 
-func (r *Replica) outside() bool {
+func (r *Replica) needsAdmission() bool {
 	status := r.Status()
-	if !status.Heard {
+	if !status.LeaderKnown {
 		return true
 	}
 	for _, member := range status.Members {
@@ -115,25 +115,25 @@
 	return true
 }
 
-func (r *Replica) sendJoins(questions []question) {
+func (r *Replica) sendJoins(requests []joinRequest) {
 	id := r.Status().ID
-	for _, one := range questions {
-		r.transport.Send(one.address, protocol.Message{
+	for _, request := range requests {
+		r.transport.Send(request.address, protocol.Message{
 			From: r.settings.Address,
-			Join: &protocol.Join{ID: id, Address: r.settings.Address, PassedOn: !one.passOn, Knows: r.settings.Knows},
+			Join: &protocol.Join{ID: id, Address: r.settings.Address, PassedOn: !request.forward, Knows: r.settings.KnownVersion},
 		})
 	}
 }
 
-// contacts returns whom to ask to be let in: the addresses of the settings; the members that a
-// replica with data remembers, which may be others by now than the settings name; and whoever
-// still sends to the identity that this machine had before it lost its disk.
+// contacts returns the addresses to ask for admission: those from the settings, the members in this
+// replica's own data, which may be newer than the settings, and all replicas that still send to the
+// identity that this machine had before it lost its disk.
 func (r *Replica) contacts() []string {
-	senders, _ := eventloop.Call(r.loop, r.core.Senders)
-	return joinContacts(r.settings, r.Status().Members, senders)
+	senders, _ := eventloop.Call(r.loop, r.core.SenderAddresses)
+	return admissionContacts(r.settings, r.Status().Members, senders)
 }
 
-func joinContacts(settings Settings, members []consensus.Member, senders []string) []string {
+func admissionContacts(settings Settings, members []consensus.Member, senders []string) []string {
 	addresses := append(slices.Clone(settings.Contacts()), senders...)
 	for _, member := range members {
 		addresses = append(addresses, member.Address)
--- a/replica/admission_test.go
+++ b/replica/admission_test.go
@@ -10,28 +10,24 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// What was seen: a directory of six replicas took no change any more after two of its machines had
-// lost their disks, which it is meant to bear; processes went on by what they knew. How it came
-// about: two other machines had lost their disks earlier, and ran again outside of the group, so that
-// the five voters had none to spare. Cause: an empty replica asks the three addresses of its settings
-// to be let in, and a replica that does not lead ignored that. Proof: these tests, which fail where
-// no replica passes the question on; plays with disks lost in series, which ended the directory.
+// These tests guard against a group that cannot replace lost voters because followers ignore the join
+// requests of empty replicas, which ask only the addresses in their settings.
 
-// newSeededGroup returns six running replicas of which five have a vote; each asks the first
-// three to be let in.
+// newSeededGroup returns six running replicas, of which five are voters. Each asks the first three for
+// admission.
 func newSeededGroup(t require.TestingT) *group {
 	g := newGroup(t, 3, 5)
 	g.steps(40)
 	for range 3 {
-		g.add().seeds = []string{"m0", "m1", "m2"}
+		g.addProcess().seeds = []string{"m0", "m1", "m2"}
 	}
 	g.steps(100)
 	require.Equal(t, 5, g.voterCount())
 	return g
 }
 
-// lead has the process lead.
-func (g *group) lead(p *process) {
+// makeLeader transfers leadership to the process.
+func (g *group) makeLeader(p *process) {
 	for range 20 {
 		if leader := g.leader(); leader == p {
 			return
@@ -43,13 +39,13 @@
 	require.Fail(g.t, "leadership was not handed over")
 }
 
-// TestReplicaIsLetInThroughAFollower: an empty replica becomes a member though none of those
-// that it can ask leads.
-func TestReplicaIsLetInThroughAFollower(t *testing.T) {
+// TestJoinThroughFollower: an empty replica becomes a member even if none of the replicas that it can
+// ask is the leader.
+func TestJoinThroughFollower(t *testing.T) {
 	g := newSeededGroup(t)
 	for _, p := range g.processes[3:] {
 		if member, _ := p.core.raft.Membership().Member(p.identity); member.Voter {
-			g.lead(p)
+			g.makeLeader(p)
 			break
 		}
 	}
@@ -59,25 +55,24 @@
 	g.steps(40)
 	g.start(lost)
 	g.steps(100)
-	g.check()
+	g.requireAcknowledged()
 	_, member := g.leader().core.raft.Membership().Member(lost.identity)
 	require.True(t, member)
 	require.Zero(t, g.leader().core.MissingVoters())
 }
 
-// TestGroupOutlivesLossesInSeries: again and again two machines lose their disks at the same
-// moment, as soon as the last ones had the time to be made good. Each time the group has
-// all its voters again, and nothing that was acknowledged is gone.
-func TestGroupOutlivesLossesInSeries(t *testing.T) {
-	const madeGood = 80
+// TestGroupSurvivesRepeatedDiskLosses: two machines at a time lose their disks, as soon as the previous
+// ones have had time to recover. The group regains all voters each time and loses no acknowledged command.
+func TestGroupSurvivesRepeatedDiskLosses(t *testing.T) {
+	const recoverySteps = 80
 	rapid.Check(t, func(t *rapid.T) {
 		g := newSeededGroup(t)
 		for range rapid.IntRange(2, 5).Draw(t, "rounds") {
-			lost := g.draw(t, "lost", 2)
+			lost := g.drawProcesses(t, "lost", 2)
 			for _, p := range lost {
 				g.wipe(p)
 				p.seeds = nil
-				for _, seed := range g.draw(t, "seeds", 3) {
+				for _, seed := range g.drawProcesses(t, "seeds", 3) {
 					p.seeds = append(p.seeds, seed.address)
 				}
 			}
@@ -88,18 +83,18 @@
 			for _, p := range lost {
 				g.start(p)
 			}
-			for range madeGood {
+			for range recoverySteps {
 				g.propose()
 				g.step()
 			}
-			g.check()
+			g.requireAcknowledged()
 			require.Zero(t, g.leader().core.MissingVoters())
 		}
 	})
 }
 
-// draw returns that many different processes.
-func (g *group) draw(t *rapid.T, label string, count int) []*process {
+// drawProcesses returns count different processes.
+func (g *group) drawProcesses(t *rapid.T, label string, count int) []*process {
 	numbers := make([]int, len(g.processes))
 	for number := range numbers {
 		numbers[number] = number
@@ -111,9 +106,8 @@
 	return drawn
 }
 
-// TestAdmissionIsPassedOnOnce: replicas that take each other for the leader do not send a question
-// around.
-func TestAdmissionIsPassedOnOnce(t *testing.T) {
+// TestJoinIsForwardedOnce: followers don't forward a join request that was forwarded already.
+func TestJoinIsForwardedOnce(t *testing.T) {
 	g := newSeededGroup(t)
 	var follower *process
 	for _, p := range g.processes {
@@ -132,28 +126,28 @@
 	require.Empty(t, ask(true))
 }
 
-// TestWhomToAsk: a replica outside asks the addresses of its settings, the members that it
-// remembers and whoever still sends to it.
-func TestWhomToAsk(t *testing.T) {
+// TestAdmissionContacts: a replica that is not a member asks the addresses in its settings, the members
+// that it remembers and all replicas that still send to it.
+func TestAdmissionContacts(t *testing.T) {
 	settings := Settings{Address: "own", Contacts: func() []string { return []string{"seed", "both", "own"} }}
 	members := []consensus.Member{{ID: 1, Address: "both"}, {ID: 2, Address: "member"}, {ID: 3, Address: "own"}}
-	require.Equal(t, []string{"both", "leader", "member", "seed"}, joinContacts(settings, members, []string{"leader", "both"}))
+	require.Equal(t, []string{"both", "leader", "member", "seed"}, admissionContacts(settings, members, []string{"leader", "both"}))
 
 	r := &Replica{settings: settings}
-	all := []question{{"a", true}, {"b", true}}
-	require.Equal(t, all, r.questions([]string{"a", "b"}, 1, false))
-	require.Equal(t, all, r.questions([]string{"a", "b"}, 1, true), "a group that takes all in is asked everywhere")
-	require.Empty(t, r.questions(nil, 1, true))
+	allForwarded := []joinRequest{{"a", true}, {"b", true}}
+	require.Equal(t, allForwarded, r.joinRequests([]string{"a", "b"}, 1, false))
+	require.Equal(t, allForwarded, r.joinRequests([]string{"a", "b"}, 1, true), "all contacts are asked if learners are unlimited")
+	require.Empty(t, r.joinRequests(nil, 1, true))
 }
 
-// TestManyThatStandByAskLittle: where the learners are bounded one contact passes a question on in
-// a round, late only one is asked, and now and then one that is no likely member.
-func TestManyThatStandByAskLittle(t *testing.T) {
-	r := &Replica{settings: Settings{Standby: 1, Others: func() []string { return []string{"x", "y"} }}}
+// TestStandbyReplicasLimitJoins: if learners are limited, one contact per round may forward a request.
+// After the standby delay only one contact is asked, and occasionally one of the other contacts.
+func TestStandbyReplicasLimitJoins(t *testing.T) {
+	r := &Replica{settings: Settings{StandbyLearners: 1, OtherContacts: func() []string { return []string{"x", "y"} }}}
 	contacts := []string{"a", "b"}
-	require.Equal(t, []question{{"a", true}, {"b", false}}, r.questions(contacts, 0, false))
-	require.Equal(t, []question{{"a", false}, {"b", true}}, r.questions(contacts, 1, false))
-	require.Equal(t, []question{{"b", true}}, r.questions(contacts, 1, true))
-	require.Equal(t, []question{{"a", true}, {"y", true}}, r.questions(contacts, othersEach, true))
-	require.Equal(t, []question{{"a", true}, {"x", true}}, r.questions(contacts, 2*othersEach, true))
+	require.Equal(t, []joinRequest{{"a", true}, {"b", false}}, r.joinRequests(contacts, 0, false))
+	require.Equal(t, []joinRequest{{"a", false}, {"b", true}}, r.joinRequests(contacts, 1, false))
+	require.Equal(t, []joinRequest{{"b", true}}, r.joinRequests(contacts, 1, true))
+	require.Equal(t, []joinRequest{{"a", true}, {"y", true}}, r.joinRequests(contacts, otherContactRounds, true))
+	require.Equal(t, []joinRequest{{"a", true}, {"x", true}}, r.joinRequests(contacts, 2*otherContactRounds, true))
 }
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	benchSamples = 1000
-	benchText    = 4 << 10
+	benchSamples   = 1000
+	benchTextBytes = 4 << 10
 )
 
-// benchGroup starts three replicas of a ledger with real files over loopback.
+// benchGroup starts three replicas of a ledger with files on disk, connected over loopback.
 func benchGroup(b *testing.B) []*Replica {
 	logger := zerolog.Nop()
 	var listeners []net.Listener
@@ -42,7 +42,7 @@
 	for number, listener := range listeners {
 		opened, err := Open(Settings{
 			Cluster: "bench", Address: listener.Addr().String(), DataFolder: filepath.Join(b.TempDir(), fmt.Sprint(number)),
-			Voters: 3, Founders: founders, Replica: founders.Members[number].ID, Contacts: func() []string { return nil },
+			Voters: 3, InitialMembers: founders, Replica: founders.Members[number].ID, Contacts: func() []string { return nil },
 		}, ledger.NewMachine(), &logger)
 		require.NoError(b, err)
 		router := mux.NewRouter()
@@ -54,24 +54,24 @@
 	return replicas
 }
 
-func serving(b *testing.B, replicas []*Replica) *Replica {
+func waitForLeader(b *testing.B, replicas []*Replica) *Replica {
 	var leader *Replica
 	require.Eventually(b, func() bool {
-		for _, one := range replicas {
-			if one.Status().Serving {
-				leader = one
+		for _, candidate := range replicas {
+			if candidate.Status().Serving {
+				leader = candidate
 			}
 		}
 		return leader != nil
-	}, eventually, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	return leader
 }
 
-// BenchmarkRecordResults records results of 4 KiB, ten to a commit, on three
-// replicas, and reports commits and results a second and the heap of all three.
+// BenchmarkRecordResults records results of 4 KiB, ten per commit, on three replicas, and reports commits
+// and results per second and the heap of all three.
 func BenchmarkRecordResults(b *testing.B) {
-	leader := serving(b, benchGroup(b))
-	text := make([]byte, benchText)
+	leader := waitForLeader(b, benchGroup(b))
+	text := make([]byte, benchTextBytes)
 	for position := range text {
 		text[position] = 'x'
 	}
--- a/replica/core.go
+++ b/replica/core.go
@@ -1,6 +1,5 @@
-// Package replica keeps a state machine in agreement among a group of
-// processes. Core is the pure part: consensus, proposals, confirmed reads and
-// the reconcile loop of the group's membership, without clock, disk or socket.
+// Package replica replicates a state machine across a group of processes. Core contains consensus,
+// proposals, confirmed reads and membership reconciliation, and uses no clock, disk or network.
 // Replica runs a Core in a process.
 package replica
 
@@ -13,108 +12,104 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// Machine is a replicated state. Apply must be a pure function of the state and
-// the command.
+// Machine is a replicated state machine. Apply must be a pure function of the state and the command.
 type Machine interface {
-	// Apply carries out a command and returns its encoded result.
+	// Apply applies a command and returns its encoded result.
 	Apply(command []byte) []byte
-	// Snapshot returns a function that writes the state as it is now, piece by
-	// piece. It may be called from another goroutine while commands are applied.
+	// Snapshot returns a function that writes the current state in chunks. It may be called from
+	// another goroutine while commands are applied.
 	Snapshot() func(io.Writer) error
-	// Restore replaces the state by a written one; nothing to read is the state
-	// before the first command.
+	// Restore replaces the state with a snapshot. An empty reader restores the initial state.
 	Restore(reader io.Reader) error
 }
 
-// Checked is a Machine that may meet what it cannot apply.
-type Checked interface {
-	// Err returns why nothing can be applied any more, or nil.
+// Fallible is a Machine that can fail to apply a command.
+type Fallible interface {
+	// Err returns the error that prevents further commands from being applied, or nil.
 	Err() error
 }
 
-// CoreConfig holds what a Core needs to start.
+// CoreConfig configures a Core.
 type CoreConfig struct {
 	Consensus consensus.Config
-	// Address is where other processes reach this replica.
+	// Address is the address at which other processes reach this replica.
 	Address string
-	// Voters is the number of voters that the membership loop aims at.
+	// Voters is the target number of voters.
 	Voters int
-	// Standby, if not 0, bounds the learners that are kept to take the places of
-	// lost voters; with 0 every process that asks becomes a learner.
-	Standby int
-	// SilentTicks is how long a voter must be silent before a caught-up
-	// learner takes its place.
+	// StandbyLearners, if not 0, limits the learners that are kept to replace lost voters. With 0 every
+	// process that asks becomes a learner.
+	StandbyLearners int
+	// SilentTicks is the number of ticks without a response after which a caught-up learner replaces
+	// a voter.
 	SilentTicks int
-	// SnapshotBytes is the least size of the log that makes a snapshot.
+	// SnapshotBytes is the minimum size of the log that triggers a snapshot.
 	SnapshotBytes int
-	// SnapshotEntries is the least number of entries that makes a snapshot, so
-	// that a log of many small entries is bounded too.
+	// SnapshotEntries is the number of log entries that triggers a snapshot regardless of their size.
 	SnapshotEntries int
 }
 
-// Outcome tells what became of a request.
+// Outcome is the result of a proposal or a read.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes.
 const (
 	// Done: the command is committed and applied, or the read is confirmed.
 	Done Outcome = iota + 1
-	// NotLeader: this replica cannot serve the request, and nothing was done.
+	// NotLeader: this replica cannot serve the request, which had no effect.
 	NotLeader
-	// Unknown: the command may or may not be carried out.
+	// Unknown: the command may or may not be committed.
 	Unknown
 )
 
-// Reply answers a request.
+// Reply is the reply to a proposal or a read.
 type Reply struct {
 	ID      uint64
 	Outcome Outcome
 	Result  []byte
 }
 
-// Outgoing is a message for another replica.
+// Outgoing is a message to another replica.
 type Outgoing struct {
 	Address string
 	Message protocol.Message
 }
 
-type waiter struct {
+type pendingProposal struct {
 	term uint64
 	id   uint64
 }
 
-// Core is one replica. Its methods must not be called concurrently.
+// Core is one replica of the group. It is not safe for concurrent use.
 type Core struct {
-	config  CoreConfig
-	raft    *consensus.Raft
-	machine Machine
-	applied uint64
+	config       CoreConfig
+	raft         *consensus.Raft
+	machine      Machine
+	appliedIndex uint64
 
-	waiting map[uint64]waiter
-	// reads holds the IDs of reads that wait for their confirmation.
+	pending map[uint64]pendingProposal
+	// reads holds the IDs of unconfirmed reads.
 	reads     *consensus.ReadTracker[uint64]
 	addresses map[consensus.ReplicaID]string
-	// leadingTerm is the term that this replica leads in, or 0.
+	// leadingTerm is the term in which this replica is the leader, or 0.
 	leadingTerm uint64
 	ticks       int
-	// retiring are the replicas that the operator wants out of the group.
+	// retiring are the replicas that the operator wants to remove.
 	retiring map[consensus.ReplicaID]bool
-	// superseded are replicas whose process has come back under another identity.
+	// superseded are members whose address is now used by a replica with another identity.
 	superseded map[consensus.ReplicaID]bool
-	// required is the version of the machine's commands that whoever is let in must know.
-	required uint64
+	// requiredVersion is the command version that a replica must support to be admitted.
+	requiredVersion uint64
 
 	logBytes     int
 	snapshotSize int
-	// job is the snapshot that is being made, and offered one that the caller
-	// has not taken yet.
-	job, offered *SnapshotJob
-	outbox       []Outgoing
-	replies      []Reply
+	// job is the snapshot being written; untakenJob is one that TakeSnapshotJob has not returned yet.
+	job, untakenJob *SnapshotJob
+	outbox          []Outgoing
+	replies         []Reply
 }
 
-// NewCore returns a replica that continues from what storage held, with the
-// state that the reader holds. It fails if that cannot be decoded.
+// NewCore returns a replica that continues from the stored state in the configuration and the machine's
+// state in the reader. It fails if that state cannot be decoded.
 func NewCore(config CoreConfig, machine Machine, state io.Reader) (*Core, error) {
 	if err := machine.Restore(state); err != nil {
 		return nil, err
@@ -122,8 +117,8 @@
 	config.Consensus.Snapshot.Data = nil
 	c := &Core{
 		config: config, raft: consensus.New(config.Consensus), machine: machine,
-		applied: config.Consensus.Snapshot.Index,
-		waiting: map[uint64]waiter{}, reads: consensus.NewReadTracker[uint64](),
+		appliedIndex: config.Consensus.Snapshot.Index,
+		pending:      map[uint64]pendingProposal{}, reads: consensus.NewReadTracker[uint64](),
 		addresses: map[consensus.ReplicaID]string{}, retiring: map[consensus.ReplicaID]bool{},
 		superseded: map[consensus.ReplicaID]bool{},
 	}
@@ -133,22 +128,22 @@
 	return c, nil
 }
 
-// Raft returns the replica's consensus state, for inspection only.
+// Raft returns the replica's consensus state, which callers must not modify.
 func (c *Core) Raft() *consensus.Raft { return c.raft }
 
-// Leading tells whether this replica leads.
+// Leading reports whether this replica is the leader.
 func (c *Core) Leading() bool { return c.raft.Role() == consensus.Leader }
 
-// Serving tells whether this replica leads and has applied all that earlier
-// leaders have committed, so that it may act on its state.
+// Serving reports whether this replica is the leader and has applied everything that earlier leaders
+// committed, so that it may act on its state.
 func (c *Core) Serving() bool {
-	return c.Leading() && c.raft.CommittedInTerm() && c.applied == c.raft.Commit()
+	return c.Leading() && c.raft.CommittedInTerm() && c.appliedIndex == c.raft.Commit()
 }
 
-// Senders returns the addresses that replicas have sent from since the start.
-func (c *Core) Senders() []string { return slices.Sorted(maps.Values(c.addresses)) }
+// SenderAddresses returns the addresses from which consensus messages have come since the start.
+func (c *Core) SenderAddresses() []string { return slices.Sorted(maps.Values(c.addresses)) }
 
-// LeaderAddress returns the leader's address, or "" if it is not known.
+// LeaderAddress returns the leader's address, or "" if it is unknown.
 func (c *Core) LeaderAddress() string {
 	if c.Leading() {
 		return c.config.Address
@@ -163,17 +158,17 @@
 	return c.addresses[id]
 }
 
-// Tick advances consensus by one tick and runs the leader's membership loop.
+// Tick advances consensus by one tick and, on the leader, reconciles the membership.
 func (c *Core) Tick() {
 	c.ticks++
 	c.raft.Tick()
-	c.noticeLeadership()
+	c.updateLeadership()
 	if c.Leading() && c.ticks%reconcileTicks == 0 {
 		c.reconcileMembership()
 	}
 }
 
-// Receive takes in a message of another replica.
+// Receive handles a message from another replica.
 func (c *Core) Receive(message protocol.Message) {
 	switch {
 	case message.Consensus != nil:
@@ -182,31 +177,31 @@
 	case message.Join != nil:
 		c.receiveJoin(*message.Join)
 	}
-	c.noticeLeadership()
+	c.updateLeadership()
 }
 
-// Propose asks for a command to be committed; the reply carries the ID.
+// Propose proposes a command. The reply carries the ID.
 func (c *Core) Propose(id uint64, command []byte) {
 	index, term, ok := c.raft.Propose(command)
 	if !ok {
-		c.answer(id, NotLeader, nil)
+		c.addReply(id, NotLeader, nil)
 		return
 	}
-	c.waiting[index] = waiter{term: term, id: id}
+	c.pending[index] = pendingProposal{term: term, id: id}
 }
 
-// Read asks for a confirmation that the machine reflects every command that
-// was acknowledged before the call; the reply carries the ID.
+// Read confirms that the machine reflects every command acknowledged before the call. The reply
+// carries the ID.
 func (c *Core) Read(id uint64) {
 	if !c.Leading() {
-		c.answer(id, NotLeader, nil)
+		c.addReply(id, NotLeader, nil)
 		return
 	}
 	c.reads.Begin(c.raft, id)
 }
 
-// TransferLeadership hands leadership to the most complete other voter, and
-// tells whether there is one.
+// TransferLeadership starts a transfer of leadership to the most up-to-date other voter, and reports
+// whether it was started.
 func (c *Core) TransferLeadership() bool {
 	best, bestMatch := consensus.None, uint64(0)
 	for _, member := range c.raft.Membership().Members {
@@ -220,14 +215,14 @@
 	return best != consensus.None && c.raft.TransferLeadership(best)
 }
 
-func (c *Core) answer(id uint64, outcome Outcome, result []byte) {
+func (c *Core) addReply(id uint64, outcome Outcome, result []byte) {
 	if id != 0 {
 		c.replies = append(c.replies, Reply{ID: id, Outcome: outcome, Result: result})
 	}
 }
 
-// noticeLeadership answers all who wait when a leadership ends.
-func (c *Core) noticeLeadership() {
+// updateLeadership records the leading term, and replies Unknown to all proposals once leadership is lost.
+func (c *Core) updateLeadership() {
 	if c.Leading() {
 		c.leadingTerm = c.raft.Term()
 		return
@@ -236,21 +231,21 @@
 		return
 	}
 	c.leadingTerm = 0
-	for index, waiting := range c.waiting {
-		c.answer(waiting.id, Unknown, nil)
-		delete(c.waiting, index)
+	for index, proposal := range c.pending {
+		c.addReply(proposal.id, Unknown, nil)
+		delete(c.pending, index)
 	}
 }
 
-// HasReady tells whether there is anything to persist, send or apply.
+// HasReady reports whether there is anything to persist, send or apply.
 func (c *Core) HasReady() bool { return c.raft.HasReady() }
 
-// Ready returns what has to be persisted before Advance.
+// Ready returns the state to be persisted before Advance.
 func (c *Core) Ready() consensus.Ready { return c.raft.Ready() }
 
-// Advance carries on after the Ready has been persisted: it sends its messages
-// and applies its committed entries. If the Ready holds a snapshot, state reads
-// its data; it fails if that cannot be decoded, or the machine cannot apply an entry.
+// Advance continues after the Ready has been persisted: it queues its messages and applies its committed
+// entries. If the Ready holds a snapshot, state reads its data. It fails if the snapshot cannot be
+// decoded or an entry cannot be applied.
 func (c *Core) Advance(ready consensus.Ready, state io.Reader) error {
 	for _, message := range ready.Messages {
 		consensusMessage := message
@@ -263,19 +258,19 @@
 		if err := c.machine.Restore(state); err != nil {
 			return err
 		}
-		c.applied, c.logBytes = ready.Snapshot.Index, 0
+		c.appliedIndex, c.logBytes = ready.Snapshot.Index, 0
 	}
 	for _, entry := range ready.Committed {
 		c.applyEntry(entry)
 	}
-	if checked, ok := c.machine.(Checked); ok && checked.Err() != nil {
+	if checked, ok := c.machine.(Fallible); ok && checked.Err() != nil {
 		return checked.Err()
 	}
 	c.raft.Advance(ready)
 	c.raft.DropSnapshotData()
-	c.noticeLeadership()
+	c.updateLeadership()
 	c.confirmReads(ready)
-	c.compact()
+	c.maybeStartSnapshot()
 	return nil
 }
 
@@ -288,71 +283,69 @@
 }
 
 func (c *Core) applyEntry(entry consensus.Entry) {
-	c.applied = entry.Index
+	c.appliedIndex = entry.Index
 	if entry.Kind != consensus.EntryNormal || len(entry.Data) == 0 {
 		return
 	}
 	result := c.machine.Apply(entry.Data)
-	waiting, ok := c.waiting[entry.Index]
+	proposal, ok := c.pending[entry.Index]
 	if !ok {
 		return
 	}
-	delete(c.waiting, entry.Index)
-	if waiting.term != entry.Term {
-		c.answer(waiting.id, Unknown, nil)
+	delete(c.pending, entry.Index)
+	if proposal.term != entry.Term {
+		c.addReply(proposal.id, Unknown, nil)
 		return
 	}
-	c.answer(waiting.id, Done, result)
+	c.addReply(proposal.id, Done, result)
 }
 
 func (c *Core) confirmReads(ready consensus.Ready) {
 	for _, id := range c.reads.TakeRejected(ready) {
-		c.answer(id, NotLeader, nil)
+		c.addReply(id, NotLeader, nil)
 	}
-	for _, id := range c.reads.TakeServable(ready, c.applied) {
-		c.answer(id, Done, nil)
+	for _, id := range c.reads.TakeServable(ready, c.appliedIndex) {
+		c.addReply(id, Done, nil)
 	}
 }
 
-// SnapshotJob is a snapshot to be encoded and persisted, which may take long
-// and need not hold the replica up.
+// SnapshotJob is a snapshot to be encoded and persisted concurrently with the Core.
 type SnapshotJob struct {
-	// Snapshot lacks its data, which Write writes.
+	// Snapshot has no data; Write writes it.
 	Snapshot consensus.Snapshot
 	Write    func(io.Writer) error
 	logBytes int
 }
 
-// logShare is the part of the last snapshot's size that the log may have.
-const logShare = 2
+// snapshotSizeDivisor divides the size of the last snapshot to get the minimum log size for the next one.
+const snapshotSizeDivisor = 2
 
-// compact asks for a snapshot when the log has outgrown both the configured size
-// and a part of the last snapshot, so that snapshots cost in proportion to the log.
-func (c *Core) compact() {
+// maybeStartSnapshot starts a snapshot when the log exceeds both the configured size and a fraction of the
+// last snapshot, which limits the cost of snapshots in proportion to the log, or has too many entries.
+func (c *Core) maybeStartSnapshot() {
 	entries := c.raft.LogSize()
-	grown := c.logBytes >= max(c.config.SnapshotBytes, c.snapshotSize/logShare)
+	grown := c.logBytes >= max(c.config.SnapshotBytes, c.snapshotSize/snapshotSizeDivisor)
 	grown = grown || c.config.SnapshotEntries > 0 && entries >= c.config.SnapshotEntries
 	if !grown || c.job != nil {
 		return
 	}
-	if snapshot, ok := c.raft.SnapshotMetadata(c.applied); ok {
+	if snapshot, ok := c.raft.SnapshotMetadata(c.appliedIndex); ok {
 		c.job = &SnapshotJob{Snapshot: snapshot, Write: c.machine.Snapshot(), logBytes: c.logBytes}
-		c.offered = c.job
+		c.untakenJob = c.job
 	}
 }
 
-// TakeSnapshotJob returns a snapshot to be made, or nil. FinishSnapshot must
-// follow once it is durable.
+// TakeSnapshotJob returns a snapshot to be written, or nil. The caller must call FinishSnapshot once it
+// is durable.
 func (c *Core) TakeSnapshotJob() *SnapshotJob {
-	job := c.offered
-	c.offered = nil
+	job := c.untakenJob
+	c.untakenJob = nil
 	return job
 }
 
-// FinishSnapshot takes in that the job's snapshot is durable with data of the
-// size, and drops the log up to it. It returns the index up to which the stored
-// log may be dropped, or 0. The data is not kept: messages that carry a snapshot
-// leave it to the caller to add the newest durable one.
+// FinishSnapshot is called when the job's snapshot is durable; size is the size of its data. It compacts
+// the log and returns the index up to which the stored log may be dropped, or 0. The Core doesn't keep
+// the data: the caller adds the newest durable snapshot to messages that carry one.
 func (c *Core) FinishSnapshot(job *SnapshotJob, size int) uint64 {
 	c.job = nil
 	if _, ok := c.raft.Compact(job.Snapshot.Index, nil); !ok {
@@ -363,14 +356,14 @@
 	return job.Snapshot.Index
 }
 
-// TakeMessages returns the messages to be sent and forgets them.
+// TakeMessages returns and clears the messages to be sent.
 func (c *Core) TakeMessages() []Outgoing {
 	messages := c.outbox
 	c.outbox = nil
 	return messages
 }
 
-// TakeReplies returns the replies and forgets them.
+// TakeReplies returns and clears the replies.
 func (c *Core) TakeReplies() []Reply {
 	replies := c.replies
 	c.replies = nil
--- a/replica/core_test.go
+++ b/replica/core_test.go
@@ -16,7 +16,7 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// numbers is a machine that keeps the numbers it is given, in order.
+// numbers is a state machine that appends each command's number to a list.
 type numbers struct{ list []uint64 }
 
 func (n *numbers) Apply(command []byte) []byte {
@@ -45,8 +45,7 @@
 	return err
 }
 
-// process is one machine of a test group: what its disk holds and, while it
-// runs, its core.
+// process is one machine of a test group: the contents of its disk and, while it runs, its core.
 type process struct {
 	address  string
 	identity consensus.ReplicaID
@@ -55,27 +54,26 @@
 	entries  []consensus.Entry
 	core     *Core
 	machine  *numbers
-	cut      bool
-	// seeds are the addresses that it asks to be let in, or nil for all.
+	isolated bool
+	// seeds are the addresses that it asks for admission; nil means all.
 	seeds []string
-	// job is a snapshot that is being written.
+	// job is a snapshot being written.
 	job *SnapshotJob
 }
 
-// group is a set of processes with a network that loses what is sent to
-// processes that are down or cut off.
+// group is a set of processes on a network that drops messages to processes that are down or isolated.
 type group struct {
 	t         require.TestingT
 	processes []*process
 	inbox     []Outgoing
 	nextID    uint64
 	identity  consensus.ReplicaID
-	// acknowledged are the numbers that a leader has answered as done.
+	// acknowledged are the numbers that a leader replied to with Done.
 	acknowledged []uint64
 	proposals    map[uint64]uint64
 	voters       int
 	standby      int
-	// electionTicks is the groups' election timeout.
+	// electionTicks is the group's election timeout.
 	electionTicks int
 }
 
@@ -111,20 +109,20 @@
 			ID: p.identity, ElectionTicks: g.electionTicks, HeartbeatTicks: 2, MaxAppendBytes: 1 << 10, Seed: uint64(p.identity),
 			HardState: p.state, Snapshot: p.snapshot, Entries: slices.Clone(p.entries),
 		},
-		Address: p.address, Voters: g.voters, Standby: g.standby, SilentTicks: 30, SnapshotBytes: 1 << 20, SnapshotEntries: 40,
+		Address: p.address, Voters: g.voters, StandbyLearners: g.standby, SilentTicks: 30, SnapshotBytes: 1 << 20, SnapshotEntries: 40,
 	}, p.machine, bytes.NewReader(p.snapshot.Data))
 	require.NoError(g.t, err)
 	p.core = core
 }
 
-// wipe takes a process down, loses its disk and gives it a new identity.
+// wipe stops a process, deletes its disk and gives it a new identity.
 func (g *group) wipe(p *process) {
 	g.identity++
 	*p = process{address: p.address, identity: g.identity}
 }
 
-// add brings a new machine with an empty disk.
-func (g *group) add() *process {
+// addProcess starts a new machine with an empty disk.
+func (g *group) addProcess() *process {
 	g.identity++
 	p := &process{address: fmt.Sprintf("m%d", len(g.processes)), identity: g.identity}
 	g.processes = append(g.processes, p)
@@ -164,12 +162,12 @@
 	g.finishSnapshot(p)
 	for _, message := range p.core.TakeMessages() {
 		if sent := message.Message.Consensus; sent != nil && sent.Snapshot != nil {
-			// What is durable is added, as the runtime does.
+			// The newest durable snapshot is added, as Replica does.
 			copied, snapshot := *sent, p.snapshot
 			copied.Snapshot = &snapshot
 			message.Message.Consensus = &copied
 		}
-		if !p.cut {
+		if !p.isolated {
 			g.inbox = append(g.inbox, message)
 		}
 	}
@@ -181,7 +179,7 @@
 	}
 }
 
-// finishSnapshot lets a snapshot become durable some entries after it was taken.
+// finishSnapshot makes a snapshot durable some entries after it was taken.
 func (g *group) finishSnapshot(p *process) {
 	if p.job == nil || p.core.Raft().Commit() < p.job.Snapshot.Index+5 {
 		return
@@ -199,14 +197,14 @@
 	p.job = nil
 }
 
-// step lets one tick pass and delivers all messages.
+// step advances all processes by one tick and delivers all messages.
 func (g *group) step() {
 	for _, p := range g.processes {
 		if p.core == nil {
 			continue
 		}
 		p.core.Tick()
-		g.join(p)
+		g.sendJoins(p)
 		g.flush(p)
 	}
 	for len(g.inbox) > 0 {
@@ -214,7 +212,7 @@
 		g.inbox = nil
 		for _, message := range batch {
 			for _, p := range g.processes {
-				if p.core != nil && !p.cut && p.address == message.Address {
+				if p.core != nil && !p.isolated && p.address == message.Address {
 					p.core.Receive(message.Message)
 					g.flush(p)
 				}
@@ -223,10 +221,10 @@
 	}
 }
 
-// join asks its seeds for admission, as a process outside of the group does.
-func (g *group) join(p *process) {
+// sendJoins asks the process's seeds for admission if it is not a member or knows no leader.
+func (g *group) sendJoins(p *process) {
 	_, member := p.core.Raft().Membership().Member(p.identity)
-	if member && p.core.Raft().Leader() != consensus.None || p.cut {
+	if member && p.core.Raft().Leader() != consensus.None || p.isolated {
 		return
 	}
 	for _, other := range g.processes {
@@ -247,14 +245,14 @@
 
 func (g *group) leader() *process {
 	for _, p := range g.processes {
-		if p.core != nil && !p.cut && p.core.Serving() {
+		if p.core != nil && !p.isolated && p.core.Serving() {
 			return p
 		}
 	}
 	return nil
 }
 
-// propose has the leader take a new number, if there is a leader.
+// propose proposes a new number on the leader, if there is one.
 func (g *group) propose() {
 	if leader := g.leader(); leader != nil {
 		g.nextID++
@@ -264,8 +262,8 @@
 	}
 }
 
-// check requires that the leader holds all that was acknowledged.
-func (g *group) check() {
+// requireAcknowledged requires that the leader has applied all acknowledged numbers.
+func (g *group) requireAcknowledged() {
 	leader := g.leader()
 	require.NotNil(g.t, leader, "there is no leader")
 	for _, number := range g.acknowledged {
@@ -273,8 +271,8 @@
 	}
 }
 
-// whole tells whether every process is a voter that holds the whole log.
-func (g *group) whole() bool {
+// allCaughtUp reports whether every process is a voter that has the whole committed log.
+func (g *group) allCaughtUp() bool {
 	leader := g.leader()
 	if leader == nil {
 		return false
@@ -282,19 +280,19 @@
 	for _, p := range g.processes {
 		member, ok := leader.core.Raft().Membership().Member(p.identity)
 		match, _ := leader.core.Raft().Match(p.identity)
-		if !ok || !member.Voter || p.cut || p.core == nil || match < leader.core.Raft().Commit() {
+		if !ok || !member.Voter || p.isolated || p.core == nil || match < leader.core.Raft().Commit() {
 			return false
 		}
 	}
 	return leader.core.Raft().MembershipCommitted()
 }
 
-// voterCount returns the number of voters as the leader sees it.
+// voterCount returns the leader's number of voters.
 func (g *group) voterCount() int { return g.leader().core.Raft().Membership().Voters() }
 
-// TestWipedVotersComeBackOneByOne: each of three machines loses its disk in
-// turn, 4 s apart, and each is a voter again well within that time.
-func TestWipedVotersComeBackOneByOne(t *testing.T) {
+// TestWipedVotersRejoin: three machines lose their disks in turn, 4 s apart, and each becomes a voter
+// again within that time.
+func TestWipedVotersRejoin(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	g.steps(40)
 	for round := range 6 {
@@ -307,35 +305,33 @@
 		g.steps(20)
 		g.start(p)
 		g.steps(60)
-		g.check()
+		g.requireAcknowledged()
 		require.Equal(t, 3, g.voterCount(), "round %d", round)
 		member, ok := g.leader().core.Raft().Membership().Member(p.identity)
 		require.True(t, ok && member.Voter, "round %d", round)
 	}
 }
 
-// TestMachineIsReplacedAtAnotherAddress: a voter that is gone for good gives
-// its place to a machine that has come in with an empty disk.
-func TestMachineIsReplacedAtAnotherAddress(t *testing.T) {
+// TestVoterIsReplacedAtAnotherAddress: a new machine with an empty disk replaces a permanently lost voter.
+func TestVoterIsReplacedAtAnotherAddress(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	g.steps(40)
 	g.propose()
 	g.processes[1].core = nil
 	g.steps(20)
-	added := g.add()
+	added := g.addProcess()
 	g.steps(80)
-	g.check()
+	g.requireAcknowledged()
 	require.Equal(t, 3, g.voterCount())
 	member, ok := g.leader().core.Raft().Membership().Member(added.identity)
 	require.True(t, ok && member.Voter)
 }
 
-// TestRetiringVoterLeaves: with a fourth machine there, a retiring one leaves
-// the group, which keeps three voters.
+// TestRetiringVoterLeaves: a retiring voter is replaced by a learner, and the group keeps three voters.
 func TestRetiringVoterLeaves(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	g.steps(40)
-	g.add()
+	g.addProcess()
 	g.steps(20)
 	retired := g.leader()
 	for range 100 {
@@ -344,16 +340,16 @@
 		}
 		g.step()
 	}
-	g.check()
+	g.requireAcknowledged()
 	require.Equal(t, 3, g.voterCount())
 	_, ok := g.leader().core.Raft().Membership().Member(retired.identity)
 	require.False(t, ok)
 }
 
-// TestStandbyIsBounded: of many machines that ask, only as many become learners
-// as are to stand by; they take the places of lost voters, others theirs, and a
-// machine that loses its disk while all places are taken is let in again.
-func TestStandbyIsBounded(t *testing.T) {
+// TestStandbyLearnersAreLimited: of many machines that ask, only the configured number become learners. They
+// replace lost voters, other machines replace them, and a machine that loses its disk while there are enough
+// learners is admitted again.
+func TestStandbyLearnersAreLimited(t *testing.T) {
 	g := newGroup(t, 5, 5)
 	g.standby = 2
 	for _, p := range g.processes {
@@ -361,7 +357,7 @@
 	}
 	g.steps(40)
 	for range 8 {
-		g.add()
+		g.addProcess()
 	}
 	g.steps(60)
 	require.Equal(t, 5, g.voterCount())
@@ -376,7 +372,7 @@
 	}
 	g.propose()
 	g.steps(120)
-	g.check()
+	g.requireAcknowledged()
 	require.Equal(t, 5, g.voterCount())
 	require.Len(t, g.leader().core.Raft().Membership().Members, 7)
 	down := 0
@@ -388,13 +384,13 @@
 	}
 	g.propose()
 	g.steps(300)
-	g.check()
+	g.requireAcknowledged()
 	require.Equal(t, 5, g.voterCount())
 	require.Zero(t, g.leader().core.SilentVoters())
 }
 
-// TestNothingAcknowledgedIsLost plays random wipes of one machine at a time,
-// kills of several, cuts and restarts.
+// TestNothingAcknowledgedIsLost injects random disk losses of one machine at a time, crashes of several,
+// network partitions and restarts.
 func TestNothingAcknowledgedIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(t, 3, 3)
@@ -403,8 +399,8 @@
 			p := g.processes[rapid.IntRange(0, 2).Draw(t, "process")]
 			switch rapid.IntRange(0, 5).Draw(t, "fault") {
 			case 0:
-				// A disk is lost only while the others hold all of theirs.
-				if g.whole() {
+				// A disk is lost only while all other processes have the whole log.
+				if g.allCaughtUp() {
 					g.wipe(p)
 					g.steps(rapid.IntRange(0, 30).Draw(t, "down"))
 					g.start(p)
@@ -416,7 +412,7 @@
 					other.core = nil
 				}
 			case 3:
-				p.cut = !p.cut
+				p.isolated = !p.isolated
 			}
 			for range rapid.IntRange(0, 20).Draw(t, "steps") {
 				g.propose()
@@ -429,13 +425,13 @@
 			}
 		}
 		for _, p := range g.processes {
-			p.cut = false
+			p.isolated = false
 			if p.core == nil {
 				g.start(p)
 			}
 		}
 		g.steps(300)
-		g.check()
+		g.requireAcknowledged()
 		require.Equal(t, 3, g.voterCount())
 	})
 }
--- a/replica/http.go
+++ b/replica/http.go
@@ -9,11 +9,11 @@
 	"github.com/dillchute/dillchute/transport"
 )
 
-// maxResponseBytes bounds what is read of an answer of another process.
+// maxResponseBytes limits the size of a response from another process.
 const maxResponseBytes = 256 << 20
 
-// PostInternal sends a body to another process of the system and returns the
-// body of its answer. Any status but 200 is an ErrUnavailable error.
+// PostInternal sends a request to another process of the system and returns the response body. Any
+// status but 200 is an ErrUnavailable error.
 func PostInternal(ctx context.Context, client *http.Client, url string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -29,12 +29,12 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, ErrUnavailable.New("%s answered %d", url, response.StatusCode)
+		return nil, ErrUnavailable.New("%s responded with status %d", url, response.StatusCode)
 	}
 	return data, nil
 }
 
-// NewInternalClient returns a client for calls between the system's processes.
+// NewInternalClient returns a client for requests between the system's processes.
 func NewInternalClient() *http.Client {
 	return &http.Client{Transport: transport.NewInternalTransport()}
 }
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -8,9 +8,9 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// receivePeer takes in what comes by the transport. A snapshot comes by a
-// transfer, which brings its data.
-func (r *Replica) receivePeer(message protocol.Message) {
+// receiveFromPeer handles messages from the transport. It drops those that carry a snapshot, which must
+// come by a transfer together with the data.
+func (r *Replica) receiveFromPeer(message protocol.Message) {
 	if message.Consensus == nil || message.Consensus.Snapshot == nil {
 		r.receive(message)
 	}
@@ -20,26 +20,26 @@
 	r.loop.Submit(func() { r.core.Receive(message) })
 }
 
-// tick makes up for ticks that were missed: a leader that stood still must
-// notice that its time has passed before it acts again.
+// tick advances the core by all ticks that have passed since the last call, so that a leader that
+// stalled loses its leadership before it acts again.
 func (r *Replica) tick() {
-	elapsed, suspended := r.pulse.Check()
+	elapsed, suspended := r.pauseDetector.Check()
 	missed := int(elapsed / TickInterval)
 	for range min(max(missed, 1), 2*electionTicks) {
 		r.core.Tick()
 	}
-	if elapsed > standstill {
+	if elapsed > stallThreshold {
 		event.ProcessStalled.On(r.logger).Int("ms", elapsed.Milliseconds()).Int("suspended_ms", suspended.Milliseconds()).Send()
 	}
 }
 
-// flush persists, applies and sends what the calls of a batch have produced.
-// One sync serves all entries of the batch.
+// flush persists, applies and sends the output of a batch of calls, with one sync for all entries of
+// the batch.
 func (r *Replica) flush() error {
 	advanced := false
 	for r.core.HasReady() {
 		ready := r.core.Ready()
-		if err := r.persist(func() error { return r.store.Save(ready) }); err != nil {
+		if err := r.persistWithRetry(func() error { return r.store.Save(ready) }); err != nil {
 			return err
 		}
 		if err := r.advance(ready); err != nil {
@@ -48,7 +48,7 @@
 		}
 		advanced = advanced || len(ready.Committed) > 0 || ready.Snapshot != nil
 		if job := r.core.TakeSnapshotJob(); job != nil {
-			go r.makeSnapshot(job)
+			go r.writeSnapshot(job)
 		}
 	}
 	r.updateStatus()
@@ -60,18 +60,18 @@
 		r.transport.Send(outgoing.Address, outgoing.Message)
 	}
 	for _, reply := range r.core.TakeReplies() {
-		if waiting, ok := r.waiting[reply.ID]; ok {
-			delete(r.waiting, reply.ID)
-			waiting <- reply
+		if replies, ok := r.pending[reply.ID]; ok {
+			delete(r.pending, reply.ID)
+			replies <- reply
 		}
 	}
 	if advanced {
-		r.signal()
+		r.notifyChanged()
 	}
 	return nil
 }
 
-// advance carries on after the Ready has been persisted.
+// advance continues after the Ready has been persisted.
 func (r *Replica) advance(ready consensus.Ready) error {
 	if ready.Snapshot == nil {
 		return r.core.Advance(ready, nil)
@@ -84,10 +84,10 @@
 	return r.core.Advance(ready, state)
 }
 
-// makeSnapshot writes a snapshot beside the loop.
-func (r *Replica) makeSnapshot(job *SnapshotJob) {
+// writeSnapshot writes a snapshot concurrently with the loop.
+func (r *Replica) writeSnapshot(job *SnapshotJob) {
 	size := 0
-	err := r.persist(func() (err error) {
+	err := r.persistWithRetry(func() (err error) {
 		size, err = r.store.WriteSnapshot(job.Snapshot, job.Write)
 		return err
 	})
@@ -97,16 +97,15 @@
 	event.SnapshotSaved.On(r.logger).Uint("index", job.Snapshot.Index).Uint("bytes", uint64(size)).Send()
 	r.loop.Submit(func() {
 		if through := r.core.FinishSnapshot(job, size); through > 0 {
-			r.persist(func() error { return r.store.DropLog(through) })
+			r.persistWithRetry(func() error { return r.store.DropLog(through) })
 		}
 	})
 }
 
-// persist repeats the call while storage refuses it: a disk that is full or
-// faulty for a while is no reason to stop, and until it takes writes again this
-// replica says nothing, so that another one leads.
-func (r *Replica) persist(call func() error) error {
-	err := call()
+// persistWithRetry repeats a write until it succeeds or the replica stops, so that a full or faulty disk
+// does not end the process. Until then the replica sends no messages, so another one can become leader.
+func (r *Replica) persistWithRetry(write func() error) error {
+	err := write()
 	if err == nil {
 		return nil
 	}
@@ -116,15 +115,15 @@
 		case <-r.context.Done():
 			event.StorageFailed.On(r.logger).Err(err).Send()
 			return err
-		case <-time.After(storageRetry):
+		case <-time.After(storageRetryInterval):
 		}
-		err = call()
+		err = write()
 	}
 	event.StorageRecovered.On(r.logger).Send()
 	return nil
 }
 
-func (r *Replica) signal() {
+func (r *Replica) notifyChanged() {
 	next := make(chan struct{})
 	close(*r.changed.Swap(&next))
 }
--- a/replica/membership.go
+++ b/replica/membership.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// reconcileTicks is the number of ticks between runs of the membership loop.
+	// reconcileTicks is the number of ticks between reconciliations of the membership.
 	reconcileTicks = 2
-	// maxLearnerLag is how many entries a learner may trail to count as caught up.
+	// maxLearnerLag is how many entries a caught-up learner may be behind.
 	maxLearnerLag = 64
-	// forgetFactor times SilentTicks is how long a learner may be silent.
-	forgetFactor = 8
+	// silentLearnerFactor times SilentTicks is the time after which a silent learner is removed.
+	silentLearnerFactor = 8
 )
 
-// receiveJoin takes a replica into the group as a learner. A member at the same
-// address under another identity has lost its disk: it never comes back.
+// receiveJoin adds a replica to the group as a learner. A member at the same address under another
+// identity has lost its disk and is superseded.
 func (c *Core) receiveJoin(join protocol.Join) {
 	if !c.Leading() {
-		c.passOnJoin(join)
+		c.forwardJoin(join)
 		return
 	}
-	if join.Knows < c.required || c.isOfEarlierLife(join) {
+	if join.Knows < c.requiredVersion || c.isStaleJoin(join) {
 		return
 	}
 	membership := c.raft.Membership()
@@ -31,7 +31,7 @@
 		}
 	}
 	delete(c.superseded, join.ID)
-	if _, ok := membership.Member(join.ID); ok || c.retiring[join.ID] || c.hasStandby() {
+	if _, ok := membership.Member(join.ID); ok || c.retiring[join.ID] || c.hasEnoughLearners() {
 		return
 	}
 	c.raft.ProposeMembership(consensus.MembershipChange{
@@ -39,30 +39,29 @@
 	})
 }
 
-// isOfEarlierLife tells whether a member at the address answers under another identity than the
-// one that asks. Its machine has lost a disk between the two, and the question is the older one:
-// whoever stood still passes on late what it was asked. It would put out a living member otherwise.
-// Where the member is only not known to be gone yet, the question comes again.
-func (c *Core) isOfEarlierLife(join protocol.Join) bool {
+// isStaleJoin reports whether a member at the same address is responsive under another identity. The
+// machine then lost its disk after it sent this request, which was forwarded late by a stalled replica,
+// and accepting it would remove a live member. If the member has only not been detected as silent yet,
+// the replica will ask again.
+func (c *Core) isStaleJoin(join protocol.Join) bool {
 	for _, member := range c.raft.Membership().Members {
-		if member.Address == join.Address && member.ID != join.ID && c.answers(member.ID) {
+		if member.Address == join.Address && member.ID != join.ID && c.isResponsive(member.ID) {
 			return true
 		}
 	}
 	return false
 }
 
-// answers tells, on a leader, whether the member has replied within an election timeout.
-func (c *Core) answers(id consensus.ReplicaID) bool {
+// isResponsive reports, on a leader, whether the member has replied within an election timeout.
+func (c *Core) isResponsive(id consensus.ReplicaID) bool {
 	_, silent := c.raft.Match(id)
 	return id == c.raft.ID() || silent <= c.config.Consensus.ElectionTicks
 }
 
-// passOnJoin sends the question of a replica outside to the leader. Such a replica knows only the
-// few addresses of its settings; if it were let in by a leader alone, it would stay outside while
-// none of them leads, and the group would be a voter short without anybody's notice. It is passed on
-// once, so that replicas that take each other for the leader do not send it around.
-func (c *Core) passOnJoin(join protocol.Join) {
+// forwardJoin forwards a join request to the leader, since a replica that knows only the few addresses
+// of its settings may not reach the leader itself. A request is forwarded once, so that replicas that
+// consider each other the leader don't send it in a loop.
+func (c *Core) forwardJoin(join protocol.Join) {
 	if join.PassedOn || c.raft.Leader() == consensus.None {
 		return
 	}
@@ -70,11 +69,10 @@
 	c.send(c.LeaderAddress(), protocol.Message{Join: &join})
 }
 
-// hasStandby tells whether there are as many learners alive as are wanted, to
-// become voters that are missing and to stand by. Further ones would cost every
-// commit a copy.
-func (c *Core) hasStandby() bool {
-	if c.config.Standby == 0 {
+// hasEnoughLearners reports whether there are enough responsive learners to replace missing voters and
+// to stand by. Further learners would have to receive every entry, too.
+func (c *Core) hasEnoughLearners() bool {
+	if c.config.StandbyLearners == 0 {
 		return false
 	}
 	voters, learners := 0, 0
@@ -87,29 +85,28 @@
 			learners++
 		}
 	}
-	return learners >= c.config.Standby+max(c.config.Voters-voters, 0)
+	return learners >= c.config.StandbyLearners+max(c.config.Voters-voters, 0)
 }
 
-// Require has only those let in from now on that know the version of the machine's commands: others
-// would apply them in another way.
-func (c *Core) Require(version uint64) { c.required = max(c.required, version) }
+// RequireVersion admits from now on only replicas that support the version of the machine's commands:
+// others would apply them differently.
+func (c *Core) RequireVersion(version uint64) { c.requiredVersion = max(c.requiredVersion, version) }
 
-// SetRetiring names the replicas that are to leave the group.
+// SetRetiring sets the replicas to be removed from the group.
 func (c *Core) SetRetiring(retiring map[consensus.ReplicaID]bool) { c.retiring = retiring }
 
-// membershipView sorts the members by what the loop may do with them.
+// membershipView classifies the members for the reconciliation.
 type membershipView struct {
 	voters int
-	// leaving is a voter that should go: superseded, retiring or silent.
-	leaving consensus.ReplicaID
-	// useless is a learner that should go.
-	useless consensus.ReplicaID
-	// ready is a learner that holds almost all of the log.
-	ready consensus.ReplicaID
+	// unwantedVoter is a voter to be removed: superseded, retiring or silent.
+	unwantedVoter consensus.ReplicaID
+	// unwantedLearner is a learner to be removed.
+	unwantedLearner consensus.ReplicaID
+	// readyLearner is a caught-up learner.
+	readyLearner consensus.ReplicaID
 }
 
-// SilentVoters returns, on a leader, the number of voters that have not replied
-// for an election timeout.
+// SilentVoters returns, on a leader, the number of voters that have not replied for an election timeout.
 func (c *Core) SilentVoters() int {
 	if !c.Leading() {
 		return 0
@@ -123,8 +120,8 @@
 	return count
 }
 
-// MissingVoters returns, on a leader, how many voters the group lacks that have answered within
-// the time after which a learner takes their place.
+// MissingVoters returns, on a leader, how many voters the group lacks. Voters that have been silent for
+// longer than SilentTicks don't count.
 func (c *Core) MissingVoters() int {
 	if !c.Leading() {
 		return 0
@@ -138,7 +135,7 @@
 	return max(c.config.Voters-alive, 0)
 }
 
-func (c *Core) viewMembership() membershipView {
+func (c *Core) classifyMembers() membershipView {
 	var view membershipView
 	for _, member := range c.raft.Membership().Members {
 		match, silent := c.raft.Match(member.ID)
@@ -146,52 +143,51 @@
 		switch {
 		case member.Voter:
 			view.voters++
-			gone := member.ID != c.raft.ID() && silent > c.config.SilentTicks
-			if c.superseded[member.ID] || view.leaving == consensus.None && (unwanted || gone) {
-				view.leaving = member.ID
+			silentTooLong := member.ID != c.raft.ID() && silent > c.config.SilentTicks
+			if c.superseded[member.ID] || view.unwantedVoter == consensus.None && (unwanted || silentTooLong) {
+				view.unwantedVoter = member.ID
 			}
-		case unwanted || silent > forgetFactor*c.config.SilentTicks:
-			view.useless = member.ID
+		case unwanted || silent > silentLearnerFactor*c.config.SilentTicks:
+			view.unwantedLearner = member.ID
 		case match+maxLearnerLag >= c.raft.Commit() && match > 0 && silent <= c.config.Consensus.ElectionTicks:
-			view.ready = member.ID
+			view.readyLearner = member.ID
 		}
 	}
 	return view
 }
 
-// reconcileMembership moves the membership one step towards the wanted number
-// of voters that are alive. One change is under way at a time; the consensus
-// package refuses a second. A voter whose disk is lost is removed first, which
-// leaves the quorum at the same number of live voters; any other voter leaves
-// only once a caught-up learner can take its place.
+// reconcileMembership proposes at most one change towards the target number of responsive voters. The
+// consensus package rejects a second concurrent change. A voter that lost its disk is removed first:
+// the smaller quorum then consists of live voters. Any other voter is removed only if a caught-up learner
+// can replace it.
 func (c *Core) reconcileMembership() {
-	view := c.viewMembership()
+	view := c.classifyMembers()
 	switch {
-	case view.leaving != consensus.None && c.superseded[view.leaving] && view.voters > 1:
-		c.remove(view.leaving)
-	case view.ready != consensus.None && view.voters < c.config.Voters:
-		c.raft.ProposeMembership(consensus.MembershipChange{Action: consensus.PromoteLearner, ID: view.ready})
-	case view.leaving != consensus.None && view.voters > c.config.Voters:
-		c.remove(view.leaving)
-	case view.leaving != consensus.None && view.ready != consensus.None:
-		c.replace(view)
-	case view.useless != consensus.None:
-		c.remove(view.useless)
+	case view.unwantedVoter != consensus.None && c.superseded[view.unwantedVoter] && view.voters > 1:
+		c.removeMember(view.unwantedVoter)
+	case view.readyLearner != consensus.None && view.voters < c.config.Voters:
+		c.raft.ProposeMembership(consensus.MembershipChange{Action: consensus.PromoteLearner, ID: view.readyLearner})
+	case view.unwantedVoter != consensus.None && view.voters > c.config.Voters:
+		c.removeMember(view.unwantedVoter)
+	case view.unwantedVoter != consensus.None && view.readyLearner != consensus.None:
+		c.replaceVoter(view)
+	case view.unwantedLearner != consensus.None:
+		c.removeMember(view.unwantedLearner)
 	}
 }
 
-// replace puts the learner in the place of the voter. A silent voter goes
-// first: with it, a larger group would need all others for a quorum. A retiring
-// one still helps, so the learner comes first.
-func (c *Core) replace(view membershipView) {
-	if !c.retiring[view.leaving] {
-		c.remove(view.leaving)
+// replaceVoter replaces the voter by the learner. A silent voter is removed first, as the larger group
+// would need all other voters for a quorum. A retiring voter still responds, so the learner is promoted
+// first.
+func (c *Core) replaceVoter(view membershipView) {
+	if !c.retiring[view.unwantedVoter] {
+		c.removeMember(view.unwantedVoter)
 		return
 	}
-	c.raft.ProposeMembership(consensus.MembershipChange{Action: consensus.PromoteLearner, ID: view.ready})
+	c.raft.ProposeMembership(consensus.MembershipChange{Action: consensus.PromoteLearner, ID: view.readyLearner})
 }
 
-func (c *Core) remove(id consensus.ReplicaID) {
+func (c *Core) removeMember(id consensus.ReplicaID) {
 	if id == c.raft.ID() {
 		c.TransferLeadership()
 		return
--- a/replica/outlive_test.go
+++ b/replica/outlive_test.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// worldCatchUp is how many ticks a machine counts as lost after it is back.
-	worldCatchUp = 86
-	// worldLeaderless is how many ticks a group may be without a leader that serves.
-	worldLeaderless = 100
-	// worldRecovery is how many ticks a group has after more machines than it bears were away
-	// with their disks kept.
-	worldRecovery = 200
-	worldSeeds    = 3
-	// worldKept bounds what is kept on the way to a machine that stands still.
-	worldKept = 200
-	// These are the runtime's, in ticks.
-	worldJoin     = int(joinInterval / TickInterval)
-	worldPatience = int(joinPatience / TickInterval)
-	worldStandby  = int(standbyInterval / TickInterval)
+	// catchUpTicks is how long a machine counts as lost after it has recovered.
+	catchUpTicks = 86
+	// maxLeaderlessTicks is how long a group may have no serving leader.
+	maxLeaderlessTicks = 100
+	// recoveryTicks is how long a group may take to recover after more machines than it tolerates
+	// were down with their disks kept.
+	recoveryTicks = 200
+	seedCount     = 3
+	// maxQueuedMessages limits the messages queued for a stalled machine.
+	maxQueuedMessages = 200
+	// The delays of Replica, in ticks.
+	joinTicks         = int(joinInterval / TickInterval)
+	standbyDelayTicks = int(standbyDelay / TickInterval)
+	standbyJoinTicks  = int(standbyJoinInterval / TickInterval)
 )
 
-// cutMode tells what a cut keeps from passing.
+// cutMode is the direction in which a partition drops messages.
 type cutMode int
 
 const (
@@ -41,67 +41,68 @@
 	cutIn
 )
 
-// machine is a process of a world, and what befalls it.
+// machine is a simulated process and its current faults.
 type machine struct {
 	*process
-	// gone is set on a machine that never comes back, and whose place another one takes.
-	gone bool
-	// The machine is down, stands still, is cut off or counts as lost until these ticks.
-	downUntil, frozenUntil, cutUntil, lostUntil int
-	cutMode                                     cutMode
-	cutGroup                                    int
-	// missed are ticks that it has yet to make up for, and kept what has come while it stood still.
-	missed int
-	kept   []protocol.Message
-	// insideSince, askAt and round belong to the asking for admission.
-	insideSince, askAt, round int
-}
-
-// world is a group on a network with links that fail, machines that stand still, are cut off and
-// replaced, and settings that name three of them.
-type world struct {
+	// replaced is set on a machine that was permanently replaced by another one.
+	replaced bool
+	// The machine is down, stalled, partitioned or counted as lost until these ticks.
+	downUntil, stalledUntil, cutUntil, lostUntil int
+	cutMode                                      cutMode
+	cutGroup                                     int
+	// missedTicks are still to be caught up; queued are messages received during a stall.
+	missedTicks int
+	queued      []protocol.Message
+	// lastMemberAt, nextJoinAt and joinRound control the machine's join requests.
+	lastMemberAt, nextJoinAt, joinRound int
+}
+
+// simulation is a group on an unreliable network, whose machines stall, are partitioned and are replaced,
+// and whose settings name three of them.
+type simulation struct {
 	*group
 	random    *rand.Rand
 	tick      int
 	machines  []*machine
 	byAddress map[string]*machine
-	// seeds are what the settings name, and catalog the members that the group has reported.
-	seeds, catalog []string
-	ledger         bool
-	tolerance      int
-	// linkUp is the tick from which a link that has failed carries messages again.
-	linkUp map[[2]string]int
-	// late is the share of ticks that come late, and loss that of messages that get lost.
-	late, loss float64
-	// leaderless counts ticks, and dark is the last at which more than is borne was away.
-	leaderless, dark int
-	log              []string
+	// seeds are the addresses in the settings; reportedMembers are the members that the group last reported.
+	seeds, reportedMembers []string
+	isLedger               bool
+	tolerance              int
+	// linkUpAt is the tick from which a failed link delivers messages again.
+	linkUpAt map[[2]string]int
+	// The probabilities that a tick is late and that a message is lost.
+	lateTickProbability, messageLossProbability float64
+	// leaderlessTicks counts ticks without a serving leader. exceededAt is the last tick at which more
+	// machines than tolerated were lost.
+	leaderlessTicks, exceededAt int
+	events                      []string
 }
 
-func (w *world) note(format string, args ...any) {
-	w.log = append(w.log, fmt.Sprintf("%d: ", w.tick)+fmt.Sprintf(format, args...))
+func (w *simulation) logf(format string, args ...any) {
+	w.events = append(w.events, fmt.Sprintf("%d: ", w.tick)+fmt.Sprintf(format, args...))
 }
 
-// fail ends the test with what has happened.
-func (w *world) fail(format string, arguments ...any) {
-	require.Fail(w.t, fmt.Sprintf("tick %d: ", w.tick)+fmt.Sprintf(format, arguments...), strings.Join(w.log, "\n"))
+// failf fails the test and prints the events.
+func (w *simulation) failf(format string, arguments ...any) {
+	require.Fail(w.t, fmt.Sprintf("tick %d: ", w.tick)+fmt.Sprintf(format, arguments...), strings.Join(w.events, "\n"))
 }
 
-func newWorld(t require.TestingT, seed uint64, size, tolerance int, ledger bool) *world {
+func newSimulation(t require.TestingT, seed uint64, size, tolerance int, ledger bool) *simulation {
 	random := rand.New(rand.NewPCG(seed, 1))
-	w := &world{random: random, byAddress: map[string]*machine{}, linkUp: map[[2]string]int{}, ledger: ledger, tolerance: tolerance}
+	w := &simulation{random: random, byAddress: map[string]*machine{}, linkUpAt: map[[2]string]int{}, isLedger: ledger, tolerance: tolerance}
 	w.group = &group{t: t, proposals: map[uint64]uint64{}, identity: 100, voters: 2*tolerance + 1}
 	if ledger {
 		w.standby = max(tolerance, 1)
 	}
 	switch random.IntN(3) {
 	case 0:
-		w.late = 0.2
+		w.lateTickProbability = 0.2
 	case 1:
-		w.late = 0.05
+		w.lateTickProbability = 0.05
 	}
 	if random.IntN(3) == 0 {
-		w.loss = 0.02
+		w.messageLossProbability = 0.02
 	}
 	founders := 3
 	if ledger {
@@ -112,11 +113,11 @@
 		membership.Members = append(membership.Members, consensus.Member{ID: consensus.ReplicaID(number + 1), Address: fmt.Sprintf("m%d", number), Voter: true})
 		w.seeds = append(w.seeds, fmt.Sprintf("m%d", number))
 	}
-	for number := founders; number < worldSeeds; number++ {
+	for number := founders; number < seedCount; number++ {
 		w.seeds = append(w.seeds, fmt.Sprintf("m%d", number))
 	}
-	w.seeds = w.seeds[:worldSeeds]
-	w.catalog = slices.Clone(w.seeds)
+	w.seeds = w.seeds[:seedCount]
+	w.reportedMembers = slices.Clone(w.seeds)
 	for number := range size {
 		m := &machine{process: &process{address: fmt.Sprintf("m%d", number)}}
 		if number < founders {
@@ -134,49 +135,49 @@
 	return w
 }
 
-func (w *world) boot(m *machine) {
+func (w *simulation) boot(m *machine) {
 	m.machine, m.job = &numbers{}, nil
-	lastLeader := 0
-	if w.ledger {
-		lastLeader = lastLeaderTicks
+	nonLeaderDelay := 0
+	if w.isLedger {
+		nonLeaderDelay = nonLeaderDelayTicks
 	}
 	core, err := NewCore(CoreConfig{
 		Consensus: consensus.Config{
-			ID: m.identity, ElectionTicks: electionTicks, FirstElectionTicks: firstElectionTicks, NonLeaderDelayTicks: lastLeader, HeartbeatTicks: heartbeatTicks, MaxAppendBytes: 1 << 10, Seed: w.random.Uint64(),
+			ID: m.identity, ElectionTicks: electionTicks, FirstElectionTicks: firstElectionTicks, NonLeaderDelayTicks: nonLeaderDelay, HeartbeatTicks: heartbeatTicks, MaxAppendBytes: 1 << 10, Seed: w.random.Uint64(),
 			HardState: m.state, Snapshot: m.snapshot, Entries: slices.Clone(m.entries),
 		},
-		Address: m.address, Voters: w.voters, Standby: w.standby, SilentTicks: silentTicks, SnapshotBytes: 1 << 20, SnapshotEntries: 40,
+		Address: m.address, Voters: w.voters, StandbyLearners: w.standby, SilentTicks: silentTicks, SnapshotBytes: 1 << 20, SnapshotEntries: 40,
 	}, m.machine, bytes.NewReader(m.snapshot.Data))
 	if err != nil {
-		w.fail("boot: %v", err)
+		w.failf("boot: %v", err)
 	}
 	m.core = core
-	m.kept, m.missed, m.downUntil, m.frozenUntil = nil, 0, 0, 0
-	m.insideSince, m.round = w.tick, 0
-	m.askAt = w.tick
-	w.touchLinks(m)
+	m.queued, m.missedTicks, m.downUntil, m.stalledUntil = nil, 0, 0, 0
+	m.lastMemberAt, m.joinRound = w.tick, 0
+	m.nextJoinAt = w.tick
+	w.delayLinks(m)
 }
 
-// touchLinks has others reach the machine again only after their pause.
-func (w *world) touchLinks(m *machine) {
+// delayLinks fails some of the links to the machine for a short time.
+func (w *simulation) delayLinks(m *machine) {
 	for _, other := range w.machines {
 		if w.random.IntN(2) == 0 {
-			w.linkUp[[2]string{other.address, m.address}] = w.tick + w.random.IntN(25)
+			w.linkUpAt[[2]string{other.address, m.address}] = w.tick + w.random.IntN(25)
 		}
 	}
 }
 
-func (m *machine) isAwake(tick int) bool {
-	return m.core != nil && tick >= m.frozenUntil
+func (m *machine) isRunning(tick int) bool {
+	return m.core != nil && tick >= m.stalledUntil
 }
 
-// isLost tells whether the machine counts among those that the group has to bear. One that is gone
-// counts with the machine that takes its place.
+// isLost reports whether the machine counts against the tolerated losses. A replaced machine doesn't: its
+// replacement does.
 func (m *machine) isLost(tick int) bool {
-	return !m.gone && (m.core == nil || tick < max(m.frozenUntil, m.cutUntil, m.lostUntil))
+	return !m.replaced && (m.core == nil || tick < max(m.stalledUntil, m.cutUntil, m.lostUntil))
 }
 
-func (w *world) lostCount() int {
+func (w *simulation) lostCount() int {
 	count := 0
 	for _, m := range w.machines {
 		if m.isLost(w.tick) {
@@ -186,8 +187,8 @@
 	return count
 }
 
-func (w *world) isBlocked(from, to *machine) bool {
-	if w.tick < w.linkUp[[2]string{from.address, to.address}] {
+func (w *simulation) isBlocked(from, to *machine) bool {
+	if w.tick < w.linkUpAt[[2]string{from.address, to.address}] {
 		return true
 	}
 	fromCut, toCut := w.tick < from.cutUntil, w.tick < to.cutUntil
@@ -197,11 +198,11 @@
 	return fromCut && from.cutMode != cutIn || toCut && to.cutMode != cutOut
 }
 
-// contacts returns whom the machine asks, as the runtime does.
-func (w *world) contacts(m *machine) []string {
+// contacts returns the addresses that the machine asks for admission, like Replica.contacts.
+func (w *simulation) contacts(m *machine) []string {
 	addresses := slices.Clone(w.seeds)
-	if w.ledger {
-		addresses = slices.Clone(w.catalog)
+	if w.isLedger {
+		addresses = slices.Clone(w.reportedMembers)
 	}
 	for _, member := range m.core.Raft().Membership().Members {
 		addresses = append(addresses, member.Address)
@@ -211,22 +212,22 @@
 	return slices.DeleteFunc(addresses, func(address string) bool { return address == m.address })
 }
 
-// ask has a machine outside of the group ask to be let in, as often as the runtime does.
-func (w *world) ask(m *machine) {
-	if w.tick < m.askAt {
+// requestAdmission sends a non-member's join requests, like Replica.requestAdmission.
+func (w *simulation) requestAdmission(m *machine) {
+	if w.tick < m.nextJoinAt {
 		return
 	}
-	m.askAt = w.tick + worldJoin
+	m.nextJoinAt = w.tick + joinTicks
 	if _, member := m.core.Raft().Membership().Member(m.identity); member && m.core.Raft().Leader() != consensus.None {
-		m.insideSince = w.tick
+		m.lastMemberAt = w.tick
 		return
 	}
 	addresses := w.contacts(m)
-	if w.tick-m.insideSince > worldPatience {
-		m.askAt = w.tick + worldStandby
-		addresses = oneOf(addresses, m.round)
+	if w.tick-m.lastMemberAt > standbyDelayTicks {
+		m.nextJoinAt = w.tick + standbyJoinTicks
+		addresses = addressInTurn(addresses, m.joinRound)
 	}
-	m.round++
+	m.joinRound++
 	for _, address := range addresses {
 		w.inbox = append(w.inbox, Outgoing{Address: address, Message: protocol.Message{
 			From: m.address, Join: &protocol.Join{ID: m.identity, Address: m.address},
@@ -234,8 +235,8 @@
 	}
 }
 
-// advance lets one tick pass and delivers all messages.
-func (w *world) advance() {
+// advanceTick advances the simulation by one tick and delivers all messages.
+func (w *simulation) advanceTick() {
 	w.tick++
 	for _, m := range w.machines {
 		w.endFaults(m)
@@ -251,7 +252,7 @@
 		}
 	}
 	for _, m := range w.machines {
-		if m.isAwake(w.tick) && m.core.Serving() {
+		if m.isRunning(w.tick) && m.core.Serving() {
 			w.nextID++
 			w.proposals[w.nextID] = w.nextID
 			m.core.Propose(w.nextID, binary.BigEndian.AppendUint64(nil, w.nextID))
@@ -261,71 +262,71 @@
 	w.reportMembers()
 }
 
-func (w *world) reportMembers() {
-	leader := w.serving()
+func (w *simulation) reportMembers() {
+	leader := w.servingLeader()
 	if leader == nil || !leader.core.Raft().MembershipCommitted() {
 		return
 	}
-	w.catalog = nil
+	w.reportedMembers = nil
 	for _, member := range leader.core.Raft().Membership().Members {
-		w.catalog = append(w.catalog, member.Address)
+		w.reportedMembers = append(w.reportedMembers, member.Address)
 	}
 }
 
-// endFaults starts, wakes or connects the machine where it is time.
-func (w *world) endFaults(m *machine) {
-	if m.gone {
+// endFaults restarts, resumes or reconnects the machine when its faults end.
+func (w *simulation) endFaults(m *machine) {
+	if m.replaced {
 		return
 	}
 	if m.core == nil && w.tick >= m.downUntil {
 		w.boot(m)
-		w.markBack(m, "is back")
+		w.markRecovering(m, "restarted")
 	}
 	if m.core != nil && w.tick == m.cutUntil {
-		w.touchLinks(m)
-		w.markBack(m, "is connected")
+		w.delayLinks(m)
+		w.markRecovering(m, "reconnected")
 	}
-	if m.core != nil && w.tick == m.frozenUntil {
-		kept := m.kept
-		m.kept, m.missed = nil, 2*electionTicks
-		for _, message := range kept {
+	if m.core != nil && w.tick == m.stalledUntil {
+		queued := m.queued
+		m.queued, m.missedTicks = nil, 2*electionTicks
+		for _, message := range queued {
 			m.core.Receive(message)
 		}
 		w.flush(m.process)
-		w.markBack(m, "wakes")
+		w.markRecovering(m, "resumed")
 	}
 }
 
-func (w *world) markBack(m *machine, what string) {
-	m.lostUntil = max(m.lostUntil, w.tick+worldCatchUp)
-	w.note("%s %s as %d", m.address, what, m.identity)
+func (w *simulation) markRecovering(m *machine, event string) {
+	m.lostUntil = max(m.lostUntil, w.tick+catchUpTicks)
+	w.logf("%s %s as %d", m.address, event, m.identity)
 }
 
-// tickMachine lets the machine's tick pass, unless it comes late and is made up for later.
-func (w *world) tickMachine(m *machine) {
-	if !m.isAwake(w.tick) {
+// tickMachine advances the machine's core, unless the tick is late and is caught up later.
+func (w *simulation) tickMachine(m *machine) {
+	if !m.isRunning(w.tick) {
 		return
 	}
-	m.missed++
-	if w.random.Float64() < w.late {
+	m.missedTicks++
+	if w.random.Float64() < w.lateTickProbability {
 		return
 	}
-	for range min(m.missed, 2*electionTicks) {
+	for range min(m.missedTicks, 2*electionTicks) {
 		m.core.Tick()
 	}
-	m.missed = 0
-	w.ask(m)
+	m.missedTicks = 0
+	w.requestAdmission(m)
 	w.flush(m.process)
 }
 
-func (w *world) deliver(message Outgoing) {
+func (w *simulation) deliver(message Outgoing) {
 	from, to := w.byAddress[message.Message.From], w.byAddress[message.Address]
-	if to == nil || to.core == nil || w.isBlocked(from, to) || w.random.Float64() < w.loss {
+	if to == nil || to.core == nil || w.isBlocked(from, to) || w.random.Float64() < w.messageLossProbability {
 		return
 	}
-	if !to.isAwake(w.tick) {
-		if len(to.kept) < worldKept {
-			to.kept = append(to.kept, message.Message)
+	if !to.isRunning(w.tick) {
+		if len(to.queued) < maxQueuedMessages {
+			to.queued = append(to.queued, message.Message)
 		}
 		return
 	}
@@ -333,11 +334,11 @@
 	w.flush(to.process)
 }
 
-// serving returns the newest leader that serves and is not cut off.
-func (w *world) serving() *machine {
+// servingLeader returns the serving leader with the highest term that is not partitioned.
+func (w *simulation) servingLeader() *machine {
 	var newest *machine
 	for _, m := range w.machines {
-		if m.isAwake(w.tick) && m.core.Serving() && w.tick >= m.cutUntil &&
+		if m.isRunning(w.tick) && m.core.Serving() && w.tick >= m.cutUntil &&
 			(newest == nil || m.core.Raft().Term() > newest.core.Raft().Term()) {
 			newest = m
 		}
@@ -345,177 +346,176 @@
 	return newest
 }
 
-// live lets ticks pass, in each of which the group has to keep what it promises.
-func (w *world) live(ticks int) {
+// run advances the simulation and checks the group's guarantees in each tick.
+func (w *simulation) run(ticks int) {
 	for range ticks {
-		w.advance()
+		w.advanceTick()
 		lost := w.lostCount()
 		if lost > w.tolerance {
-			w.dark = w.tick
+			w.exceededAt = w.tick
 		}
-		recovers := w.dark > 0 && w.tick-w.dark < worldRecovery
-		leader := w.serving()
-		w.leaderless++
-		if leader != nil || recovers {
-			w.leaderless = 0
+		recovering := w.exceededAt > 0 && w.tick-w.exceededAt < recoveryTicks
+		leader := w.servingLeader()
+		w.leaderlessTicks++
+		if leader != nil || recovering {
+			w.leaderlessTicks = 0
 		}
-		if w.leaderless > worldLeaderless {
-			w.fail("there is no leader")
+		if w.leaderlessTicks > maxLeaderlessTicks {
+			w.failf("there has been no leader for too long")
 		}
-		if leader != nil && lost == 0 && !recovers {
+		if leader != nil && lost == 0 && !recovering {
 			w.checkVoters(leader)
 		}
 	}
-	if leader := w.serving(); leader != nil {
+	if leader := w.servingLeader(); leader != nil {
 		w.checkAcknowledged(leader)
 	}
 }
 
-func (w *world) checkAcknowledged(leader *machine) {
-	held := map[uint64]bool{}
+func (w *simulation) checkAcknowledged(leader *machine) {
+	stored := map[uint64]bool{}
 	for _, number := range leader.machine.list {
-		held[number] = true
+		stored[number] = true
 	}
 	for _, number := range w.acknowledged {
-		if !held[number] {
-			w.fail("%d was acknowledged and is lost", number)
+		if !stored[number] {
+			w.failf("acknowledged number %d is lost", number)
 		}
 	}
 }
 
-// checkVoters requires that the group's voters are as many as are wanted, all of them alive.
-func (w *world) checkVoters(leader *machine) {
+// checkVoters requires that the group has the target number of voters and that none of them is lost.
+func (w *simulation) checkVoters(leader *machine) {
 	alive := 0
 	for _, member := range leader.core.Raft().Membership().Members {
-		if m := w.byAddress[member.Address]; member.Voter && !m.gone && m.identity == member.ID {
+		if m := w.byAddress[member.Address]; member.Voter && !m.replaced && m.identity == member.ID {
 			alive++
 		}
 	}
 	if voters := leader.core.Raft().Membership().Voters(); alive != w.voters || voters != w.voters {
-		w.fail("of %d voters %d are alive, wanted are %d", voters, alive, w.voters)
+		w.failf("of %d voters, %d are alive; expected %d", voters, alive, w.voters)
 	}
 }
 
-// pick returns machines that are not lost, more often than by lot the leader among them.
-func (w *world) pick(count int) []*machine {
-	var fit []*machine
+// pickRunning returns machines that are not lost. It prefers the leader.
+func (w *simulation) pickRunning(count int) []*machine {
+	var available []*machine
 	for _, position := range w.random.Perm(len(w.machines)) {
-		if m := w.machines[position]; !m.gone && !m.isLost(w.tick) && len(fit) < count {
-			fit = append(fit, m)
+		if m := w.machines[position]; !m.replaced && !m.isLost(w.tick) && len(available) < count {
+			available = append(available, m)
 		}
 	}
-	leader := w.serving()
-	if leader != nil && !leader.isLost(w.tick) && len(fit) > 0 && w.random.IntN(3) == 0 && !slices.Contains(fit, leader) {
-		fit[0] = leader
+	leader := w.servingLeader()
+	if leader != nil && !leader.isLost(w.tick) && len(available) > 0 && w.random.IntN(3) == 0 && !slices.Contains(available, leader) {
+		available[0] = leader
 	}
-	return fit
+	return available
 }
 
-// disturb brings about one fault, within what the group bears. Only when the power goes are more
-// machines away, whose disks are kept.
-func (w *world) disturb() {
+// injectFaults starts faults within the tolerated losses. Only a power outage stops more machines, which
+// keep their disks.
+func (w *simulation) injectFaults() {
 	allowed := w.tolerance - w.lostCount()
 	kind := w.random.IntN(10)
 	switch {
 	case kind == 0:
 		w.changeSeeds()
 	case kind == 1 && allowed >= 0:
-		w.wipeAgain()
+		w.wipeLostMachines()
 	case allowed > 0:
-		chosen := w.pick(1 + w.random.IntN(allowed))
+		chosen := w.pickRunning(1 + w.random.IntN(allowed))
 		group := w.random.Int()
-		length := []int{5, 20, 40, 100, 160, 300}[w.random.IntN(6)] + w.random.IntN(20)
+		duration := []int{5, 20, 40, 100, 160, 300}[w.random.IntN(6)] + w.random.IntN(20)
 		for _, m := range chosen {
-			w.lose(m, kind, length, group)
+			w.injectFault(m, kind, duration, group)
 		}
 		if kind == 2 && w.random.IntN(3) == 0 {
-			w.blackOut()
+			w.powerOutage()
 		}
 	}
 }
 
-// lose has a machine lost in one way or another.
-func (w *world) lose(m *machine, kind, length, group int) {
-	w.note("%s is lost (%d) for %d", m.address, kind, length)
+// injectFault starts one fault of a machine.
+func (w *simulation) injectFault(m *machine, kind, duration, group int) {
+	w.logf("%s: fault %d for %d ticks", m.address, kind, duration)
 	switch kind {
 	case 2, 3, 4:
 		w.wipeDisk(m, 10+w.random.IntN(60))
 	case 5:
-		m.core, m.downUntil = nil, w.tick+length
+		m.core, m.downUntil = nil, w.tick+duration
 	case 6:
-		m.frozenUntil = w.tick + length
+		m.stalledUntil = w.tick + duration
 	case 7:
-		m.cutUntil, m.cutGroup, m.cutMode = w.tick+length, group, cutMode(w.random.IntN(3))
+		m.cutUntil, m.cutGroup, m.cutMode = w.tick+duration, group, cutMode(w.random.IntN(3))
 	case 8:
 		m.core.TransferLeadership()
 		w.flush(m.process)
 		m.core, m.downUntil = nil, w.tick+2+w.random.IntN(40)
 	case 9:
-		w.replace(m, 20+w.random.IntN(20))
+		w.replaceMachine(m, 20+w.random.IntN(20))
 	}
 }
 
-// wipeDisk has the machine lose its power and its disk.
-func (w *world) wipeDisk(m *machine, length int) {
+// wipeDisk stops the machine and deletes its disk.
+func (w *simulation) wipeDisk(m *machine, duration int) {
 	w.identity++
 	*m.process = process{address: m.address, identity: w.identity}
-	m.downUntil, m.frozenUntil = w.tick+length, 0
+	m.downUntil, m.stalledUntil = w.tick+duration, 0
 }
 
-// wipeAgain has machines that are lost already lose their disks.
-func (w *world) wipeAgain() {
+// wipeLostMachines deletes the disks of some machines that already count as lost.
+func (w *simulation) wipeLostMachines() {
 	for _, m := range w.machines {
 		if m.isLost(w.tick) && m.core != nil && w.random.IntN(2) == 0 {
-			w.note("%s loses its disk", m.address)
+			w.logf("%s loses its disk", m.address)
 			w.wipeDisk(m, 10+w.random.IntN(50))
 		}
 	}
 }
 
-func (w *world) blackOut() {
-	w.note("all are dark")
+func (w *simulation) powerOutage() {
+	w.logf("power outage")
 	for _, m := range w.machines {
-		if !m.gone && m.core != nil {
+		if !m.replaced && m.core != nil {
 			m.core, m.downUntil = nil, w.tick+40+w.random.IntN(60)
 		}
 	}
 }
 
-// replace has an empty machine at another address take the machine's place. The settings follow.
-func (w *world) replace(m *machine, after int) {
+// replaceMachine replaces the machine by an empty one at another address, and updates the settings.
+func (w *simulation) replaceMachine(m *machine, delay int) {
 	w.identity++
 	added := &machine{
 		process:   &process{address: fmt.Sprintf("m%d", len(w.machines)), identity: w.identity},
-		downUntil: w.tick + after,
+		downUntil: w.tick + delay,
 	}
 	w.machines = append(w.machines, added)
 	w.byAddress[added.address] = added
-	m.gone, m.core = true, nil
+	m.replaced, m.core = true, nil
 	if position := slices.Index(w.seeds, m.address); position >= 0 {
 		w.seeds = slices.Clone(w.seeds)
 		w.seeds[position] = added.address
 	}
-	w.note("%s takes the place of %s", added.address, m.address)
+	w.logf("%s replaces %s", added.address, m.address)
 }
 
-func (w *world) changeSeeds() {
+func (w *simulation) changeSeeds() {
 	w.seeds = nil
 	for _, position := range w.random.Perm(len(w.machines)) {
-		if m := w.machines[position]; !m.gone && len(w.seeds) < worldSeeds {
+		if m := w.machines[position]; !m.replaced && len(w.seeds) < seedCount {
 			w.seeds = append(w.seeds, m.address)
 		}
 	}
-	w.note("the settings name %v", w.seeds)
+	w.logf("the settings name %v", w.seeds)
 }
 
-// TestGroupOutlivesWhatItBears plays machines that lose their disks, are killed, stand still, are
-// cut off, stopped and replaced, one beside the other, never more at once than the group bears, each
-// of them lost until it has had the time to catch up. There is always a leader soon, nothing that
-// was acknowledged is lost, and once no machine is lost all voters are there.
-func TestGroupOutlivesWhatItBears(t *testing.T) {
+// TestGroupSurvivesToleratedFaults injects disk losses, crashes, stalls, partitions, shutdowns and
+// replacements, never more at once than the group tolerates. A leader is always elected soon, no acknowledged
+// command is lost, and all voters are present once no machine is lost.
+func TestGroupSurvivesToleratedFaults(t *testing.T) {
 	const (
-		rounds   = 25
-		atTheEnd = 700
+		rounds     = 25
+		finalTicks = 700
 	)
 	for _, group := range []struct {
 		size, tolerance int
@@ -523,15 +523,15 @@
 	}{{3, 1, false}, {4, 1, false}, {5, 2, false}, {6, 2, false}, {7, 2, false}, {6, 1, true}, {11, 2, true}} {
 		t.Run(fmt.Sprintf("%+v", group), func(t *testing.T) {
 			for seed := range uint64(20) {
-				w := newWorld(t, seed, group.size, group.tolerance, group.ledger)
-				for range worldRecovery {
-					w.advance()
+				w := newSimulation(t, seed, group.size, group.tolerance, group.ledger)
+				for range recoveryTicks {
+					w.advanceTick()
 				}
 				for range rounds {
-					w.live([]int{0, 3, 10, 40, 90, 200}[w.random.IntN(6)])
-					w.disturb()
+					w.run([]int{0, 3, 10, 40, 90, 200}[w.random.IntN(6)])
+					w.injectFaults()
 				}
-				w.live(atTheEnd)
+				w.run(finalTicks)
 			}
 		})
 	}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -21,30 +21,30 @@
 )
 
 const (
-	// TickInterval is the unit of consensus timing.
+	// TickInterval is the duration of a consensus tick.
 	TickInterval  = 50 * time.Millisecond
 	electionTicks = 8
-	// firstElectionTicks leaves processes that start together time to listen.
+	// firstElectionTicks leaves processes that start together time to receive messages.
 	firstElectionTicks = 1
-	// lastLeaderTicks leaves a leader whose process starts a little later than the
-	// others' time to lead again, where the group is to keep its leader.
-	lastLeaderTicks = 4
-	heartbeatTicks  = 2
-	// silentTicks is how long a voter is silent before a learner replaces it.
+	// nonLeaderDelayTicks gives the last leader time to restart and be elected again, if the group is
+	// to keep its leader.
+	nonLeaderDelayTicks = 4
+	heartbeatTicks      = 2
+	// silentTicks is the number of ticks without a response after which a learner replaces a voter.
 	silentTicks    = 30
 	maxAppendBytes = 1 << 20
-	// standstill is how long a tick must be late to be told of: an election, in which others
-	// may have taken over.
-	standstill = electionTicks * TickInterval
-	// joinInterval is the time between requests for admission. A process that
-	// has asked for joinPatience in vain stands by, and asks each standbyInterval.
-	joinInterval    = 300 * time.Millisecond
-	joinPatience    = 10 * time.Second
-	standbyInterval = time.Second
-	transferWait    = time.Second
-	// storageRetry is the time between attempts to write to a disk that refuses.
-	storageRetry = 100 * time.Millisecond
-	// ExecutePath is where a leader takes in commands of other replicas.
+	// stallThreshold is the delay of a tick from which a stall is logged: an election timeout, after
+	// which another replica may lead.
+	stallThreshold = electionTicks * TickInterval
+	// joinInterval is the time between rounds of join requests. After standbyDelay without admission
+	// the replica stands by and sends them every standbyJoinInterval.
+	joinInterval              = 300 * time.Millisecond
+	standbyDelay              = 10 * time.Second
+	standbyJoinInterval       = time.Second
+	leadershipTransferTimeout = time.Second
+	// storageRetryInterval is the time between attempts to repeat a failed write.
+	storageRetryInterval = 100 * time.Millisecond
+	// ExecutePath is the path at which a leader accepts commands from other replicas.
 	ExecutePath     = "/internal/execute"
 	maxCommandBytes = 64 << 20
 	snapshotBytes   = 4 << 20
@@ -53,54 +53,53 @@
 
 var (
 	namespace = errorx.NewNamespace("replica")
-	// ErrUnavailable: there is no leader within reach, and nothing was done.
+	// ErrUnavailable: no leader is reachable, and the request had no effect.
 	ErrUnavailable = namespace.NewType("unavailable")
-	// ErrUnknown: the command may or may not have been carried out.
+	// ErrUnknown: the command may or may not have been committed.
 	ErrUnknown = namespace.NewType("unknown")
 )
 
-// Settings say which replica of which group a process is.
+// Settings configures a Replica.
 type Settings struct {
 	Cluster    string
 	Address    string
 	DataFolder string
-	// Voters is the number of voters that the group aims at.
+	// Voters is the target number of voters.
 	Voters int
-	// Standby bounds the learners, as in CoreConfig.
-	Standby int
-	// KeepLeader has the group elect the same leader again after all processes
-	// were away, where it comes back with them. An election without it takes
-	// lastLeaderTicks longer.
+	// StandbyLearners limits the learners, as in CoreConfig.
+	StandbyLearners int
+	// KeepLeader lets the group elect its last leader again after all processes were restarted, if that
+	// one restarts with them. Otherwise the election takes nonLeaderDelayTicks longer.
 	KeepLeader bool
-	// Founders are the first members, if this process is one of them and the
-	// folder is empty; otherwise a replica without data joins the group.
-	Founders consensus.Membership
-	// Knows is the newest version of the machine's commands that this build knows.
-	Knows uint64
-	// Replica is the identity for an empty folder.
+	// InitialMembers are the first members of the group, if this process is one of them and the folder is
+	// empty. Any other replica without data joins the group.
+	InitialMembers consensus.Membership
+	// KnownVersion is the newest version of the machine's commands that this build supports.
+	KnownVersion uint64
+	// Replica is the identity to use if the folder is empty.
 	Replica consensus.ReplicaID
-	// Contacts returns addresses of processes that may be members. It is called again and
-	// again while the replica is outside of the group.
+	// Contacts returns addresses of processes that may be members. It is called repeatedly while the
+	// replica is not a member.
 	Contacts func() []string
-	// Others returns addresses of processes that may have become members since the contacts were
-	// learnt, or is nil. A replica that stands by asks one of them now and then.
-	Others func() []string
+	// OtherContacts, if not nil, returns addresses of processes that may have become members since the
+	// contacts were determined. A standby replica occasionally asks one of them.
+	OtherContacts func() []string
 }
 
-// Store keeps what a replica must not forget. What a call has returned for
-// without an error is durable; one that failed may be repeated.
+// Store persists a replica's state. Data is durable once a call has returned without an error. A failed
+// call may be repeated.
 type Store interface {
 	Save(ready consensus.Ready) error
-	// WriteSnapshot makes a snapshot durable, whose data the function writes, and
+	// WriteSnapshot makes a snapshot durable, with the data that the function writes, and
 	// returns the data's size. It may be called while Save or DropLog run.
 	WriteSnapshot(snapshot consensus.Snapshot, write func(io.Writer) error) (int, error)
-	// OpenSnapshot returns the newest snapshot, without its data, and the data and
-	// its size. It may be called at any time.
+	// OpenSnapshot returns the newest snapshot without its data, and a reader and the size of the data.
+	// It may be called at any time.
 	OpenSnapshot() (consensus.Snapshot, io.ReadCloser, int64, error)
-	// ReceiveSnapshot keeps another replica's snapshot, whose data has the size,
-	// until a Save names it. It may be called while the others run.
+	// ReceiveSnapshot stores a snapshot from another replica, with data of the given size, until Save
+	// is called with it. It may be called concurrently with the other methods.
 	ReceiveSnapshot(snapshot consensus.Snapshot, data io.Reader, size int64) error
-	// DropLog forgets the entries up to the index, which a snapshot covers.
+	// DropLog deletes the entries up to the index, which a snapshot covers.
 	DropLog(through uint64) error
 	Close() error
 }
@@ -117,20 +116,20 @@
 	client    *http.Client
 	transfers *transfers
 
-	nextID  uint64
-	waiting map[uint64]chan Reply
-	pulse   *clock.PauseDetector
-	status  atomic.Pointer[Status]
-	// changed is closed and made anew with each change of the machine.
+	nextID        uint64
+	pending       map[uint64]chan Reply
+	pauseDetector *clock.PauseDetector
+	status        atomic.Pointer[Status]
+	// changed is closed and replaced with each change of the machine.
 	changed atomic.Pointer[chan struct{}]
 }
 
-// Open opens the data folder, or sets it up if it is empty.
+// Open opens the data folder, or initialises it if it is empty.
 func Open(settings Settings, machine Machine, logger *zerolog.Logger) (*Replica, error) {
 	if settings.Replica == consensus.None {
 		settings.Replica = NewIdentity()
 	}
-	store, contents, err := openOrSetUp(settings)
+	store, contents, err := openOrInit(settings)
 	if err != nil {
 		return nil, err
 	}
@@ -139,17 +138,17 @@
 		store.Close()
 		return nil, err
 	}
-	lastLeaderWait := 0
+	nonLeaderDelay := 0
 	if settings.KeepLeader {
-		lastLeaderWait = lastLeaderTicks
+		nonLeaderDelay = nonLeaderDelayTicks
 	}
 	core, err := NewCore(CoreConfig{
 		Consensus: consensus.Config{
 			ID: contents.Identity.Replica, ElectionTicks: electionTicks, FirstElectionTicks: firstElectionTicks, HeartbeatTicks: heartbeatTicks,
-			NonLeaderDelayTicks: lastLeaderWait, MaxAppendBytes: maxAppendBytes, Seed: rand.Uint64(),
+			NonLeaderDelayTicks: nonLeaderDelay, MaxAppendBytes: maxAppendBytes, Seed: rand.Uint64(),
 			HardState: contents.HardState, Snapshot: contents.Snapshot, Entries: contents.Entries,
 		},
-		Address: settings.Address, Voters: settings.Voters, Standby: settings.Standby, SilentTicks: silentTicks,
+		Address: settings.Address, Voters: settings.Voters, StandbyLearners: settings.StandbyLearners, SilentTicks: silentTicks,
 		SnapshotBytes: snapshotBytes, SnapshotEntries: snapshotEntries,
 	}, machine, state)
 	if err == nil {
@@ -157,7 +156,7 @@
 	}
 	if err != nil {
 		store.Close()
-		return nil, storage.ErrDamaged.Wrap(err, "restore the snapshot")
+		return nil, storage.ErrCorrupt.Wrap(err, "restore the snapshot")
 	}
 	return newReplica(settings, store, core, logger), nil
 }
@@ -165,34 +164,33 @@
 func newReplica(settings Settings, store Store, core *Core, logger *zerolog.Logger) *Replica {
 	r := &Replica{
 		settings: settings, logger: logger, store: store, core: core, loop: eventloop.New(), context: context.Background(),
-		client: &http.Client{Transport: transport.NewInternalTransport()}, waiting: map[uint64]chan Reply{},
+		client: &http.Client{Transport: transport.NewInternalTransport()}, pending: map[uint64]chan Reply{},
 	}
 	r.status.Store(&Status{ID: core.Raft().ID()})
 	changed := make(chan struct{})
 	r.changed.Store(&changed)
-	r.transport = transport.New(logger, r.receivePeer)
+	r.transport = transport.New(logger, r.receiveFromPeer)
 	r.transfers = newTransfers(store, r.client, logger)
 	return r
 }
 
-// NewIdentity returns a random identity that no founder has.
+// NewIdentity returns a random identity that differs from those of initial members.
 func NewIdentity() consensus.ReplicaID {
 	return consensus.ReplicaID(rand.Uint64()>>1 | 1<<62)
 }
 
-// openOrSetUp opens the data folder. It sets up one that holds no replica.
-func openOrSetUp(settings Settings) (*storage.Store, storage.Contents, error) {
+// openOrInit opens the data folder. It initialises one that holds no replica.
+func openOrInit(settings Settings) (*storage.Store, storage.Contents, error) {
 	store, contents, err := storage.Open(settings.DataFolder, settings.Cluster)
 	if err == nil || !errorx.IsOfType(err, storage.ErrMissing) {
 		return store, contents, err
 	}
-	var first consensus.Snapshot
-	if _, founder := settings.Founders.Member(settings.Replica); founder {
-		// All founders start from the same made-up entry, so that the
-		// membership is part of what they agree on.
-		first = consensus.Snapshot{Index: 1, Term: 1, Membership: settings.Founders}
+	var initial consensus.Snapshot
+	if _, founder := settings.InitialMembers.Member(settings.Replica); founder {
+		// All initial members start from the same synthetic entry, so that they agree on the membership.
+		initial = consensus.Snapshot{Index: 1, Term: 1, Membership: settings.InitialMembers}
 	}
-	if err := storage.Init(settings.DataFolder, settings.Cluster, settings.Replica, first); err != nil {
+	if err := storage.Init(settings.DataFolder, settings.Cluster, settings.Replica, initial); err != nil {
 		return nil, contents, err
 	}
 	return storage.Open(settings.DataFolder, settings.Cluster)
@@ -201,18 +199,18 @@
 // Changed returns a channel that is closed at the next change of the machine.
 func (r *Replica) Changed() <-chan struct{} { return *r.changed.Load() }
 
-// Handle adds what other replicas call to the router.
+// Handle registers the handlers for requests from other replicas.
 func (r *Replica) Handle(router *mux.Router) {
 	router.Handle(transport.Path, r.transport).Methods(http.MethodPost)
 	router.HandleFunc(ExecutePath, r.serveExecute).Methods(http.MethodPost)
 	router.HandleFunc(snapshotPath, r.serveSnapshot).Methods(http.MethodPost)
 }
 
-// Counts returns the transport's totals.
+// Counts returns the transport's counters.
 func (r *Replica) Counts() *transport.Counts { return &r.transport.Counts }
 
-// Run runs the replica until the context ends, then hands leadership over. It
-// returns an error if storage fails.
+// Run runs the replica until the context ends, then transfers leadership. It returns an error if storage
+// fails.
 func (r *Replica) Run(ctx context.Context) error {
 	defer r.store.Close()
 	defer r.transport.Close()
@@ -221,12 +219,12 @@
 	loopContext, stopLoop := context.WithCancel(context.Background())
 	defer stopLoop()
 	r.context = ctx
-	go r.askToJoin(ctx)
+	go r.requestAdmission(ctx)
 	go func() {
 		<-ctx.Done()
-		r.handOver()
+		r.transferLeadership()
 		stopLoop()
 	}()
-	r.pulse = clock.NewPauseDetector()
+	r.pauseDetector = clock.NewPauseDetector()
 	return r.loop.Run(loopContext, TickInterval, r.tick, r.flush)
 }
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -17,10 +17,10 @@
 	"github.com/dillchute/dillchute/consensus"
 )
 
-// eventually is far more than anything here takes.
-const eventually = time.Minute
+// testTimeout is much longer than any test here takes.
+const testTimeout = time.Minute
 
-// refusingStore refuses a number of writes, as a disk that is full does.
+// refusingStore fails a number of writes, like a full disk.
 type refusingStore struct {
 	mutex    sync.Mutex
 	refusals int
@@ -48,8 +48,8 @@
 func (s *refusingStore) DropLog(uint64) error                                       { return nil }
 func (s *refusingStore) Close() error                                               { return nil }
 
-// runAlone runs a replica that is its group's only member until the test ends.
-func runAlone(t *testing.T, store *refusingStore) (*Replica, *numbers) {
+// runSingleReplica runs a replica that is the only member of its group until the test ends.
+func runSingleReplica(t *testing.T, store *refusingStore) (*Replica, *numbers) {
 	logger := zerolog.Nop()
 	member := consensus.Member{ID: 1, Address: "127.0.0.1:1", Voter: true}
 	machine := &numbers{}
@@ -64,52 +64,52 @@
 	require.NoError(t, err)
 	r := newReplica(Settings{Address: member.Address, Contacts: func() []string { return nil }}, store, core, &logger)
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- r.Run(ctx) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- r.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		require.NoError(t, <-ended)
+		require.NoError(t, <-runErr)
 	})
 	return r, machine
 }
 
-// executeSoon repeats the command until it is acknowledged.
-func executeSoon(t *testing.T, r *Replica, number uint64) {
+// executeUntilAcknowledged repeats the command until it is acknowledged.
+func executeUntilAcknowledged(t *testing.T, r *Replica, number uint64) {
 	require.Eventually(t, func() bool {
 		_, err := r.Execute(context.Background(), binary.BigEndian.AppendUint64(nil, number))
 		return err == nil
-	}, eventually, TickInterval)
+	}, testTimeout, TickInterval)
 }
 
-func listOf(r *Replica, machine *numbers) []uint64 {
+func machineList(r *Replica, machine *numbers) []uint64 {
 	var list []uint64
 	r.Do(func() { list = slices.Clone(machine.list) })
 	return list
 }
 
-// TestReplicaOutlivesFullDisk: a disk that refuses writes for a while does not
-// end the process, and a command is acknowledged once it is written.
-func TestReplicaOutlivesFullDisk(t *testing.T) {
+// TestReplicaSurvivesFullDisk: failing writes don't end the process, and a command is acknowledged once it
+// is written.
+func TestReplicaSurvivesFullDisk(t *testing.T) {
 	store := &refusingStore{refusals: 3}
-	r, machine := runAlone(t, store)
-	executeSoon(t, r, 7)
+	r, machine := runSingleReplica(t, store)
+	executeUntilAcknowledged(t, r, 7)
 	require.NoError(t, r.Confirm(context.Background()))
-	require.Equal(t, []uint64{7}, listOf(r, machine))
+	require.Equal(t, []uint64{7}, machineList(r, machine))
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	require.Zero(t, store.refusals)
 	require.Positive(t, store.saved)
 }
 
-// TestNothingIsProposedForAnEndedContext: what a leader decided before it lost its
-// leadership is not committed by the same replica under its next one.
-func TestNothingIsProposedForAnEndedContext(t *testing.T) {
-	r, machine := runAlone(t, &refusingStore{})
-	executeSoon(t, r, 7)
+// TestEndedContextProposesNothing: a command of a leadership that was lost is not committed in a later
+// leadership of the same replica.
+func TestEndedContextProposesNothing(t *testing.T) {
+	r, machine := runSingleReplica(t, &refusingStore{})
+	executeUntilAcknowledged(t, r, 7)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := r.Execute(ended, binary.BigEndian.AppendUint64(nil, 8))
 	require.Error(t, err)
-	executeSoon(t, r, 9)
-	require.Equal(t, []uint64{7, 9}, listOf(r, machine))
+	executeUntilAcknowledged(t, r, 9)
+	require.Equal(t, []uint64{7, 9}, machineList(r, machine))
 }
--- a/replica/request.go
+++ b/replica/request.go
@@ -9,8 +9,8 @@
 	"github.com/dillchute/dillchute/eventloop"
 )
 
-// Do runs the function in the replica's loop, where the machine may be read.
-// It returns false if the replica has stopped.
+// Do runs the function in the replica's loop, where it may read the machine. It returns false if the
+// replica has stopped.
 func (r *Replica) Do(function func()) bool {
 	_, ok := eventloop.Call(r.loop, func() struct{} {
 		function()
@@ -19,43 +19,42 @@
 	return ok
 }
 
-// SetRetiring names the replicas that are to leave the group.
+// SetRetiring sets the replicas to be removed from the group.
 func (r *Replica) SetRetiring(retiring map[consensus.ReplicaID]bool) {
 	r.loop.Submit(func() { r.core.SetRetiring(retiring) })
 }
 
-// ask starts a request under an ID in the loop and waits for its reply. Nothing is
-// started for a context that has ended: its owner may have lost the leadership that
-// it acts under, while this replica leads again.
-func (r *Replica) ask(ctx context.Context, start func(id uint64)) Reply {
+// submitRequest starts a request in the loop and waits for its reply. It starts nothing if the context has
+// ended: its owner may have lost the leadership in which it decided to act, even if this replica leads again.
+func (r *Replica) submitRequest(ctx context.Context, start func(id uint64)) Reply {
 	if ctx.Err() != nil {
 		return Reply{Outcome: NotLeader}
 	}
-	answered := make(chan Reply, 1)
+	replies := make(chan Reply, 1)
 	var id uint64
 	queued := r.loop.Submit(func() {
 		r.nextID++
 		id = r.nextID
-		r.waiting[id] = answered
+		r.pending[id] = replies
 		start(id)
 	})
 	if !queued {
 		return Reply{Outcome: NotLeader}
 	}
 	select {
-	case reply := <-answered:
+	case reply := <-replies:
 		return reply
 	case <-r.loop.Done():
 	case <-ctx.Done():
-		r.loop.Submit(func() { delete(r.waiting, id) })
+		r.loop.Submit(func() { delete(r.pending, id) })
 	}
 	return Reply{Outcome: Unknown}
 }
 
-// Confirm waits until the machine reflects every command that was acknowledged
-// before the call. It fails on a replica that does not lead.
+// Confirm waits until the machine reflects every command acknowledged before the call. It fails on a
+// replica that is not the leader.
 func (r *Replica) Confirm(ctx context.Context) error {
-	switch r.ask(ctx, func(id uint64) { r.core.Read(id) }).Outcome {
+	switch r.submitRequest(ctx, func(id uint64) { r.core.Read(id) }).Outcome {
 	case Done:
 		return nil
 	default:
@@ -63,10 +62,9 @@
 	}
 }
 
-// Execute has the command carried out, by the leader wherever that is, and
-// returns its encoded result.
+// Execute executes the command on the leader, forwarding it if necessary, and returns its encoded result.
 func (r *Replica) Execute(ctx context.Context, command []byte) ([]byte, error) {
-	reply := r.ask(ctx, func(id uint64) { r.core.Propose(id, command) })
+	reply := r.submitRequest(ctx, func(id uint64) { r.core.Propose(id, command) })
 	switch reply.Outcome {
 	case Done:
 		return reply.Result, nil
@@ -77,20 +75,20 @@
 	if leader == "" || leader == r.settings.Address {
 		return nil, ErrUnavailable.New("no leader is known")
 	}
-	return r.executeAt(ctx, leader, command)
+	return r.forwardCommand(ctx, leader, command)
 }
 
-// ExecuteFor carries out a command of the version, on the leader alone and if the members know it,
-// which the function tells with the command: whoever is let in later must know it, too. Nobody joins
-// between the question and the command.
-func (r *Replica) ExecuteFor(ctx context.Context, version uint64, command func(members []consensus.Member) ([]byte, bool)) ([]byte, error) {
-	reply := r.ask(ctx, func(id uint64) {
-		encoded, known := command(r.core.Raft().Membership().Members)
-		if !known {
-			r.core.answer(id, NotLeader, nil)
+// ExecuteVersioned executes a command of the version if this replica is the leader. The function encodes
+// the command and reports whether all members support the version. Replicas admitted later must support
+// it, too; none is admitted between the call of the function and the proposal.
+func (r *Replica) ExecuteVersioned(ctx context.Context, version uint64, encode func(members []consensus.Member) ([]byte, bool)) ([]byte, error) {
+	reply := r.submitRequest(ctx, func(id uint64) {
+		encoded, supported := encode(r.core.Raft().Membership().Members)
+		if !supported {
+			r.core.addReply(id, NotLeader, nil)
 			return
 		}
-		r.core.Require(version)
+		r.core.RequireVersion(version)
 		r.core.Propose(id, encoded)
 	})
 	switch reply.Outcome {
@@ -102,10 +100,12 @@
 	return nil, ErrUnavailable.New("this replica does not lead, or a member does not know version %d", version)
 }
 
-// Require has only replicas let in that know the version of the machine's commands.
-func (r *Replica) Require(version uint64) { r.loop.Submit(func() { r.core.Require(version) }) }
+// RequireVersion admits only replicas that support the version of the machine's commands.
+func (r *Replica) RequireVersion(version uint64) {
+	r.loop.Submit(func() { r.core.RequireVersion(version) })
+}
 
-func (r *Replica) executeAt(ctx context.Context, leader string, command []byte) ([]byte, error) {
+func (r *Replica) forwardCommand(ctx context.Context, leader string, command []byte) ([]byte, error) {
 	response, err := PostInternal(ctx, r.client, "http://"+leader+ExecutePath, command)
 	if err != nil {
 		return nil, ErrUnknown.Wrap(err, "forward a command to %s", leader)
@@ -118,7 +118,7 @@
 	if err != nil {
 		return
 	}
-	reply := r.ask(request.Context(), func(id uint64) { r.core.Propose(id, command) })
+	reply := r.submitRequest(request.Context(), func(id uint64) { r.core.Propose(id, command) })
 	if reply.Outcome != Done {
 		http.Error(response, "not the leader", http.StatusServiceUnavailable)
 		return
--- a/replica/status.go
+++ b/replica/status.go
@@ -7,56 +7,55 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-// Status is what other goroutines may know without entering the loop.
+// Status is a copy of the replica's state for use outside the loop.
 type Status struct {
 	ID      consensus.ReplicaID
 	Leading bool
-	// Serving is set on a leader that has applied all that is committed.
+	// Serving is set on a leader that has applied everything that earlier leaders committed.
 	Serving bool
-	// Heard is set while a leader is known.
-	Heard   bool
-	Leader  string
-	Term    uint64
-	Commit  uint64
-	LogSize int
-	Members []consensus.Member
-	// MembersCommitted is set once no leader can go back to earlier members.
+	// LeaderKnown is set while a leader is known.
+	LeaderKnown bool
+	Leader      string
+	Term        uint64
+	Commit      uint64
+	LogSize     int
+	Members     []consensus.Member
+	// MembersCommitted is set if Members can't be reverted by a new leader.
 	MembersCommitted bool
-	// SilentVoters is, on a leader, the number of voters that have not replied
-	// for an election timeout: how much of the group's redundancy is gone.
+	// SilentVoters is, on a leader, the number of voters that have not replied for an election timeout.
 	SilentVoters int
-	// MissingVoters is, on a leader, how many voters the group lacks that answer.
+	// MissingVoters is, on a leader, the number of voters that the group lacks, as in Core.MissingVoters.
 	MissingVoters int
 }
 
-// Voters returns the number of members with a vote.
+// Voters returns the number of voters.
 func (s *Status) Voters() int { return consensus.Membership{Members: s.Members}.Voters() }
 
-// Status returns the newest status.
+// Status returns the current status.
 func (r *Replica) Status() *Status { return r.status.Load() }
 
 func (r *Replica) updateStatus() {
 	raft := r.core.Raft()
 	previous := r.status.Load()
 	status := &Status{
-		ID: raft.ID(), Leading: r.core.Leading(), Serving: r.core.Serving(), Heard: raft.Leader() != consensus.None,
+		ID: raft.ID(), Leading: r.core.Leading(), Serving: r.core.Serving(), LeaderKnown: raft.Leader() != consensus.None,
 		Leader: r.core.LeaderAddress(), Term: raft.Term(), Commit: raft.Commit(), LogSize: raft.LogSize(),
 		Members: raft.Membership().Members, MembersCommitted: raft.MembershipCommitted(),
 		SilentVoters: r.core.SilentVoters(), MissingVoters: r.core.MissingVoters(),
 	}
-	if previous.same(status) {
+	if previous.equal(status) {
 		return
 	}
 	r.status.Store(status)
 	r.logLeadership(previous, status)
 	r.logRedundancy(previous, status)
 	if previous.Serving != status.Serving {
-		r.signal()
+		r.notifyChanged()
 	}
 }
 
-func (s *Status) same(other *Status) bool {
-	return s.Leading == other.Leading && s.Serving == other.Serving && s.Heard == other.Heard && s.Leader == other.Leader &&
+func (s *Status) equal(other *Status) bool {
+	return s.Leading == other.Leading && s.Serving == other.Serving && s.LeaderKnown == other.LeaderKnown && s.Leader == other.Leader &&
 		s.Term == other.Term && s.Commit == other.Commit && s.MembersCommitted == other.MembersCommitted &&
 		s.SilentVoters == other.SilentVoters && s.MissingVoters == other.MissingVoters && s.LogSize == other.LogSize && slices.Equal(s.Members, other.Members)
 }
@@ -75,8 +74,8 @@
 	}
 }
 
-// logRedundancy says on a leader how many voters are missing whenever that changes: a group
-// that has lost voters serves as ever, and only the next losses show it.
+// logRedundancy logs on the leader when the number of missing voters changes: the loss of voters is not
+// visible in the service until the quorum is lost.
 func (r *Replica) logRedundancy(previous, status *Status) {
 	if previous.MissingVoters == status.MissingVoters || !status.Leading {
 		return
--- a/replica/suspension_test.go
+++ b/replica/suspension_test.go
@@ -11,10 +11,9 @@
 	"github.com/dillchute/dillchute/clock"
 )
 
-// TestSuspendedLeaderLeadsNoMore: a leader whose machine was suspended for longer than an
-// election gives up its leadership at the first tick on waking, although its steady clock shows
-// no pause: the others may have elected another.
-func TestSuspendedLeaderLeadsNoMore(t *testing.T) {
+// TestSuspendedLeaderStepsDown: a leader whose machine was suspended for longer than an election timeout
+// gives up leadership at the first tick after it resumes, although its monotonic clock shows no pause.
+func TestSuspendedLeaderStepsDown(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
 	g := newGroupWith(t, 3, 3, electionTicks)
@@ -23,7 +22,7 @@
 	}
 	logger := zerolog.Nop()
 	r := newReplica(Settings{}, &refusingStore{}, g.leader().core, &logger)
-	r.pulse = clock.NewPauseDetector()
+	r.pauseDetector = clock.NewPauseDetector()
 	r.context = context.Background()
 	r.tick()
 	require.True(t, r.core.Leading(), "no time has passed")
@@ -32,16 +31,15 @@
 	require.False(t, r.core.Leading())
 }
 
-// TestPulseTellsSuspensionsApart: what a process stood still for and what of it was a
-// suspension of its machine.
-func TestPulseTellsSuspensionsApart(t *testing.T) {
+// TestPauseDetectorReportsSuspension: the detector reports the length of a pause and of the suspension in it.
+func TestPauseDetectorReportsSuspension(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
-	pulse := clock.NewPauseDetector()
+	detector := clock.NewPauseDetector()
 	source.Suspend(time.Hour)
-	elapsed, suspended := pulse.Check()
+	elapsed, suspended := detector.Check()
 	require.Greater(t, elapsed, time.Hour-time.Minute)
 	require.Greater(t, suspended, time.Hour-time.Minute)
-	_, suspended = pulse.Check()
+	_, suspended = detector.Check()
 	require.Less(t, suspended, time.Minute)
 }
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -17,63 +17,62 @@
 )
 
 const (
-	// snapshotPath is where a replica takes in a snapshot: a length-prefixed
-	// message, and then the data that the snapshot in it lacks.
+	// snapshotPath is where a replica receives a snapshot: a length-prefixed message followed by the
+	// snapshot's data.
 	snapshotPath    = "/internal/snapshot"
 	transferTimeout = 30 * time.Second
-	// maxTransfers bounds the snapshots that are sent at the same time.
+	// maxTransfers limits concurrent outgoing snapshots.
 	maxTransfers    = 2
 	lengthBytes     = 4
 	maxMessageBytes = 1 << 20
 )
 
-// transfers sends snapshots to other replicas straight from storage. A leader
-// names a snapshot again and again until it is answered; of these only one is
-// under way to each replica, and few at all, since each takes bandwidth.
+// transfers sends snapshots from storage to other replicas. A leader requests a snapshot repeatedly until
+// the receiver acknowledges it, so concurrent transfers are limited to one per receiver and maxTransfers.
 type transfers struct {
 	store  Store
 	client *http.Client
 	logger *zerolog.Logger
 
-	mutex    sync.Mutex
-	underWay map[string]bool
+	mutex  sync.Mutex
+	active map[string]bool
 }
 
 func newTransfers(store Store, client *http.Client, logger *zerolog.Logger) *transfers {
-	return &transfers{store: store, client: client, logger: logger, underWay: map[string]bool{}}
+	return &transfers{store: store, client: client, logger: logger, active: map[string]bool{}}
 }
 
-// begin tells whether a transfer to the address may start now.
-func (t *transfers) begin(address string) bool {
+// tryBegin reports whether a transfer to the address may start, and marks it as active.
+func (t *transfers) tryBegin(address string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.underWay[address] || len(t.underWay) >= maxTransfers {
+	if t.active[address] || len(t.active) >= maxTransfers {
 		return false
 	}
-	t.underWay[address] = true
+	t.active[address] = true
 	return true
 }
 
 func (t *transfers) end(address string) {
 	t.mutex.Lock()
-	delete(t.underWay, address)
+	delete(t.active, address)
 	t.mutex.Unlock()
 }
 
-// send starts to send the message with the newest durable snapshot, which may be
-// newer than the one named. What is not sent is asked for again.
+// send starts sending the message with the newest durable snapshot, which may be newer than the one in
+// the message. A transfer that is not started is requested again by the leader.
 func (t *transfers) send(outgoing Outgoing) {
-	if !t.begin(outgoing.Address) {
+	if !t.tryBegin(outgoing.Address) {
 		return
 	}
 	go func() {
 		defer t.end(outgoing.Address)
-		line := event.SnapshotSent.On(t.logger).Str("to", outgoing.Address)
+		entry := event.SnapshotSent.On(t.logger).Str("to", outgoing.Address)
 		index, err := t.transfer(outgoing)
 		if err != nil {
-			line = event.SnapshotSendFailed.On(t.logger).Str("to", outgoing.Address).Err(err)
+			entry = event.SnapshotSendFailed.On(t.logger).Str("to", outgoing.Address).Err(err)
 		}
-		line.Uint("index", index).Send()
+		entry.Uint("index", index).Send()
 	}()
 }
 
@@ -105,13 +104,12 @@
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return snapshot.Index, ErrUnavailable.New("%s answered %d", outgoing.Address, response.StatusCode)
+		return snapshot.Index, ErrUnavailable.New("%s responded with status %d", outgoing.Address, response.StatusCode)
 	}
 	return snapshot.Index, nil
 }
 
-// serveSnapshot takes in a snapshot: its data goes to storage, and then the
-// message to the core.
+// serveSnapshot receives a snapshot: it stores the data, then passes the message to the core.
 func (r *Replica) serveSnapshot(response http.ResponseWriter, request *http.Request) {
 	message, size, err := readSnapshotMessage(request)
 	if err != nil {
@@ -125,8 +123,8 @@
 	r.receive(message)
 }
 
-// readSnapshotMessage reads the message at the head of a transfer, and returns
-// the size of the data that follows.
+// readSnapshotMessage reads the message at the start of a transfer, and returns it and the size of the
+// data that follows.
 func readSnapshotMessage(request *http.Request) (protocol.Message, int64, error) {
 	var message protocol.Message
 	var prefix [lengthBytes]byte
@@ -136,7 +134,7 @@
 	length := binary.BigEndian.Uint32(prefix[:])
 	size := request.ContentLength - lengthBytes - int64(length)
 	if length > maxMessageBytes || size < 0 {
-		return message, 0, ErrUnavailable.New("a message of %d bytes", length)
+		return message, 0, ErrUnavailable.New("invalid message length %d", length)
 	}
 	head := make([]byte, length)
 	if _, err := io.ReadFull(request.Body, head); err != nil {
--- a/server/control.go
+++ b/server/control.go
@@ -88,7 +88,7 @@
 	})
 	if err != nil {
 		store.Close()
-		return nil, storage.ErrDamaged.Wrap(err, "restore the snapshot")
+		return nil, storage.ErrCorrupt.Wrap(err, "restore the snapshot")
 	}
 	c := &Control{
 		settings: settings, logger: logger, store: store, core: core, loop: eventloop.New(),
--- a/server/directory.go
+++ b/server/directory.go
@@ -118,8 +118,8 @@
 	founders, identity := directoryFounders(settings)
 	opened, err := replica.Open(replica.Settings{
 		Cluster: settings.Cluster + "-directory", Address: settings.InternalAddress, DataFolder: settings.DataFolder,
-		Voters: config.Voters(settings.ToleratedLosses), Founders: founders, Replica: identity,
-		Contacts: seeds.Current, Knows: directory.KnownVersion,
+		Voters: config.Voters(settings.ToleratedLosses), InitialMembers: founders, Replica: identity,
+		Contacts: seeds.Current, KnownVersion: directory.KnownVersion,
 	}, machine, logger)
 	if err != nil {
 		return nil, err
--- a/server/directory_watch.go
+++ b/server/directory_watch.go
@@ -58,7 +58,7 @@
 
 // firstRevision returns the revision that a watcher is to be told that knows nothing.
 func (d *Directory) firstRevision(ctx context.Context, answer *watchAnswer) (uint64, error) {
-	if !d.replica.Status().Heard {
+	if !d.replica.Status().LeaderKnown {
 		return 0, replica.ErrUnavailable.New("no leader is known")
 	}
 	if !answer.hold() {
@@ -89,7 +89,7 @@
 	for {
 		status := d.replica.Status()
 		round := d.feed.current()
-		if !status.Heard {
+		if !status.LeaderKnown {
 			answer.refuse("no leader is known")
 			return
 		}
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -93,7 +93,7 @@
 // address of the replica that is to be told next time. What changes nothing is
 // answered by any replica that tells the leader; the rest is the leader's to commit.
 func (d *Directory) Heartbeat(ctx context.Context, heartbeat Heartbeat) (string, error) {
-	if !d.replica.Status().Heard {
+	if !d.replica.Status().LeaderKnown {
 		return "", replica.ErrUnavailable.New("no leader is known")
 	}
 	known, registered := d.view.Load().Backend(heartbeat.Backend.ID)
--- a/server/ledger.go
+++ b/server/ledger.go
@@ -113,7 +113,7 @@
 // open opens the data folder. A store without data registers first, and waits
 // until the directory knows the group that it founds or joins.
 func (l *Ledger) open(ctx context.Context) (*replica.Replica, error) {
-	held := storage.Holds(l.settings.DataFolder)
+	held := storage.HasReplica(l.settings.DataFolder)
 	if !held {
 		if err := l.identify(); err != nil {
 			return nil, err
@@ -121,8 +121,8 @@
 	}
 	settings := replica.Settings{
 		Cluster: l.cluster(), Address: l.settings.InternalAddress, DataFolder: l.settings.DataFolder,
-		Voters: config.Voters(l.settings.ToleratedLosses), Standby: max(l.settings.ToleratedLosses, 1),
-		Replica: l.identity, Contacts: l.contacts, Others: l.others,
+		Voters: config.Voters(l.settings.ToleratedLosses), StandbyLearners: max(l.settings.ToleratedLosses, 1),
+		Replica: l.identity, Contacts: l.contacts, OtherContacts: l.others,
 		// Engines that another leader has given orders to are left alone for a while.
 		KeepLeader: true,
 	}
@@ -132,7 +132,7 @@
 			return nil, nil
 		}
 		if group.Number == 0 {
-			settings.Founders = consensus.Membership{Members: group.Members}
+			settings.InitialMembers = consensus.Membership{Members: group.Members}
 		}
 	}
 	return replica.Open(settings, l.machine, l.logger)
@@ -145,7 +145,7 @@
 // whole system it may found the group; that is made durable, so that it still may
 // after a restart that comes before the group is formed.
 func (l *Ledger) identify() error {
-	reserved, err := storage.Reserved(l.settings.DataFolder, l.cluster())
+	reserved, err := storage.ReservedIdentity(l.settings.DataFolder, l.cluster())
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 		return nil
 	}
 	l.fresh = true
-	return storage.Reserve(l.settings.DataFolder, l.cluster(), l.identity)
+	return storage.ReserveIdentity(l.settings.DataFolder, l.cluster(), l.identity)
 }
 
 // awaitGroup registers until the directory knows a group.
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -113,7 +113,7 @@
 func collectReplica(emit chan<- prometheus.Metric, status *replica.Status) {
 	gauge(emit, "replica_leading", "Whether this replica leads.", oneIf(status.Leading))
 	gauge(emit, "replica_serving", "Whether this replica leads and has applied all that is committed.", oneIf(status.Serving))
-	gauge(emit, "replica_leader_known", "Whether a leader is known.", oneIf(status.Heard))
+	gauge(emit, "replica_leader_known", "Whether a leader is known.", oneIf(status.LeaderKnown))
 	gauge(emit, "replica_term", "The replica's consensus term.", float64(status.Term))
 	gauge(emit, "replica_commit_index", "The last committed log index.", float64(status.Commit))
 	gauge(emit, "replica_log_entries", "Log entries since the newest snapshot.", float64(status.LogSize))
--- a/server/version_keeper.go
+++ b/server/version_keeper.go
@@ -99,7 +99,7 @@
 	k.replica.Do(func() { inUse = k.machine.InUse() })
 	if k.inUse.Swap(inUse) != inUse {
 		event.CommandVersionChanged.On(k.logger).Uint("version", inUse).Uint("known", k.own.Knows).Send()
-		k.replica.Require(inUse)
+		k.replica.RequireVersion(inUse)
 	}
 }
 
@@ -116,7 +116,7 @@
 		k.logMissing(missing)
 		return
 	}
-	_, err := k.replica.ExecuteFor(ctx, k.own.Knows, k.raise)
+	_, err := k.replica.ExecuteVersioned(ctx, k.own.Knows, k.raise)
 	if err != nil {
 		event.LeaderUpdateFailed.On(k.logger).Err(err).Send()
 		return
--- a/storage/golden_test.go
+++ b/storage/golden_test.go
@@ -18,7 +18,7 @@
 
 const goldenSnapshotData = "the state at 40"
 
-// goldenContents are what a golden folder holds.
+// goldenContents returns the contents of the golden folders.
 func goldenContents() Contents {
 	members := consensus.Membership{Members: []consensus.Member{{ID: 7, Address: "127.0.0.1:1", Voter: true}, {ID: 8, Address: "127.0.0.1:2"}}}
 	return Contents{
@@ -29,51 +29,51 @@
 	}
 }
 
-// TestGoldenFolder opens the data folders of earlier builds, and goes on in them.
+// TestGoldenFolder opens data folders written by earlier builds and appends to them.
 func TestGoldenFolder(t *testing.T) {
 	if folder, ok := golden.OutputFile(); ok {
 		writeGoldenFolder(t, folder)
 		return
 	}
-	for _, written := range golden.Files(t, "folder-*") {
-		t.Run(filepath.Base(written), func(t *testing.T) {
-			folder := unpackFolder(t, written)
-			store, held, err := Open(folder, testCluster)
+	for _, source := range golden.Files(t, "folder-*") {
+		t.Run(filepath.Base(source), func(t *testing.T) {
+			folder := unpackFolder(t, source)
+			store, contents, err := Open(folder, testCluster)
 			require.NoError(t, err)
-			requireGolden(t, store, held)
+			requireGoldenContents(t, store, contents)
 			added := entries(61, 1, 3)
 			require.NoError(t, store.Save(consensus.Ready{Entries: added}))
 			require.NoError(t, store.Close())
-			store, held, err = Open(folder, testCluster)
+			store, contents, err = Open(folder, testCluster)
 			require.NoError(t, err)
-			require.Equal(t, append(goldenContents().Entries, added...), held.Entries)
+			require.Equal(t, append(goldenContents().Entries, added...), contents.Entries)
 			require.NoError(t, store.Close())
-			reserved, err := Reserved(folder, testCluster)
+			reserved, err := ReservedIdentity(folder, testCluster)
 			require.NoError(t, err)
 			require.Equal(t, consensus.ReplicaID(9), reserved)
 		})
 	}
 }
 
-func requireGolden(t *testing.T, store *Store, held Contents) {
-	wanted := goldenContents()
-	require.Equal(t, wanted.Identity, held.Identity)
-	require.Equal(t, wanted.HardState, held.HardState)
-	require.Equal(t, wanted.Snapshot, held.Snapshot)
-	require.Equal(t, wanted.Entries, held.Entries)
+func requireGoldenContents(t *testing.T, store *Store, contents Contents) {
+	expected := goldenContents()
+	require.Equal(t, expected.Identity, contents.Identity)
+	require.Equal(t, expected.HardState, contents.HardState)
+	require.Equal(t, expected.Snapshot, contents.Snapshot)
+	require.Equal(t, expected.Entries, contents.Entries)
 	snapshot, data, _, err := store.OpenSnapshot()
 	require.NoError(t, err)
 	defer func() { require.NoError(t, data.Close()) }()
 	content, err := io.ReadAll(data)
 	require.NoError(t, err)
-	require.Equal(t, wanted.Snapshot, snapshot)
+	require.Equal(t, expected.Snapshot, snapshot)
 	require.Equal(t, goldenSnapshotData, string(content))
 }
 
-// TestFolderOfALaterFormatIsLeftAsItIs refuses a folder that a later build wrote.
-func TestFolderOfALaterFormatIsLeftAsItIs(t *testing.T) {
+// TestOpenRefusesLaterFormat: a folder written by a later build is refused and left unchanged.
+func TestOpenRefusesLaterFormat(t *testing.T) {
 	folder := t.TempDir()
-	initialised(t, folder)
+	initReplica(t, folder)
 	path := filepath.Join(folder, fileName)
 	database, err := bolt.Open(path, fileMode, nil)
 	require.NoError(t, err)
@@ -96,19 +96,19 @@
 }
 
 func writeGoldenFolder(t *testing.T, target string) {
-	folder, wanted := t.TempDir(), goldenContents()
+	folder, expected := t.TempDir(), goldenContents()
 	require.NoError(t, Init(folder, testCluster, 7, consensus.Snapshot{Index: 1, Term: 1}))
 	store, _, err := Open(folder, testCluster)
 	require.NoError(t, err)
-	require.NoError(t, store.Save(consensus.Ready{HardState: &wanted.HardState, Entries: entries(2, 59, 2)}))
-	_, err = store.WriteSnapshot(wanted.Snapshot, func(writer io.Writer) error {
+	require.NoError(t, store.Save(consensus.Ready{HardState: &expected.HardState, Entries: entries(2, 59, 2)}))
+	_, err = store.WriteSnapshot(expected.Snapshot, func(writer io.Writer) error {
 		_, err := io.WriteString(writer, goldenSnapshotData)
 		return err
 	})
 	require.NoError(t, err)
-	require.NoError(t, store.DropLog(wanted.Snapshot.Index))
+	require.NoError(t, store.DropLog(expected.Snapshot.Index))
 	require.NoError(t, store.Close())
-	require.NoError(t, Reserve(folder, testCluster, 9))
+	require.NoError(t, ReserveIdentity(folder, testCluster, 9))
 	packFolder(t, folder, target)
 }
 
@@ -128,9 +128,9 @@
 	}
 }
 
-func unpackFolder(t *testing.T, written string) string {
+func unpackFolder(t *testing.T, source string) string {
 	folder := t.TempDir()
-	files, err := filepath.Glob(filepath.Join(written, "*.gz"))
+	files, err := filepath.Glob(filepath.Join(source, "*.gz"))
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	for _, file := range files {
--- a/storage/reservation.go
+++ b/storage/reservation.go
@@ -13,20 +13,18 @@
 
 const reservationName = "reservation"
 
-// Reserve makes durable, in a folder that holds no replica yet, under which
-// identity its process has offered itself as a founder of a group. A process
-// that is restarted before the group is formed can offer itself again: it has
-// never had anything to lose.
-func Reserve(folder, cluster string, replica consensus.ReplicaID) error {
+// ReserveIdentity records the identity under which a process without a replica offers itself as an initial
+// member, so that it keeps the identity if it is restarted before the group is formed.
+func ReserveIdentity(folder, cluster string, replica consensus.ReplicaID) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return ErrIO.Wrap(err, "make data folder %s", folder)
+		return ErrIO.Wrap(err, "create data folder %s", folder)
 	}
 	data, err := cbor.Marshal(Identity{Format: formatVersion, Cluster: cluster, Replica: replica})
 	if err != nil {
 		panic("storage: an identity must encode: " + err.Error())
 	}
 	path := filepath.Join(folder, reservationName)
-	if err := writeSynced(path+".new", record(data)); err != nil {
+	if err := writeSynced(path+".new", addChecksum(data)); err != nil {
 		return ErrIO.Wrap(err, "write %s", path)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
@@ -35,9 +33,9 @@
 	return syncFolder(folder)
 }
 
-// Reserved returns the identity that was reserved in the folder, or None if
-// there is none that is whole and of the cluster.
-func Reserved(folder, cluster string) (consensus.ReplicaID, error) {
+// ReservedIdentity returns the reserved identity, or None if there is none, it is corrupt or it belongs to
+// another cluster or format.
+func ReservedIdentity(folder, cluster string) (consensus.ReplicaID, error) {
 	data, err := os.ReadFile(filepath.Join(folder, reservationName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return consensus.None, nil
--- a/storage/reservation_test.go
+++ b/storage/reservation_test.go
@@ -10,21 +10,20 @@
 	"github.com/dillchute/dillchute/consensus"
 )
 
-// TestReservation: what was reserved is found again, by its cluster only, and a
-// file that is torn counts for nothing.
+// TestReservation: a reserved identity is found for its cluster only, and a truncated file is ignored.
 func TestReservation(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	read := func(cluster string) consensus.ReplicaID {
-		replica, err := Reserved(folder, cluster)
+		replica, err := ReservedIdentity(folder, cluster)
 		require.NoError(t, err)
 		return replica
 	}
 	require.Equal(t, consensus.None, read("c"))
-	require.NoError(t, Reserve(folder, "c", 7))
-	require.NoError(t, Reserve(folder, "c", 8))
+	require.NoError(t, ReserveIdentity(folder, "c", 7))
+	require.NoError(t, ReserveIdentity(folder, "c", 8))
 	require.Equal(t, consensus.ReplicaID(8), read("c"))
 	require.Equal(t, consensus.None, read("other"))
-	require.False(t, Holds(folder), "a reservation is no replica")
+	require.False(t, HasReplica(folder), "a reservation is not a replica")
 	path := filepath.Join(folder, reservationName)
 	data, err := os.ReadFile(path)
 	require.NoError(t, err)
--- a/storage/snapshot.go
+++ b/storage/snapshot.go
@@ -18,42 +18,42 @@
 	"github.com/dillchute/dillchute/consensus"
 )
 
-// snapshotFile holds a snapshot of applied entries, written beside the log so
-// that its size does not hold the log up, and piece by piece so that it need not
-// be in memory. It counts if it is newer than the snapshot in the log's file.
-// The file is a length-prefixed header, the data, and the checksum of both.
+// snapshotFile holds a snapshot of applied entries. It is written separately from the log, so that its
+// size does not delay the log, and as a stream, so that it need not fit in memory. It is used if it is newer
+// than the snapshot in the database. It consists of a length-prefixed header, the data, and the checksum
+// of both.
 const (
 	snapshotFile   = "snapshot"
 	headerLength   = 4
 	maxHeaderBytes = 1 << 20
 )
 
-// WriteSnapshot makes a snapshot durable, whose data the function writes, and
-// returns the data's size. It may be called while other methods run. The log
-// that it covers is dropped by DropLog afterwards.
+// WriteSnapshot makes a snapshot durable, with the data that the function writes, and returns the size of
+// the data. It may be called concurrently with other methods. The caller then calls DropLog to delete
+// the entries that it covers.
 func (s *Store) WriteSnapshot(snapshot consensus.Snapshot, write func(io.Writer) error) (int, error) {
 	path := filepath.Join(s.folder, snapshotFile)
 	size, err := writeSnapshotFile(path+".new", snapshot, write)
 	if err != nil {
 		return 0, ErrIO.Wrap(err, "write %s", path)
 	}
-	s.files.Lock()
-	defer s.files.Unlock()
-	if s.fileIndex >= snapshot.Index {
-		// Another replica's snapshot has come in meanwhile.
+	s.filesMutex.Lock()
+	defer s.filesMutex.Unlock()
+	if s.snapshotFileIndex >= snapshot.Index {
+		// A newer snapshot from another replica was installed meanwhile.
 		return size, os.Remove(path + ".new")
 	}
 	if err := os.Rename(path+".new", path); err != nil {
-		return 0, ErrIO.Wrap(err, "name %s", path)
+		return 0, ErrIO.Wrap(err, "rename the new snapshot to %s", path)
 	}
 	if err := syncFolder(s.folder); err != nil {
 		return 0, err
 	}
-	s.fileIndex = snapshot.Index
+	s.snapshotFileIndex = snapshot.Index
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.inLog.Index < snapshot.Index {
-		s.inLog = consensus.Snapshot{}
+	if s.databaseSnapshot.Index < snapshot.Index {
+		s.databaseSnapshot = consensus.Snapshot{}
 	}
 	return size, nil
 }
@@ -74,7 +74,7 @@
 	if _, err := checked.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(header))), header...)); err != nil {
 		return 0, err
 	}
-	before := checked.written
+	headerSize := checked.written
 	if err := write(checked); err != nil {
 		return 0, err
 	}
@@ -84,40 +84,39 @@
 	if err := buffered.Flush(); err != nil {
 		return 0, err
 	}
-	return checked.written - before, file.Sync()
+	return checked.written - headerSize, file.Sync()
 }
 
-// checksumWriter passes bytes on and sums them up.
+// checksumWriter forwards writes and computes their checksum.
 type checksumWriter struct {
 	writer  io.Writer
 	sum     uint32
 	written int
 }
 
-// Write passes the bytes on.
+// Write implements io.Writer.
 func (w *checksumWriter) Write(data []byte) (int, error) {
 	w.sum = crc32.Update(w.sum, castagnoli, data)
 	w.written += len(data)
 	return w.writer.Write(data)
 }
 
-// openedSnapshot is a snapshot file whose checksum is right, read up to its data.
-type openedSnapshot struct {
+// snapshotReader reads the data of a snapshot file whose checksum has been verified.
+type snapshotReader struct {
 	snapshot consensus.Snapshot
 	file     *os.File
 	data     io.Reader
 	size     int64
 }
 
-// Read reads the data.
-func (o *openedSnapshot) Read(into []byte) (int, error) { return o.data.Read(into) }
+// Read implements io.Reader.
+func (o *snapshotReader) Read(buffer []byte) (int, error) { return o.data.Read(buffer) }
 
-// Close closes the file.
-func (o *openedSnapshot) Close() error { return o.file.Close() }
+// Close implements io.Closer.
+func (o *snapshotReader) Close() error { return o.file.Close() }
 
-// openSnapshotFile opens the folder's snapshot file and checks it. It returns
-// nil if there is none.
-func openSnapshotFile(folder string) (*openedSnapshot, error) {
+// openSnapshotFile opens and verifies the folder's snapshot file. It returns nil if there is none.
+func openSnapshotFile(folder string) (*snapshotReader, error) {
 	path := filepath.Join(folder, snapshotFile)
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -129,19 +128,19 @@
 	opened, err := checkSnapshotFile(file)
 	if err != nil {
 		file.Close()
-		return nil, ErrDamaged.Wrap(err, "read %s", path)
+		return nil, ErrCorrupt.Wrap(err, "read %s", path)
 	}
 	return opened, nil
 }
 
-func checkSnapshotFile(file *os.File) (*openedSnapshot, error) {
+func checkSnapshotFile(file *os.File) (*snapshotReader, error) {
 	info, err := file.Stat()
 	if err != nil {
 		return nil, err
 	}
 	covered := info.Size() - checksumSize
 	if covered < headerLength {
-		return nil, ErrDamaged.New("the file is %d bytes long", info.Size())
+		return nil, ErrCorrupt.New("the file is only %d bytes long", info.Size())
 	}
 	sum := crc32.New(castagnoli)
 	if _, err := io.Copy(sum, io.NewSectionReader(file, 0, covered)); err != nil {
@@ -152,73 +151,73 @@
 		return nil, err
 	}
 	if binary.BigEndian.Uint32(stored[:]) != sum.Sum32() {
-		return nil, ErrDamaged.New("the file fails its checksum")
+		return nil, ErrCorrupt.New("checksum mismatch in the file")
 	}
 	return readHeader(file, covered)
 }
 
-func readHeader(file *os.File, covered int64) (*openedSnapshot, error) {
+func readHeader(file *os.File, covered int64) (*snapshotReader, error) {
 	var prefix [headerLength]byte
 	if _, err := file.ReadAt(prefix[:], 0); err != nil {
 		return nil, err
 	}
 	length := int64(binary.BigEndian.Uint32(prefix[:]))
 	if length > maxHeaderBytes || headerLength+length > covered {
-		return nil, ErrDamaged.New("a header of %d bytes", length)
+		return nil, ErrCorrupt.New("invalid header length %d", length)
 	}
 	header := make([]byte, length)
 	if _, err := file.ReadAt(header, headerLength); err != nil {
 		return nil, err
 	}
-	opened := &openedSnapshot{file: file, size: covered - headerLength - length}
+	opened := &snapshotReader{file: file, size: covered - headerLength - length}
 	if err := cbor.Unmarshal(header, &opened.snapshot); err != nil {
-		return nil, ErrDamaged.Wrap(err, "decode the header")
+		return nil, ErrCorrupt.Wrap(err, "decode the header")
 	}
 	opened.data = bufio.NewReader(io.NewSectionReader(file, headerLength+length, opened.size))
 	return opened, nil
 }
 
-// newest returns the snapshot file, opened, if it holds the newest snapshot, and
-// otherwise nil and the one in the log's file.
-func (s *Store) newest() (*openedSnapshot, consensus.Snapshot, error) {
+// openNewest opens the snapshot file if it holds the newest snapshot. Otherwise it returns nil and the
+// snapshot in the database.
+func (s *Store) openNewest() (*snapshotReader, consensus.Snapshot, error) {
 	s.mutex.Lock()
-	inLog := s.inLog
+	fromDatabase := s.databaseSnapshot
 	s.mutex.Unlock()
 	opened, err := openSnapshotFile(s.folder)
 	if err != nil || opened == nil {
-		return nil, inLog, err
+		return nil, fromDatabase, err
 	}
-	if opened.snapshot.Index < inLog.Index {
-		return nil, inLog, opened.Close()
+	if opened.snapshot.Index < fromDatabase.Index {
+		return nil, fromDatabase, opened.Close()
 	}
 	return opened, consensus.Snapshot{}, nil
 }
 
-// OpenSnapshot returns the newest snapshot, without its data, and the data and its
-// size. It may be called while other methods run.
+// OpenSnapshot returns the newest snapshot without its data, and a reader and the size of the data. It may
+// be called concurrently with other methods.
 func (s *Store) OpenSnapshot() (consensus.Snapshot, io.ReadCloser, int64, error) {
-	opened, inLog, err := s.newest()
+	opened, fromDatabase, err := s.openNewest()
 	if err != nil {
 		return consensus.Snapshot{}, nil, 0, err
 	}
 	if opened != nil {
 		return opened.snapshot, opened, opened.size, nil
 	}
-	data := inLog.Data
-	inLog.Data = nil
-	return inLog, io.NopCloser(bytes.NewReader(data)), int64(len(data)), nil
+	data := fromDatabase.Data
+	fromDatabase.Data = nil
+	return fromDatabase, io.NopCloser(bytes.NewReader(data)), int64(len(data)), nil
 }
 
-// receivedPath is where another replica's snapshot waits for a Save.
+// receivedPath is the path of a snapshot from another replica that Save has not installed yet.
 func (s *Store) receivedPath(index uint64) string {
 	return filepath.Join(s.folder, fmt.Sprintf("%s.received-%d", snapshotFile, index))
 }
 
-// ReceiveSnapshot keeps another replica's snapshot, whose data has the size, until
-// a Save names it. It may be called while other methods run.
+// ReceiveSnapshot stores a snapshot from another replica, with data of the given size, until Save is called
+// with it. It may be called concurrently with other methods.
 func (s *Store) ReceiveSnapshot(snapshot consensus.Snapshot, data io.Reader, size int64) error {
-	s.files.Lock()
-	defer s.files.Unlock()
+	s.filesMutex.Lock()
+	defer s.filesMutex.Unlock()
 	path := s.receivedPath(snapshot.Index)
 	_, err := writeSnapshotFile(path+".new", snapshot, func(writer io.Writer) error {
 		copied, err := io.Copy(writer, io.LimitReader(data, size))
@@ -241,32 +240,31 @@
 	return err == nil
 }
 
-// adoptReceived makes the received snapshot the newest one, and forgets others
-// that were received.
-func (s *Store) adoptReceived(index uint64) error {
-	s.files.Lock()
-	defer s.files.Unlock()
+// installReceived makes the received snapshot the newest one and removes all others that were received.
+func (s *Store) installReceived(index uint64) error {
+	s.filesMutex.Lock()
+	defer s.filesMutex.Unlock()
 	if err := os.Rename(s.receivedPath(index), filepath.Join(s.folder, snapshotFile)); err != nil {
-		return ErrIO.Wrap(err, "adopt the snapshot at %d", index)
+		return ErrIO.Wrap(err, "install the received snapshot at %d", index)
 	}
-	s.fileIndex = index
+	s.snapshotFileIndex = index
 	s.removeReceived()
 	return syncFolder(s.folder)
 }
 
-// removeReceived forgets snapshots that were received and never used.
+// removeReceived removes received snapshots.
 func (s *Store) removeReceived() {
 	left, err := filepath.Glob(filepath.Join(s.folder, snapshotFile+".received-*"))
 	if err != nil {
 		return
 	}
 	for _, path := range left {
-		// What cannot be removed is in nobody's way.
+		// A file that cannot be removed does no harm.
 		_ = os.Remove(path)
 	}
 }
 
-// DropLog forgets the entries up to the index, which a durable snapshot covers.
+// DropLog deletes the entries up to the index, which a durable snapshot covers.
 func (s *Store) DropLog(through uint64) error {
 	err := s.database.Update(func(transaction *bolt.Tx) error {
 		return dropEntries(transaction.Bucket(logBucket), through)
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -1,6 +1,5 @@
-// Package storage keeps a control replica's log, hard state and newest
-// snapshot in one bbolt file of its data folder. Each record carries a
-// checksum, each save is one transaction, and a save that has returned is synced.
+// Package storage stores a replica's log, hard state and snapshot in a bbolt database and a snapshot file in
+// its data folder. Each database record carries a checksum, and each save is one synced transaction.
 package storage
 
 import (
@@ -22,18 +21,18 @@
 	"github.com/dillchute/dillchute/consensus"
 )
 
-// The kinds of storage errors.
+// Types of storage errors.
 var (
 	namespace = errorx.NewNamespace("storage")
-	// ErrDamaged: a record is missing or fails its checksum.
-	ErrDamaged = namespace.NewType("damaged")
-	// ErrForeign: the folder is not a data folder of this cluster or format.
+	// ErrCorrupt: a record is missing or invalid.
+	ErrCorrupt = namespace.NewType("damaged")
+	// ErrForeign: the folder belongs to another cluster or has another format.
 	ErrForeign = namespace.NewType("foreign")
-	// ErrExists: the folder has been initialised before.
+	// ErrExists: the folder is already initialised.
 	ErrExists = namespace.NewType("exists")
 	// ErrMissing: the folder has not been initialised.
 	ErrMissing = namespace.NewType("missing")
-	// ErrIO: the file system refused.
+	// ErrIO: a file operation failed.
 	ErrIO = namespace.NewType("io")
 )
 
@@ -49,8 +48,8 @@
 var (
 	metaBucket = []byte("meta")
 	logBucket  = []byte("log")
-	// The snapshot has a bucket of its own: bbolt writes all values of a page
-	// again when one changes, and the hard state changes with almost each save.
+	// The snapshot has its own bucket because bbolt rewrites all values of a page when one changes, and
+	// almost every save changes the hard state.
 	snapshotBucket = []byte("snapshot")
 	identityKey    = []byte("identity")
 	stateKey       = []byte("hard-state")
@@ -58,65 +57,63 @@
 	castagnoli     = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Identity says whose data a folder holds.
+// Identity identifies the replica whose data a folder holds.
 type Identity struct {
 	Format  int                 `cbor:"1,keyasint"`
 	Cluster string              `cbor:"2,keyasint"`
 	Replica consensus.ReplicaID `cbor:"3,keyasint"`
 }
 
-// Contents is what a store held when it was opened.
+// Contents is the state that a store held when it was opened.
 type Contents struct {
 	Identity  Identity
 	HardState consensus.HardState
 	Snapshot  consensus.Snapshot
 	Entries   []consensus.Entry
-	// inLog is the snapshot in the log's file, which Snapshot is unless the
-	// snapshot file holds a newer one.
-	inLog consensus.Snapshot
+	// databaseSnapshot is the snapshot in the database, or empty if the snapshot file is newer.
+	databaseSnapshot consensus.Snapshot
 }
 
-// Store is an open data folder. Its methods must not be called concurrently,
-// but for WriteSnapshot.
+// Store is an open data folder. Methods other than WriteSnapshot, OpenSnapshot and ReceiveSnapshot must not
+// be called concurrently with each other.
 type Store struct {
 	database *bolt.DB
 	folder   string
-	// files is held while snapshot files change. fileIndex is the index of the
-	// newest one.
-	files     sync.Mutex
-	fileIndex uint64
+	// filesMutex guards changes of the snapshot files and snapshotFileIndex, the index of the newest
+	// snapshot.
+	filesMutex        sync.Mutex
+	snapshotFileIndex uint64
 
 	mutex sync.Mutex
-	// inLog is the snapshot in the log's file, unless the snapshot file holds a
-	// newer one.
-	inLog consensus.Snapshot
+	// databaseSnapshot is the snapshot in the database, or empty if the snapshot file is newer.
+	databaseSnapshot consensus.Snapshot
 }
 
-// Holds tells whether the folder holds a replica, whole or damaged.
-func Holds(folder string) bool {
+// HasReplica reports whether the folder holds a replica, even a corrupt one.
+func HasReplica(folder string) bool {
 	_, err := os.Stat(filepath.Join(folder, fileName))
 	return err == nil
 }
 
-// Init makes a new data folder for a replica of the cluster, which starts from
-// the snapshot. It returns an ErrExists error if the folder holds one already.
+// Init initialises a data folder for a replica of the cluster that starts from the snapshot. It returns an
+// ErrExists error if the folder already holds a replica.
 func Init(folder, cluster string, replica consensus.ReplicaID, snapshot consensus.Snapshot) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return ErrIO.Wrap(err, "make data folder %s", folder)
+		return ErrIO.Wrap(err, "create data folder %s", folder)
 	}
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err == nil {
 		return ErrExists.New("%s has been initialised before", folder)
 	}
-	// The file gets its name once it is whole, so that a set-up which was cut
-	// short is never taken for a replica.
-	unnamed := path + ".new"
-	if err := os.Remove(unnamed); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return ErrIO.Wrap(err, "remove %s", unnamed)
+	// The file is renamed once it is complete, so that an interrupted initialisation leaves no
+	// replica.
+	temporary := path + ".new"
+	if err := os.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return ErrIO.Wrap(err, "remove %s", temporary)
 	}
-	database, err := bolt.Open(unnamed, fileMode, &bolt.Options{Timeout: lockTimeout})
+	database, err := bolt.Open(temporary, fileMode, &bolt.Options{Timeout: lockTimeout})
 	if err != nil {
-		return ErrIO.Wrap(err, "create %s", unnamed)
+		return ErrIO.Wrap(err, "create %s", temporary)
 	}
 	err = database.Update(func(transaction *bolt.Tx) error {
 		return initBuckets(transaction, Identity{Format: formatVersion, Cluster: cluster, Replica: replica}, snapshot)
@@ -125,7 +122,7 @@
 		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(unnamed, path)
+		err = os.Rename(temporary, path)
 	}
 	if err != nil {
 		return ErrIO.Wrap(err, "initialise %s", path)
@@ -167,9 +164,8 @@
 	return nil
 }
 
-// Open opens a data folder of the cluster and returns what it holds. It
-// returns an ErrMissing, ErrForeign or ErrDamaged error for a folder that must
-// not be used.
+// Open opens a data folder of the cluster and returns its contents. It returns an ErrMissing, ErrForeign or
+// ErrCorrupt error if the folder can't be used.
 func Open(folder, cluster string) (*Store, Contents, error) {
 	path := filepath.Join(folder, fileName)
 	info, err := os.Stat(path)
@@ -177,10 +173,10 @@
 		return nil, Contents{}, ErrMissing.New("%s holds no replica: run 'dillchute control init' or 'join' first", folder)
 	}
 	if info.Size() == 0 {
-		// bbolt would make an empty file into a new database.
-		return nil, Contents{}, ErrDamaged.New("%s is empty", path)
+		// bbolt would initialise an empty file as a new database.
+		return nil, Contents{}, ErrCorrupt.New("%s is empty", path)
 	}
-	database, contents, err := openGuarded(path, info.Size())
+	database, contents, err := openChecked(path, info.Size())
 	if err == nil && (contents.Identity.Cluster != cluster || contents.Identity.Format != formatVersion) {
 		err = ErrForeign.New("%s belongs to cluster %q, format %d; expected cluster %q, format %d",
 			folder, contents.Identity.Cluster, contents.Identity.Format, cluster, formatVersion)
@@ -191,50 +187,49 @@
 		}
 		return nil, Contents{}, err
 	}
-	return &Store{database: database, folder: folder, inLog: contents.inLog, fileIndex: contents.Snapshot.Index}, contents, nil
+	return &Store{database: database, folder: folder, databaseSnapshot: contents.databaseSnapshot, snapshotFileIndex: contents.Snapshot.Index}, contents, nil
 }
 
-// openGuarded opens the file and returns what it holds. bbolt trusts its pages:
-// it reads past the end of a truncated file and panics on pages that make no
-// sense, and either is a damaged file here.
-func openGuarded(path string, size int64) (database *bolt.DB, contents Contents, err error) {
+// openChecked opens the database and returns its contents. bbolt doesn't verify pages: it reads past the
+// end of a truncated file and panics on invalid pages. Both are reported as corruption.
+func openChecked(path string, size int64) (database *bolt.DB, contents Contents, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if reason := recover(); reason != nil {
-			database, err = nil, ErrDamaged.New("%s: %v", path, reason)
+			database, err = nil, ErrCorrupt.New("%s: %v", path, reason)
 		}
 	}()
 	opened, err := openSnapshotFile(filepath.Dir(path))
 	if err != nil {
 		return nil, contents, err
 	}
-	var newer *consensus.Snapshot
+	var fileSnapshot *consensus.Snapshot
 	if opened != nil {
-		newer = &opened.snapshot
+		fileSnapshot = &opened.snapshot
 		if err := opened.Close(); err != nil {
-			return nil, contents, ErrIO.Wrap(err, "close the snapshot")
+			return nil, contents, ErrIO.Wrap(err, "close the snapshot file")
 		}
 	}
 	database, err = bolt.Open(path, fileMode, &bolt.Options{Timeout: lockTimeout})
 	if err != nil {
-		return nil, contents, ErrDamaged.Wrap(err, "open %s", path)
+		return nil, contents, ErrCorrupt.Wrap(err, "open %s", path)
 	}
 	err = database.View(func(transaction *bolt.Tx) error {
 		if transaction.Size() > size {
-			return ErrDamaged.New("%s is truncated: it holds %d of %d bytes", path, size, transaction.Size())
+			return ErrCorrupt.New("%s is truncated: it holds %d of %d bytes", path, size, transaction.Size())
 		}
-		contents, err = load(transaction, newer)
+		contents, err = load(transaction, fileSnapshot)
 		return err
 	})
 	return database, contents, err
 }
 
-// load reads what the file holds; newer is a snapshot in a file of its own, or nil.
-func load(transaction *bolt.Tx, newer *consensus.Snapshot) (Contents, error) {
+// load reads the database; fileSnapshot is the snapshot in the snapshot file, or nil.
+func load(transaction *bolt.Tx, fileSnapshot *consensus.Snapshot) (Contents, error) {
 	var contents Contents
 	meta, log, snapshots := transaction.Bucket(metaBucket), transaction.Bucket(logBucket), transaction.Bucket(snapshotBucket)
 	if meta == nil || log == nil || snapshots == nil {
-		return contents, ErrForeign.New("the file holds no replica")
+		return contents, ErrForeign.New("the database holds no replica")
 	}
 	if err := get(meta, identityKey, &contents.Identity); err != nil {
 		return contents, err
@@ -245,12 +240,12 @@
 	if err := get(snapshots, snapshotKey, &contents.Snapshot); err != nil {
 		return contents, err
 	}
-	contents.inLog = contents.Snapshot
-	if newer != nil && newer.Index > contents.Snapshot.Index {
-		contents.Snapshot, contents.inLog = *newer, consensus.Snapshot{}
+	contents.databaseSnapshot = contents.Snapshot
+	if fileSnapshot != nil && fileSnapshot.Index > contents.Snapshot.Index {
+		contents.Snapshot, contents.databaseSnapshot = *fileSnapshot, consensus.Snapshot{}
 	}
-	if contents.lacksData(newer) {
-		return contents, ErrDamaged.New("the file of the snapshot at %d is missing", contents.Snapshot.Index)
+	if contents.isDataMissing(fileSnapshot) {
+		return contents, ErrCorrupt.New("the file of the snapshot at %d is missing", contents.Snapshot.Index)
 	}
 	expected := contents.Snapshot.Index + 1
 	cursor := log.Cursor()
@@ -260,26 +255,26 @@
 			return contents, err
 		}
 		if entry.Index != expected || binary.BigEndian.Uint64(key) != expected {
-			return contents, ErrDamaged.New("log entry %d is missing", expected)
+			return contents, ErrCorrupt.New("log entry %d is missing", expected)
 		}
 		contents.Entries = append(contents.Entries, entry)
 		expected++
 	}
 	if contents.HardState.Commit >= expected && contents.HardState.Commit > contents.Snapshot.Index {
-		return contents, ErrDamaged.New("log ends at %d before the committed entry %d", expected-1, contents.HardState.Commit)
+		return contents, ErrCorrupt.New("log ends at %d before the committed entry %d", expected-1, contents.HardState.Commit)
 	}
 	return contents, nil
 }
 
-// Save persists what a Ready asks for and returns once it is synced.
+// Save persists a Ready and returns once it is synced.
 func (s *Store) Save(ready consensus.Ready) error {
 	if ready.HardState == nil && ready.Snapshot == nil && len(ready.Entries) == 0 {
 		return nil
 	}
 	if ready.Snapshot != nil && s.hasReceived(ready.Snapshot.Index) {
-		// The file comes first: if the log is then not cut any more, it holds
-		// entries that the snapshot covers, or that the leader will replace.
-		if err := s.adoptReceived(ready.Snapshot.Index); err != nil {
+		// The file is installed first. If the process then ends before the transaction, the log still holds
+		// entries, which the snapshot covers or the leader will replace.
+		if err := s.installReceived(ready.Snapshot.Index); err != nil {
 			return err
 		}
 	}
@@ -301,29 +296,29 @@
 		return ErrIO.Wrap(err, "save")
 	}
 	if ready.Snapshot != nil {
-		s.setInLog(*ready.Snapshot)
+		s.setDatabaseSnapshot(*ready.Snapshot)
 	}
 	return nil
 }
 
-// firstIndex is the index of the snapshot that a group begins with, which has no data.
-const firstIndex = 1
+// initialIndex is the index of a group's initial snapshot, which has no data.
+const initialIndex = 1
 
-// lacksData tells whether the snapshot's data should be in a file and is not.
-func (c Contents) lacksData(file *consensus.Snapshot) bool {
-	if c.inLog.Index <= firstIndex || c.inLog.Data != nil {
+// isDataMissing reports whether the snapshot's data should be in the snapshot file but isn't.
+func (c Contents) isDataMissing(fileSnapshot *consensus.Snapshot) bool {
+	if c.databaseSnapshot.Index <= initialIndex || c.databaseSnapshot.Data != nil {
 		return false
 	}
-	return file == nil || file.Index < c.inLog.Index
+	return fileSnapshot == nil || fileSnapshot.Index < c.databaseSnapshot.Index
 }
 
-func (s *Store) setInLog(snapshot consensus.Snapshot) {
+func (s *Store) setDatabaseSnapshot(snapshot consensus.Snapshot) {
 	s.mutex.Lock()
-	s.inLog = snapshot
+	s.databaseSnapshot = snapshot
 	s.mutex.Unlock()
 }
 
-// SaveSnapshot persists a snapshot of applied entries and drops those entries.
+// SaveSnapshot persists a snapshot of applied entries and deletes the entries that it covers.
 func (s *Store) SaveSnapshot(snapshot consensus.Snapshot) error {
 	err := s.database.Update(func(transaction *bolt.Tx) error {
 		return saveSnapshot(transaction.Bucket(snapshotBucket), transaction.Bucket(logBucket), snapshot, true)
@@ -331,20 +326,20 @@
 	if err != nil {
 		return ErrIO.Wrap(err, "save snapshot")
 	}
-	s.setInLog(snapshot)
+	s.setDatabaseSnapshot(snapshot)
 	return nil
 }
 
 // Close closes the store.
 func (s *Store) Close() error { return s.database.Close() }
 
-// saveSnapshot stores the snapshot and drops the entries up to it, or all
-// entries if the snapshot replaces the log.
-func saveSnapshot(snapshots, log *bolt.Bucket, snapshot consensus.Snapshot, keepLater bool) error {
+// saveSnapshot stores the snapshot and deletes the entries up to it, or all entries unless
+// keepLaterEntries is set.
+func saveSnapshot(snapshots, log *bolt.Bucket, snapshot consensus.Snapshot, keepLaterEntries bool) error {
 	if err := put(snapshots, snapshotKey, snapshot); err != nil {
 		return err
 	}
-	if keepLater {
+	if keepLaterEntries {
 		return dropEntries(log, snapshot.Index)
 	}
 	return dropEntries(log, math.MaxUint64)
@@ -361,7 +356,7 @@
 	return nil
 }
 
-// appendEntries stores the entries and drops stored ones that they replace.
+// appendEntries stores the entries and deletes stored ones that they replace.
 func appendEntries(log *bolt.Bucket, entries []consensus.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -372,7 +367,7 @@
 			return err
 		}
 	}
-	// Entries are only appended, so pages can be filled whole.
+	// Entries are only appended, so pages can be filled completely.
 	log.FillPercent = 1
 	for _, entry := range entries {
 		if err := put(log, indexKey(entry.Index), entry); err != nil {
@@ -389,11 +384,11 @@
 	if err != nil {
 		return err
 	}
-	return bucket.Put(key, record(data))
+	return bucket.Put(key, addChecksum(data))
 }
 
-// record returns the data behind its checksum.
-func record(data []byte) []byte {
+// addChecksum returns the data preceded by its checksum.
+func addChecksum(data []byte) []byte {
 	checked := binary.BigEndian.AppendUint32(make([]byte, 0, checksumSize+len(data)), crc32.Checksum(data, castagnoli))
 	return append(checked, data...)
 }
@@ -401,21 +396,21 @@
 func get(bucket *bolt.Bucket, key []byte, value any) error {
 	record := bucket.Get(key)
 	if record == nil {
-		return ErrDamaged.New("record %q is missing", key)
+		return ErrCorrupt.New("record %q is missing", key)
 	}
 	return decode(record, value)
 }
 
 func decode(record []byte, value any) error {
 	if len(record) < checksumSize {
-		return ErrDamaged.New("a record is %d bytes long", len(record))
+		return ErrCorrupt.New("a record is only %d bytes long", len(record))
 	}
 	data := record[checksumSize:]
 	if binary.BigEndian.Uint32(record) != crc32.Checksum(data, castagnoli) {
-		return ErrDamaged.New("a record fails its checksum")
+		return ErrCorrupt.New("checksum mismatch in a record")
 	}
 	if err := cbor.Unmarshal(data, value); err != nil {
-		return ErrDamaged.Wrap(err, "decode a record")
+		return ErrCorrupt.Wrap(err, "decode a record")
 	}
 	return nil
 }
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -17,14 +17,14 @@
 const testCluster = "cluster"
 
 func entries(first, count, term uint64) []consensus.Entry {
-	made := make([]consensus.Entry, 0, count)
+	result := make([]consensus.Entry, 0, count)
 	for index := first; index < first+count; index++ {
-		made = append(made, consensus.Entry{Term: term, Index: index, Data: []byte{byte(index), byte(term)}})
+		result = append(result, consensus.Entry{Term: term, Index: index, Data: []byte{byte(index), byte(term)}})
 	}
-	return made
+	return result
 }
 
-func initialised(t require.TestingT, folder string) {
+func initReplica(t require.TestingT, folder string) {
 	require.NoError(t, Init(folder, testCluster, 7, consensus.Snapshot{Index: 1, Term: 1}))
 	store, _, err := Open(folder, testCluster)
 	require.NoError(t, err)
@@ -33,58 +33,58 @@
 	require.NoError(t, store.Close())
 }
 
-// TestStoreKeepsWhatWasSaved saves as a replica does and reopens at any point.
-func TestStoreKeepsWhatWasSaved(t *testing.T) {
+// TestStoreKeepsSavedState saves in random order as a replica does and checks the state after reopening.
+func TestStoreKeepsSavedState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder, err := os.MkdirTemp("", "storage")
 		require.NoError(t, err)
 		defer os.RemoveAll(folder)
 		require.NoError(t, Init(folder, testCluster, 7, consensus.Snapshot{Index: 1, Term: 1}))
-		store, held, err := Open(folder, testCluster)
+		store, expected, err := Open(folder, testCluster)
 		require.NoError(t, err)
 		defer func() { store.Close() }()
-		require.Equal(t, Identity{Format: formatVersion, Cluster: testCluster, Replica: 7}, held.Identity)
-		last := func() uint64 { return held.Snapshot.Index + uint64(len(held.Entries)) }
+		require.Equal(t, Identity{Format: formatVersion, Cluster: testCluster, Replica: 7}, expected.Identity)
+		last := func() uint64 { return expected.Snapshot.Index + uint64(len(expected.Entries)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"append": func(t *rapid.T) {
-				first := rapid.Uint64Range(held.Snapshot.Index+1, last()+1).Draw(t, "first")
-				added := entries(first, rapid.Uint64Range(1, 40).Draw(t, "count"), held.HardState.Term+1)
-				state := consensus.HardState{Term: held.HardState.Term + 1, Vote: 2, Commit: held.Snapshot.Index}
+				first := rapid.Uint64Range(expected.Snapshot.Index+1, last()+1).Draw(t, "first")
+				added := entries(first, rapid.Uint64Range(1, 40).Draw(t, "count"), expected.HardState.Term+1)
+				state := consensus.HardState{Term: expected.HardState.Term + 1, Vote: 2, Commit: expected.Snapshot.Index}
 				require.NoError(t, store.Save(consensus.Ready{HardState: &state, Entries: added}))
-				held.Entries = append(held.Entries[:first-held.Snapshot.Index-1:first-held.Snapshot.Index-1], added...)
-				held.HardState = state
+				expected.Entries = append(expected.Entries[:first-expected.Snapshot.Index-1:first-expected.Snapshot.Index-1], added...)
+				expected.HardState = state
 			},
 			"compact": func(t *rapid.T) {
-				index := rapid.Uint64Range(held.Snapshot.Index, last()).Draw(t, "index")
+				index := rapid.Uint64Range(expected.Snapshot.Index, last()).Draw(t, "index")
 				snapshot := consensus.Snapshot{Index: index, Term: 1, Data: []byte("state")}
 				require.NoError(t, store.SaveSnapshot(snapshot))
-				held.Entries = held.Entries[index-held.Snapshot.Index:]
-				held.Snapshot = snapshot
+				expected.Entries = expected.Entries[index-expected.Snapshot.Index:]
+				expected.Snapshot = snapshot
 			},
 			"install": func(*rapid.T) {
 				snapshot := consensus.Snapshot{Index: last() + 5, Term: 9, Data: []byte("installed")}
-				state := consensus.HardState{Term: held.HardState.Term + 1, Commit: snapshot.Index}
+				state := consensus.HardState{Term: expected.HardState.Term + 1, Commit: snapshot.Index}
 				require.NoError(t, store.Save(consensus.Ready{HardState: &state, Snapshot: &snapshot}))
-				held.Snapshot, held.HardState, held.Entries = snapshot, state, nil
+				expected.Snapshot, expected.HardState, expected.Entries = snapshot, state, nil
 			},
 			"reopen": func(t *rapid.T) {
 				require.NoError(t, store.Close())
 				var contents Contents
 				store, contents, err = Open(folder, testCluster)
 				require.NoError(t, err)
-				require.Equal(t, held.HardState, contents.HardState)
-				require.Equal(t, held.Snapshot.Index, contents.Snapshot.Index)
-				require.Equal(t, held.Snapshot.Data, contents.Snapshot.Data)
-				require.Equal(t, len(held.Entries), len(contents.Entries))
-				for position := range held.Entries {
-					require.Equal(t, held.Entries[position], contents.Entries[position])
+				require.Equal(t, expected.HardState, contents.HardState)
+				require.Equal(t, expected.Snapshot.Index, contents.Snapshot.Index)
+				require.Equal(t, expected.Snapshot.Data, contents.Snapshot.Data)
+				require.Equal(t, len(expected.Entries), len(contents.Entries))
+				for position := range expected.Entries {
+					require.Equal(t, expected.Entries[position], contents.Entries[position])
 				}
 			},
 		})
 	})
 }
 
-func TestOpenRefusesWhatItMustNotUse(t *testing.T) {
+func TestOpenRefusesUnusableFolder(t *testing.T) {
 	edit := func(t *testing.T, path string, change func(meta, log *bolt.Bucket) error) {
 		database, err := bolt.Open(path, fileMode, nil)
 		require.NoError(t, err)
@@ -94,45 +94,45 @@
 		require.NoError(t, database.Close())
 	}
 	tests := map[string]struct {
-		damage  func(t *testing.T, path string)
+		corrupt func(t *testing.T, path string)
 		cluster string
 		kind    *errorx.Type
 	}{
-		"missing": {damage: func(t *testing.T, path string) { require.NoError(t, os.Remove(path)) }, kind: ErrMissing},
-		"foreign": {damage: func(*testing.T, string) {}, cluster: "another", kind: ErrForeign},
-		"another program's file": {kind: ErrForeign, damage: func(t *testing.T, path string) {
+		"missing": {corrupt: func(t *testing.T, path string) { require.NoError(t, os.Remove(path)) }, kind: ErrMissing},
+		"foreign": {corrupt: func(*testing.T, string) {}, cluster: "another", kind: ErrForeign},
+		"another program's file": {kind: ErrForeign, corrupt: func(t *testing.T, path string) {
 			edit(t, path, func(meta, _ *bolt.Bucket) error { return meta.Tx().DeleteBucket(logBucket) })
 		}},
-		"entry missing": {kind: ErrDamaged, damage: func(t *testing.T, path string) {
+		"entry missing": {kind: ErrCorrupt, corrupt: func(t *testing.T, path string) {
 			edit(t, path, func(_, log *bolt.Bucket) error { return log.Delete(indexKey(50)) })
 		}},
-		"committed entries missing": {kind: ErrDamaged, damage: func(t *testing.T, path string) {
+		"committed entries missing": {kind: ErrCorrupt, corrupt: func(t *testing.T, path string) {
 			edit(t, path, func(meta, _ *bolt.Bucket) error {
 				return put(meta, stateKey, consensus.HardState{Term: 2, Commit: 1000})
 			})
 		}},
-		"checksum": {kind: ErrDamaged, damage: func(t *testing.T, path string) {
+		"checksum": {kind: ErrCorrupt, corrupt: func(t *testing.T, path string) {
 			edit(t, path, func(_, log *bolt.Bucket) error {
 				record := append([]byte(nil), log.Get(indexKey(50))...)
 				record[len(record)-1] ^= 1
 				return log.Put(indexKey(50), record)
 			})
 		}},
-		"short record": {kind: ErrDamaged, damage: func(t *testing.T, path string) {
+		"short record": {kind: ErrCorrupt, corrupt: func(t *testing.T, path string) {
 			edit(t, path, func(meta, _ *bolt.Bucket) error { return meta.Tx().Bucket(snapshotBucket).Put(snapshotKey, []byte{1}) })
 		}},
-		"snapshot missing": {kind: ErrDamaged, damage: func(t *testing.T, path string) {
+		"snapshot missing": {kind: ErrCorrupt, corrupt: func(t *testing.T, path string) {
 			edit(t, path, func(meta, _ *bolt.Bucket) error { return meta.Tx().Bucket(snapshotBucket).Delete(snapshotKey) })
 		}},
-		"truncated": {kind: ErrDamaged, damage: func(t *testing.T, path string) {
+		"truncated": {kind: ErrCorrupt, corrupt: func(t *testing.T, path string) {
 			info, err := os.Stat(path)
 			require.NoError(t, err)
 			require.NoError(t, os.Truncate(path, info.Size()/2))
 		}},
-		"emptied": {kind: ErrDamaged, damage: func(t *testing.T, path string) {
+		"emptied": {kind: ErrCorrupt, corrupt: func(t *testing.T, path string) {
 			require.NoError(t, os.Truncate(path, 0))
 		}},
-		"overwritten": {kind: ErrDamaged, damage: func(t *testing.T, path string) {
+		"overwritten": {kind: ErrCorrupt, corrupt: func(t *testing.T, path string) {
 			data, err := os.ReadFile(path)
 			require.NoError(t, err)
 			for position := len(data) / 8; position < len(data); position++ {
@@ -144,8 +144,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			folder := t.TempDir()
-			initialised(t, folder)
-			test.damage(t, filepath.Join(folder, fileName))
+			initReplica(t, folder)
+			test.corrupt(t, filepath.Join(folder, fileName))
 			cluster := test.cluster
 			if cluster == "" {
 				cluster = testCluster
@@ -157,9 +157,9 @@
 	}
 }
 
-func TestInitRefusesAFolderInUse(t *testing.T) {
+func TestInitRefusesExistingReplica(t *testing.T) {
 	folder := t.TempDir()
-	initialised(t, folder)
+	initReplica(t, folder)
 	require.True(t, errorx.IsOfType(Init(folder, testCluster, 8, consensus.Snapshot{}), ErrExists))
 }
 
@@ -173,8 +173,8 @@
 	})
 }
 
-// TestSavesDoNotRewriteTheSnapshot: the cost of a save does not grow with the
-// snapshot, which the file would otherwise be seen to hold many times over.
+// TestSavesDoNotRewriteTheSnapshot: the number of pages written by a save does not depend on the size of
+// the snapshot.
 func TestSavesDoNotRewriteTheSnapshot(t *testing.T) {
 	folder := t.TempDir()
 	const snapshotBytes = 4 << 20
