--- a/replica/admission.go
+++ b/replica/admission.go
@@ -69,8 +69,8 @@
 // must receive at most two requests a round from each, and one a second after standbyDelay.
 func (r *Replica) joinRequests(contacts []string, round int, standingBy bool) []joinRequest {
 	inTurn := addressInTurn(contacts, round)
-	bounded := r.settings.StandbyLearners > 0
-	if bounded && standingBy {
+	isLimited := r.settings.StandbyLearners > 0
+	if isLimited && standingBy {
 		if r.settings.OtherContacts != nil && round%otherContactRounds == 0 {
 			inTurn = append(inTurn, addressInTurn(r.settings.OtherContacts(), round/otherContactRounds)...)
 		}
@@ -78,7 +78,7 @@
 	}
 	requests := make([]joinRequest, 0, len(contacts))
 	for _, address := range contacts {
-		requests = append(requests, joinRequest{address: address, forward: !bounded || slices.Contains(inTurn, address)})
+		requests = append(requests, joinRequest{address: address, forward: !isLimited || slices.Contains(inTurn, address)})
 	}
 	return requests
 }
@@ -93,11 +93,11 @@
 
 // logAdmissionPending logs at most once per admissionLogInterval that this replica is waiting for
 // admission, unless the number of learners is limited. It returns the time of the last log line.
-func (r *Replica) logAdmissionPending(insideAt, toldAt time.Time) time.Time {
-	if r.settings.StandbyLearners > 0 || clock.Since(toldAt) <= admissionLogInterval {
-		return toldAt
+func (r *Replica) logAdmissionPending(lastMemberAt, loggedAt time.Time) time.Time {
+	if r.settings.StandbyLearners > 0 || clock.Since(loggedAt) <= admissionLogInterval {
+		return loggedAt
 	}
-	event.AdmissionPending.On(r.logger).Int("ms", clock.Since(insideAt).Milliseconds()).
+	event.AdmissionPending.On(r.logger).Int("ms", clock.Since(lastMemberAt).Milliseconds()).
 		Str("asked", strings.Join(r.contacts(), " ")).Send()
 	return clock.Now()
 }
--- a/replica/admission_test.go
+++ b/replica/admission_test.go
@@ -36,7 +36,7 @@
 		}
 		g.steps(5)
 	}
-	require.Fail(g.t, "leadership was not handed over")
+	require.Fail(g.t, "leadership was not transferred")
 }
 
 // TestJoinThroughFollower: an empty replica becomes a member even if none of the replicas that it can
@@ -56,8 +56,8 @@
 	g.start(lost)
 	g.steps(100)
 	g.requireAcknowledged()
-	_, member := g.leader().core.raft.Membership().Member(lost.identity)
-	require.True(t, member)
+	_, isMember := g.leader().core.raft.Membership().Member(lost.identity)
+	require.True(t, isMember)
 	require.Zero(t, g.leader().core.MissingVoters())
 }
 
@@ -115,15 +115,15 @@
 			follower = p
 		}
 	}
-	ask := func(passedOn bool) []Outgoing {
-		follower.core.Receive(protocol.Message{From: "new", Join: &protocol.Join{ID: 900, Address: "new", PassedOn: passedOn}})
+	sendJoin := func(forwarded bool) []Outgoing {
+		follower.core.Receive(protocol.Message{From: "new", Join: &protocol.Join{ID: 900, Address: "new", PassedOn: forwarded}})
 		return follower.core.TakeMessages()
 	}
-	first := ask(false)
+	first := sendJoin(false)
 	require.Len(t, first, 1)
 	require.Equal(t, g.leader().address, first[0].Address)
 	require.Equal(t, &protocol.Join{ID: 900, Address: "new", PassedOn: true}, first[0].Message.Join)
-	require.Empty(t, ask(true))
+	require.Empty(t, sendJoin(true))
 }
 
 // TestAdmissionContacts: a replica that is not a member asks the addresses in its settings, the members
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -27,12 +27,12 @@
 func benchGroup(b *testing.B) []*Replica {
 	logger := zerolog.Nop()
 	var listeners []net.Listener
-	var founders consensus.Membership
+	var initialMembers consensus.Membership
 	for number := range 3 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(b, err)
 		listeners = append(listeners, listener)
-		founders.Members = append(founders.Members, consensus.Member{
+		initialMembers.Members = append(initialMembers.Members, consensus.Member{
 			ID: consensus.ReplicaID(number + 1), Address: listener.Addr().String(), Voter: true,
 		})
 	}
@@ -42,7 +42,7 @@
 	for number, listener := range listeners {
 		opened, err := Open(Settings{
 			Cluster: "bench", Address: listener.Addr().String(), DataFolder: filepath.Join(b.TempDir(), fmt.Sprint(number)),
-			Voters: 3, InitialMembers: founders, Replica: founders.Members[number].ID, Contacts: func() []string { return nil },
+			Voters: 3, InitialMembers: initialMembers, Replica: initialMembers.Members[number].ID, Contacts: func() []string { return nil },
 		}, ledger.NewMachine(), &logger)
 		require.NoError(b, err)
 		router := mux.NewRouter()
--- a/replica/core.go
+++ b/replica/core.go
@@ -263,8 +263,8 @@
 	for _, entry := range ready.Committed {
 		c.applyEntry(entry)
 	}
-	if checked, ok := c.machine.(Fallible); ok && checked.Err() != nil {
-		return checked.Err()
+	if fallible, ok := c.machine.(Fallible); ok && fallible.Err() != nil {
+		return fallible.Err()
 	}
 	c.raft.Advance(ready)
 	c.raft.DropSnapshotData()
--- a/replica/core_test.go
+++ b/replica/core_test.go
@@ -77,20 +77,20 @@
 	electionTicks int
 }
 
-func newGroup(t require.TestingT, founders, voters int) *group {
-	return newGroupWith(t, founders, voters, 10)
+func newGroup(t require.TestingT, initialCount, voters int) *group {
+	return newGroupWith(t, initialCount, voters, 10)
 }
 
-func newGroupWith(t require.TestingT, founders, voters, electionTicks int) *group {
+func newGroupWith(t require.TestingT, initialCount, voters, electionTicks int) *group {
 	g := &group{t: t, proposals: map[uint64]uint64{}, identity: 100, voters: voters, electionTicks: electionTicks}
 	var membership consensus.Membership
-	for number := range founders {
+	for number := range initialCount {
 		address := fmt.Sprintf("m%d", number)
 		membership.Members = append(membership.Members, consensus.Member{
 			ID: consensus.ReplicaID(number + 1), Address: address, Voter: true,
 		})
 	}
-	for number := range founders {
+	for number := range initialCount {
 		p := &process{
 			address: membership.Members[number].Address, identity: membership.Members[number].ID,
 			snapshot: consensus.Snapshot{Index: 1, Term: 1, Membership: membership},
@@ -161,9 +161,9 @@
 	}
 	g.finishSnapshot(p)
 	for _, message := range p.core.TakeMessages() {
-		if sent := message.Message.Consensus; sent != nil && sent.Snapshot != nil {
+		if original := message.Message.Consensus; original != nil && original.Snapshot != nil {
 			// The newest durable snapshot is added, as Replica does.
-			copied, snapshot := *sent, p.snapshot
+			copied, snapshot := *original, p.snapshot
 			copied.Snapshot = &snapshot
 			message.Message.Consensus = &copied
 		}
@@ -223,8 +223,8 @@
 
 // sendJoins asks the process's seeds for admission if it is not a member or knows no leader.
 func (g *group) sendJoins(p *process) {
-	_, member := p.core.Raft().Membership().Member(p.identity)
-	if member && p.core.Raft().Leader() != consensus.None || p.isolated {
+	_, isMember := p.core.Raft().Membership().Member(p.identity)
+	if isMember && p.core.Raft().Leader() != consensus.None || p.isolated {
 		return
 	}
 	for _, other := range g.processes {
@@ -333,16 +333,16 @@
 	g.steps(40)
 	g.addProcess()
 	g.steps(20)
-	retired := g.leader()
+	retiring := g.leader()
 	for range 100 {
 		if leader := g.leader(); leader != nil {
-			leader.core.SetRetiring(map[consensus.ReplicaID]bool{retired.identity: true})
+			leader.core.SetRetiring(map[consensus.ReplicaID]bool{retiring.identity: true})
 		}
 		g.step()
 	}
 	g.requireAcknowledged()
 	require.Equal(t, 3, g.voterCount())
-	_, ok := g.leader().core.Raft().Membership().Member(retired.identity)
+	_, ok := g.leader().core.Raft().Membership().Member(retiring.identity)
 	require.False(t, ok)
 }
 
--- a/replica/membership.go
+++ b/replica/membership.go
@@ -126,13 +126,13 @@
 	if !c.Leading() {
 		return 0
 	}
-	alive := 0
+	responsive := 0
 	for _, member := range c.raft.Membership().Members {
 		if _, silent := c.raft.Match(member.ID); member.Voter && (member.ID == c.raft.ID() || silent <= c.config.SilentTicks) {
-			alive++
+			responsive++
 		}
 	}
-	return max(c.config.Voters-alive, 0)
+	return max(c.config.Voters-responsive, 0)
 }
 
 func (c *Core) classifyMembers() membershipView {
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -186,7 +186,7 @@
 		return store, contents, err
 	}
 	var initial consensus.Snapshot
-	if _, founder := settings.InitialMembers.Member(settings.Replica); founder {
+	if _, isInitial := settings.InitialMembers.Member(settings.Replica); isInitial {
 		// All initial members start from the same synthetic entry, so that they agree on the membership.
 		initial = consensus.Snapshot{Index: 1, Term: 1, Membership: settings.InitialMembers}
 	}
--- a/replica/outlive_test.go
+++ b/replica/simulation_test.go
@@ -79,90 +79,90 @@
 	events                      []string
 }
 
-func (w *simulation) logf(format string, args ...any) {
-	w.events = append(w.events, fmt.Sprintf("%d: ", w.tick)+fmt.Sprintf(format, args...))
+func (s *simulation) logf(format string, args ...any) {
+	s.events = append(s.events, fmt.Sprintf("%d: ", s.tick)+fmt.Sprintf(format, args...))
 }
 
 // failf fails the test and prints the events.
-func (w *simulation) failf(format string, arguments ...any) {
-	require.Fail(w.t, fmt.Sprintf("tick %d: ", w.tick)+fmt.Sprintf(format, arguments...), strings.Join(w.events, "\n"))
+func (s *simulation) failf(format string, arguments ...any) {
+	require.Fail(s.t, fmt.Sprintf("tick %d: ", s.tick)+fmt.Sprintf(format, arguments...), strings.Join(s.events, "\n"))
 }
 
 func newSimulation(t require.TestingT, seed uint64, size, tolerance int, ledger bool) *simulation {
 	random := rand.New(rand.NewPCG(seed, 1))
-	w := &simulation{random: random, byAddress: map[string]*machine{}, linkUpAt: map[[2]string]int{}, isLedger: ledger, tolerance: tolerance}
-	w.group = &group{t: t, proposals: map[uint64]uint64{}, identity: 100, voters: 2*tolerance + 1}
+	s := &simulation{random: random, byAddress: map[string]*machine{}, linkUpAt: map[[2]string]int{}, isLedger: ledger, tolerance: tolerance}
+	s.group = &group{t: t, proposals: map[uint64]uint64{}, identity: 100, voters: 2*tolerance + 1}
 	if ledger {
-		w.standby = max(tolerance, 1)
+		s.standby = max(tolerance, 1)
 	}
 	switch random.IntN(3) {
 	case 0:
-		w.lateTickProbability = 0.2
+		s.lateTickProbability = 0.2
 	case 1:
-		w.lateTickProbability = 0.05
+		s.lateTickProbability = 0.05
 	}
 	if random.IntN(3) == 0 {
-		w.messageLossProbability = 0.02
+		s.messageLossProbability = 0.02
 	}
-	founders := 3
+	initialCount := 3
 	if ledger {
-		founders = min(w.voters, size)
+		initialCount = min(s.voters, size)
 	}
 	var membership consensus.Membership
-	for number := range founders {
+	for number := range initialCount {
 		membership.Members = append(membership.Members, consensus.Member{ID: consensus.ReplicaID(number + 1), Address: fmt.Sprintf("m%d", number), Voter: true})
-		w.seeds = append(w.seeds, fmt.Sprintf("m%d", number))
+		s.seeds = append(s.seeds, fmt.Sprintf("m%d", number))
 	}
-	for number := founders; number < seedCount; number++ {
-		w.seeds = append(w.seeds, fmt.Sprintf("m%d", number))
+	for number := initialCount; number < seedCount; number++ {
+		s.seeds = append(s.seeds, fmt.Sprintf("m%d", number))
 	}
-	w.seeds = w.seeds[:seedCount]
-	w.reportedMembers = slices.Clone(w.seeds)
+	s.seeds = s.seeds[:seedCount]
+	s.reportedMembers = slices.Clone(s.seeds)
 	for number := range size {
 		m := &machine{process: &process{address: fmt.Sprintf("m%d", number)}}
-		if number < founders {
+		if number < initialCount {
 			m.identity = membership.Members[number].ID
 			m.snapshot = consensus.Snapshot{Index: 1, Term: 1, Membership: membership}
 			m.state = consensus.HardState{Term: 1, Commit: 1}
 		} else {
-			w.identity++
-			m.identity = w.identity
+			s.identity++
+			m.identity = s.identity
 		}
-		w.machines = append(w.machines, m)
-		w.byAddress[m.address] = m
-		w.boot(m)
+		s.machines = append(s.machines, m)
+		s.byAddress[m.address] = m
+		s.boot(m)
 	}
-	return w
+	return s
 }
 
-func (w *simulation) boot(m *machine) {
+func (s *simulation) boot(m *machine) {
 	m.machine, m.job = &numbers{}, nil
 	nonLeaderDelay := 0
-	if w.isLedger {
+	if s.isLedger {
 		nonLeaderDelay = nonLeaderDelayTicks
 	}
 	core, err := NewCore(CoreConfig{
 		Consensus: consensus.Config{
-			ID: m.identity, ElectionTicks: electionTicks, FirstElectionTicks: firstElectionTicks, NonLeaderDelayTicks: nonLeaderDelay, HeartbeatTicks: heartbeatTicks, MaxAppendBytes: 1 << 10, Seed: w.random.Uint64(),
+			ID: m.identity, ElectionTicks: electionTicks, FirstElectionTicks: firstElectionTicks, NonLeaderDelayTicks: nonLeaderDelay, HeartbeatTicks: heartbeatTicks, MaxAppendBytes: 1 << 10, Seed: s.random.Uint64(),
 			HardState: m.state, Snapshot: m.snapshot, Entries: slices.Clone(m.entries),
 		},
-		Address: m.address, Voters: w.voters, StandbyLearners: w.standby, SilentTicks: silentTicks, SnapshotBytes: 1 << 20, SnapshotEntries: 40,
+		Address: m.address, Voters: s.voters, StandbyLearners: s.standby, SilentTicks: silentTicks, SnapshotBytes: 1 << 20, SnapshotEntries: 40,
 	}, m.machine, bytes.NewReader(m.snapshot.Data))
 	if err != nil {
-		w.failf("boot: %v", err)
+		s.failf("boot: %v", err)
 	}
 	m.core = core
 	m.queued, m.missedTicks, m.downUntil, m.stalledUntil = nil, 0, 0, 0
-	m.lastMemberAt, m.joinRound = w.tick, 0
-	m.nextJoinAt = w.tick
-	w.delayLinks(m)
+	m.lastMemberAt, m.joinRound = s.tick, 0
+	m.nextJoinAt = s.tick
+	s.delayLinks(m)
 }
 
 // delayLinks fails some of the links to the machine for a short time.
-func (w *simulation) delayLinks(m *machine) {
-	for _, other := range w.machines {
-		if w.random.IntN(2) == 0 {
-			w.linkUpAt[[2]string{other.address, m.address}] = w.tick + w.random.IntN(25)
+func (s *simulation) delayLinks(m *machine) {
+	for _, other := range s.machines {
+		if s.random.IntN(2) == 0 {
+			s.linkUpAt[[2]string{other.address, m.address}] = s.tick + s.random.IntN(25)
 		}
 	}
 }
@@ -177,21 +177,21 @@
 	return !m.replaced && (m.core == nil || tick < max(m.stalledUntil, m.cutUntil, m.lostUntil))
 }
 
-func (w *simulation) lostCount() int {
+func (s *simulation) lostCount() int {
 	count := 0
-	for _, m := range w.machines {
-		if m.isLost(w.tick) {
+	for _, m := range s.machines {
+		if m.isLost(s.tick) {
 			count++
 		}
 	}
 	return count
 }
 
-func (w *simulation) isBlocked(from, to *machine) bool {
-	if w.tick < w.linkUpAt[[2]string{from.address, to.address}] {
+func (s *simulation) isBlocked(from, to *machine) bool {
+	if s.tick < s.linkUpAt[[2]string{from.address, to.address}] {
 		return true
 	}
-	fromCut, toCut := w.tick < from.cutUntil, w.tick < to.cutUntil
+	fromCut, toCut := s.tick < from.cutUntil, s.tick < to.cutUntil
 	if fromCut && toCut && from.cutGroup == to.cutGroup {
 		return false
 	}
@@ -199,10 +199,10 @@
 }
 
 // contacts returns the addresses that the machine asks for admission, like Replica.contacts.
-func (w *simulation) contacts(m *machine) []string {
-	addresses := slices.Clone(w.seeds)
-	if w.isLedger {
-		addresses = slices.Clone(w.reportedMembers)
+func (s *simulation) contacts(m *machine) []string {
+	addresses := slices.Clone(s.seeds)
+	if s.isLedger {
+		addresses = slices.Clone(s.reportedMembers)
 	}
 	for _, member := range m.core.Raft().Membership().Members {
 		addresses = append(addresses, member.Address)
@@ -213,132 +213,132 @@
 }
 
 // requestAdmission sends a non-member's join requests, like Replica.requestAdmission.
-func (w *simulation) requestAdmission(m *machine) {
-	if w.tick < m.nextJoinAt {
+func (s *simulation) requestAdmission(m *machine) {
+	if s.tick < m.nextJoinAt {
 		return
 	}
-	m.nextJoinAt = w.tick + joinTicks
-	if _, member := m.core.Raft().Membership().Member(m.identity); member && m.core.Raft().Leader() != consensus.None {
-		m.lastMemberAt = w.tick
+	m.nextJoinAt = s.tick + joinTicks
+	if _, isMember := m.core.Raft().Membership().Member(m.identity); isMember && m.core.Raft().Leader() != consensus.None {
+		m.lastMemberAt = s.tick
 		return
 	}
-	addresses := w.contacts(m)
-	if w.tick-m.lastMemberAt > standbyDelayTicks {
-		m.nextJoinAt = w.tick + standbyJoinTicks
+	addresses := s.contacts(m)
+	if s.tick-m.lastMemberAt > standbyDelayTicks {
+		m.nextJoinAt = s.tick + standbyJoinTicks
 		addresses = addressInTurn(addresses, m.joinRound)
 	}
 	m.joinRound++
 	for _, address := range addresses {
-		w.inbox = append(w.inbox, Outgoing{Address: address, Message: protocol.Message{
+		s.inbox = append(s.inbox, Outgoing{Address: address, Message: protocol.Message{
 			From: m.address, Join: &protocol.Join{ID: m.identity, Address: m.address},
 		}})
 	}
 }
 
 // advanceTick advances the simulation by one tick and delivers all messages.
-func (w *simulation) advanceTick() {
-	w.tick++
-	for _, m := range w.machines {
-		w.endFaults(m)
+func (s *simulation) advanceTick() {
+	s.tick++
+	for _, m := range s.machines {
+		s.endFaults(m)
 	}
-	for _, position := range w.random.Perm(len(w.machines)) {
-		w.tickMachine(w.machines[position])
+	for _, position := range s.random.Perm(len(s.machines)) {
+		s.tickMachine(s.machines[position])
 	}
-	for len(w.inbox) > 0 {
-		batch := w.inbox
-		w.inbox = nil
+	for len(s.inbox) > 0 {
+		batch := s.inbox
+		s.inbox = nil
 		for _, message := range batch {
-			w.deliver(message)
+			s.deliver(message)
 		}
 	}
-	for _, m := range w.machines {
-		if m.isRunning(w.tick) && m.core.Serving() {
-			w.nextID++
-			w.proposals[w.nextID] = w.nextID
-			m.core.Propose(w.nextID, binary.BigEndian.AppendUint64(nil, w.nextID))
-			w.flush(m.process)
+	for _, m := range s.machines {
+		if m.isRunning(s.tick) && m.core.Serving() {
+			s.nextID++
+			s.proposals[s.nextID] = s.nextID
+			m.core.Propose(s.nextID, binary.BigEndian.AppendUint64(nil, s.nextID))
+			s.flush(m.process)
 		}
 	}
-	w.reportMembers()
+	s.reportMembers()
 }
 
-func (w *simulation) reportMembers() {
-	leader := w.servingLeader()
+func (s *simulation) reportMembers() {
+	leader := s.servingLeader()
 	if leader == nil || !leader.core.Raft().MembershipCommitted() {
 		return
 	}
-	w.reportedMembers = nil
+	s.reportedMembers = nil
 	for _, member := range leader.core.Raft().Membership().Members {
-		w.reportedMembers = append(w.reportedMembers, member.Address)
+		s.reportedMembers = append(s.reportedMembers, member.Address)
 	}
 }
 
 // endFaults restarts, resumes or reconnects the machine when its faults end.
-func (w *simulation) endFaults(m *machine) {
+func (s *simulation) endFaults(m *machine) {
 	if m.replaced {
 		return
 	}
-	if m.core == nil && w.tick >= m.downUntil {
-		w.boot(m)
-		w.markRecovering(m, "restarted")
+	if m.core == nil && s.tick >= m.downUntil {
+		s.boot(m)
+		s.markRecovering(m, "restarted")
 	}
-	if m.core != nil && w.tick == m.cutUntil {
-		w.delayLinks(m)
-		w.markRecovering(m, "reconnected")
+	if m.core != nil && s.tick == m.cutUntil {
+		s.delayLinks(m)
+		s.markRecovering(m, "reconnected")
 	}
-	if m.core != nil && w.tick == m.stalledUntil {
+	if m.core != nil && s.tick == m.stalledUntil {
 		queued := m.queued
 		m.queued, m.missedTicks = nil, 2*electionTicks
 		for _, message := range queued {
 			m.core.Receive(message)
 		}
-		w.flush(m.process)
-		w.markRecovering(m, "resumed")
+		s.flush(m.process)
+		s.markRecovering(m, "resumed")
 	}
 }
 
-func (w *simulation) markRecovering(m *machine, event string) {
-	m.lostUntil = max(m.lostUntil, w.tick+catchUpTicks)
-	w.logf("%s %s as %d", m.address, event, m.identity)
+func (s *simulation) markRecovering(m *machine, event string) {
+	m.lostUntil = max(m.lostUntil, s.tick+catchUpTicks)
+	s.logf("%s %s as %d", m.address, event, m.identity)
 }
 
 // tickMachine advances the machine's core, unless the tick is late and is caught up later.
-func (w *simulation) tickMachine(m *machine) {
-	if !m.isRunning(w.tick) {
+func (s *simulation) tickMachine(m *machine) {
+	if !m.isRunning(s.tick) {
 		return
 	}
 	m.missedTicks++
-	if w.random.Float64() < w.lateTickProbability {
+	if s.random.Float64() < s.lateTickProbability {
 		return
 	}
 	for range min(m.missedTicks, 2*electionTicks) {
 		m.core.Tick()
 	}
 	m.missedTicks = 0
-	w.requestAdmission(m)
-	w.flush(m.process)
+	s.requestAdmission(m)
+	s.flush(m.process)
 }
 
-func (w *simulation) deliver(message Outgoing) {
-	from, to := w.byAddress[message.Message.From], w.byAddress[message.Address]
-	if to == nil || to.core == nil || w.isBlocked(from, to) || w.random.Float64() < w.messageLossProbability {
+func (s *simulation) deliver(message Outgoing) {
+	from, to := s.byAddress[message.Message.From], s.byAddress[message.Address]
+	if to == nil || to.core == nil || s.isBlocked(from, to) || s.random.Float64() < s.messageLossProbability {
 		return
 	}
-	if !to.isRunning(w.tick) {
+	if !to.isRunning(s.tick) {
 		if len(to.queued) < maxQueuedMessages {
 			to.queued = append(to.queued, message.Message)
 		}
 		return
 	}
 	to.core.Receive(message.Message)
-	w.flush(to.process)
+	s.flush(to.process)
 }
 
 // servingLeader returns the serving leader with the highest term that is not partitioned.
-func (w *simulation) servingLeader() *machine {
+func (s *simulation) servingLeader() *machine {
 	var newest *machine
-	for _, m := range w.machines {
-		if m.isRunning(w.tick) && m.core.Serving() && w.tick >= m.cutUntil &&
+	for _, m := range s.machines {
+		if m.isRunning(s.tick) && m.core.Serving() && s.tick >= m.cutUntil &&
 			(newest == nil || m.core.Raft().Term() > newest.core.Raft().Term()) {
 			newest = m
 		}
@@ -347,66 +347,66 @@
 }
 
 // run advances the simulation and checks the group's guarantees in each tick.
-func (w *simulation) run(ticks int) {
+func (s *simulation) run(ticks int) {
 	for range ticks {
-		w.advanceTick()
-		lost := w.lostCount()
-		if lost > w.tolerance {
-			w.exceededAt = w.tick
+		s.advanceTick()
+		lostCount := s.lostCount()
+		if lostCount > s.tolerance {
+			s.exceededAt = s.tick
 		}
-		recovering := w.exceededAt > 0 && w.tick-w.exceededAt < recoveryTicks
-		leader := w.servingLeader()
-		w.leaderlessTicks++
+		recovering := s.exceededAt > 0 && s.tick-s.exceededAt < recoveryTicks
+		leader := s.servingLeader()
+		s.leaderlessTicks++
 		if leader != nil || recovering {
-			w.leaderlessTicks = 0
+			s.leaderlessTicks = 0
 		}
-		if w.leaderlessTicks > maxLeaderlessTicks {
-			w.failf("there has been no leader for too long")
+		if s.leaderlessTicks > maxLeaderlessTicks {
+			s.failf("there has been no leader for too long")
 		}
-		if leader != nil && lost == 0 && !recovering {
-			w.checkVoters(leader)
+		if leader != nil && lostCount == 0 && !recovering {
+			s.checkVoters(leader)
 		}
 	}
-	if leader := w.servingLeader(); leader != nil {
-		w.checkAcknowledged(leader)
+	if leader := s.servingLeader(); leader != nil {
+		s.checkAcknowledged(leader)
 	}
 }
 
-func (w *simulation) checkAcknowledged(leader *machine) {
+func (s *simulation) checkAcknowledged(leader *machine) {
 	stored := map[uint64]bool{}
 	for _, number := range leader.machine.list {
 		stored[number] = true
 	}
-	for _, number := range w.acknowledged {
+	for _, number := range s.acknowledged {
 		if !stored[number] {
-			w.failf("acknowledged number %d is lost", number)
+			s.failf("acknowledged number %d is lost", number)
 		}
 	}
 }
 
 // checkVoters requires that the group has the target number of voters and that none of them is lost.
-func (w *simulation) checkVoters(leader *machine) {
+func (s *simulation) checkVoters(leader *machine) {
 	alive := 0
 	for _, member := range leader.core.Raft().Membership().Members {
-		if m := w.byAddress[member.Address]; member.Voter && !m.replaced && m.identity == member.ID {
+		if m := s.byAddress[member.Address]; member.Voter && !m.replaced && m.identity == member.ID {
 			alive++
 		}
 	}
-	if voters := leader.core.Raft().Membership().Voters(); alive != w.voters || voters != w.voters {
-		w.failf("of %d voters, %d are alive; expected %d", voters, alive, w.voters)
+	if voters := leader.core.Raft().Membership().Voters(); alive != s.voters || voters != s.voters {
+		s.failf("of %d voters, %d are alive; expected %d", voters, alive, s.voters)
 	}
 }
 
 // pickRunning returns machines that are not lost. It prefers the leader.
-func (w *simulation) pickRunning(count int) []*machine {
+func (s *simulation) pickRunning(count int) []*machine {
 	var available []*machine
-	for _, position := range w.random.Perm(len(w.machines)) {
-		if m := w.machines[position]; !m.replaced && !m.isLost(w.tick) && len(available) < count {
+	for _, position := range s.random.Perm(len(s.machines)) {
+		if m := s.machines[position]; !m.replaced && !m.isLost(s.tick) && len(available) < count {
 			available = append(available, m)
 		}
 	}
-	leader := w.servingLeader()
-	if leader != nil && !leader.isLost(w.tick) && len(available) > 0 && w.random.IntN(3) == 0 && !slices.Contains(available, leader) {
+	leader := s.servingLeader()
+	if leader != nil && !leader.isLost(s.tick) && len(available) > 0 && s.random.IntN(3) == 0 && !slices.Contains(available, leader) {
 		available[0] = leader
 	}
 	return available
@@ -414,99 +414,99 @@
 
 // injectFaults starts faults within the tolerated losses. Only a power outage stops more machines, which
 // keep their disks.
-func (w *simulation) injectFaults() {
-	allowed := w.tolerance - w.lostCount()
-	kind := w.random.IntN(10)
+func (s *simulation) injectFaults() {
+	allowed := s.tolerance - s.lostCount()
+	kind := s.random.IntN(10)
 	switch {
 	case kind == 0:
-		w.changeSeeds()
+		s.changeSeeds()
 	case kind == 1 && allowed >= 0:
-		w.wipeLostMachines()
+		s.wipeLostMachines()
 	case allowed > 0:
-		chosen := w.pickRunning(1 + w.random.IntN(allowed))
-		group := w.random.Int()
-		duration := []int{5, 20, 40, 100, 160, 300}[w.random.IntN(6)] + w.random.IntN(20)
+		chosen := s.pickRunning(1 + s.random.IntN(allowed))
+		group := s.random.Int()
+		duration := []int{5, 20, 40, 100, 160, 300}[s.random.IntN(6)] + s.random.IntN(20)
 		for _, m := range chosen {
-			w.injectFault(m, kind, duration, group)
+			s.injectFault(m, kind, duration, group)
 		}
-		if kind == 2 && w.random.IntN(3) == 0 {
-			w.powerOutage()
+		if kind == 2 && s.random.IntN(3) == 0 {
+			s.powerOutage()
 		}
 	}
 }
 
 // injectFault starts one fault of a machine.
-func (w *simulation) injectFault(m *machine, kind, duration, group int) {
-	w.logf("%s: fault %d for %d ticks", m.address, kind, duration)
+func (s *simulation) injectFault(m *machine, kind, duration, group int) {
+	s.logf("%s: fault %d for %d ticks", m.address, kind, duration)
 	switch kind {
 	case 2, 3, 4:
-		w.wipeDisk(m, 10+w.random.IntN(60))
+		s.wipeDisk(m, 10+s.random.IntN(60))
 	case 5:
-		m.core, m.downUntil = nil, w.tick+duration
+		m.core, m.downUntil = nil, s.tick+duration
 	case 6:
-		m.stalledUntil = w.tick + duration
+		m.stalledUntil = s.tick + duration
 	case 7:
-		m.cutUntil, m.cutGroup, m.cutMode = w.tick+duration, group, cutMode(w.random.IntN(3))
+		m.cutUntil, m.cutGroup, m.cutMode = s.tick+duration, group, cutMode(s.random.IntN(3))
 	case 8:
 		m.core.TransferLeadership()
-		w.flush(m.process)
-		m.core, m.downUntil = nil, w.tick+2+w.random.IntN(40)
+		s.flush(m.process)
+		m.core, m.downUntil = nil, s.tick+2+s.random.IntN(40)
 	case 9:
-		w.replaceMachine(m, 20+w.random.IntN(20))
+		s.replaceMachine(m, 20+s.random.IntN(20))
 	}
 }
 
 // wipeDisk stops the machine and deletes its disk.
-func (w *simulation) wipeDisk(m *machine, duration int) {
-	w.identity++
-	*m.process = process{address: m.address, identity: w.identity}
-	m.downUntil, m.stalledUntil = w.tick+duration, 0
+func (s *simulation) wipeDisk(m *machine, duration int) {
+	s.identity++
+	*m.process = process{address: m.address, identity: s.identity}
+	m.downUntil, m.stalledUntil = s.tick+duration, 0
 }
 
 // wipeLostMachines deletes the disks of some machines that already count as lost.
-func (w *simulation) wipeLostMachines() {
-	for _, m := range w.machines {
-		if m.isLost(w.tick) && m.core != nil && w.random.IntN(2) == 0 {
-			w.logf("%s loses its disk", m.address)
-			w.wipeDisk(m, 10+w.random.IntN(50))
+func (s *simulation) wipeLostMachines() {
+	for _, m := range s.machines {
+		if m.isLost(s.tick) && m.core != nil && s.random.IntN(2) == 0 {
+			s.logf("%s loses its disk", m.address)
+			s.wipeDisk(m, 10+s.random.IntN(50))
 		}
 	}
 }
 
-func (w *simulation) powerOutage() {
-	w.logf("power outage")
-	for _, m := range w.machines {
+func (s *simulation) powerOutage() {
+	s.logf("power outage")
+	for _, m := range s.machines {
 		if !m.replaced && m.core != nil {
-			m.core, m.downUntil = nil, w.tick+40+w.random.IntN(60)
+			m.core, m.downUntil = nil, s.tick+40+s.random.IntN(60)
 		}
 	}
 }
 
 // replaceMachine replaces the machine by an empty one at another address, and updates the settings.
-func (w *simulation) replaceMachine(m *machine, delay int) {
-	w.identity++
+func (s *simulation) replaceMachine(m *machine, delay int) {
+	s.identity++
 	added := &machine{
-		process:   &process{address: fmt.Sprintf("m%d", len(w.machines)), identity: w.identity},
-		downUntil: w.tick + delay,
+		process:   &process{address: fmt.Sprintf("m%d", len(s.machines)), identity: s.identity},
+		downUntil: s.tick + delay,
 	}
-	w.machines = append(w.machines, added)
-	w.byAddress[added.address] = added
+	s.machines = append(s.machines, added)
+	s.byAddress[added.address] = added
 	m.replaced, m.core = true, nil
-	if position := slices.Index(w.seeds, m.address); position >= 0 {
-		w.seeds = slices.Clone(w.seeds)
-		w.seeds[position] = added.address
+	if position := slices.Index(s.seeds, m.address); position >= 0 {
+		s.seeds = slices.Clone(s.seeds)
+		s.seeds[position] = added.address
 	}
-	w.logf("%s replaces %s", added.address, m.address)
+	s.logf("%s replaces %s", added.address, m.address)
 }
 
-func (w *simulation) changeSeeds() {
-	w.seeds = nil
-	for _, position := range w.random.Perm(len(w.machines)) {
-		if m := w.machines[position]; !m.replaced && len(w.seeds) < seedCount {
-			w.seeds = append(w.seeds, m.address)
+func (s *simulation) changeSeeds() {
+	s.seeds = nil
+	for _, position := range s.random.Perm(len(s.machines)) {
+		if m := s.machines[position]; !m.replaced && len(s.seeds) < seedCount {
+			s.seeds = append(s.seeds, m.address)
 		}
 	}
-	w.logf("the settings name %v", w.seeds)
+	s.logf("the settings name %v", s.seeds)
 }
 
 // TestGroupSurvivesToleratedFaults injects disk losses, crashes, stalls, partitions, shutdowns and
@@ -523,15 +523,15 @@
 	}{{3, 1, false}, {4, 1, false}, {5, 2, false}, {6, 2, false}, {7, 2, false}, {6, 1, true}, {11, 2, true}} {
 		t.Run(fmt.Sprintf("%+v", group), func(t *testing.T) {
 			for seed := range uint64(20) {
-				w := newSimulation(t, seed, group.size, group.tolerance, group.ledger)
+				s := newSimulation(t, seed, group.size, group.tolerance, group.ledger)
 				for range recoveryTicks {
-					w.advanceTick()
+					s.advanceTick()
 				}
 				for range rounds {
-					w.run([]int{0, 3, 10, 40, 90, 200}[w.random.IntN(6)])
-					w.injectFaults()
+					s.run([]int{0, 3, 10, 40, 90, 200}[s.random.IntN(6)])
+					s.injectFaults()
 				}
-				w.run(finalTicks)
+				s.run(finalTicks)
 			}
 		})
 	}
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -22,13 +22,14 @@
 	snapshotPath    = "/internal/snapshot"
 	transferTimeout = 30 * time.Second
 	// maxTransfers limits concurrent outgoing snapshots.
-	maxTransfers    = 2
-	lengthBytes     = 4
-	maxMessageBytes = 1 << 20
+	maxTransfers      = 2
+	lengthPrefixBytes = 4
+	maxMessageBytes   = 1 << 20
 )
 
-// transfers sends snapshots from storage to other replicas. A leader requests a snapshot repeatedly until
-// the receiver acknowledges it, so concurrent transfers are limited to one per receiver and maxTransfers.
+// transfers sends snapshots from storage to other replicas. The core of a leader requests a transfer
+// repeatedly until the receiver acknowledges the snapshot, so there is at most one transfer to each replica
+// at a time, and at most maxTransfers in total.
 type transfers struct {
 	store  Store
 	client *http.Client
@@ -60,7 +61,7 @@
 }
 
 // send starts sending the message with the newest durable snapshot, which may be newer than the one in
-// the message. A transfer that is not started is requested again by the leader.
+// the message. A transfer that is not started is requested again by the core.
 func (t *transfers) send(outgoing Outgoing) {
 	if !t.tryBegin(outgoing.Address) {
 		return
@@ -85,19 +86,19 @@
 	message := *outgoing.Message.Consensus
 	message.Snapshot = &snapshot
 	outgoing.Message.Consensus = &message
-	head, err := cbor.Marshal(outgoing.Message)
+	header, err := cbor.Marshal(outgoing.Message)
 	if err != nil {
 		return snapshot.Index, err
 	}
-	head = append(binary.BigEndian.AppendUint32(nil, uint32(len(head))), head...)
+	header = append(binary.BigEndian.AppendUint32(nil, uint32(len(header))), header...)
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+outgoing.Address+snapshotPath,
-		io.MultiReader(bytes.NewReader(head), data))
+		io.MultiReader(bytes.NewReader(header), data))
 	if err != nil {
 		return snapshot.Index, err
 	}
-	request.ContentLength = int64(len(head)) + size
+	request.ContentLength = int64(len(header)) + size
 	response, err := t.client.Do(request)
 	if err != nil {
 		return snapshot.Index, err
@@ -127,20 +128,20 @@
 // data that follows.
 func readSnapshotMessage(request *http.Request) (protocol.Message, int64, error) {
 	var message protocol.Message
-	var prefix [lengthBytes]byte
+	var prefix [lengthPrefixBytes]byte
 	if _, err := io.ReadFull(request.Body, prefix[:]); err != nil {
 		return message, 0, err
 	}
 	length := binary.BigEndian.Uint32(prefix[:])
-	size := request.ContentLength - lengthBytes - int64(length)
+	size := request.ContentLength - lengthPrefixBytes - int64(length)
 	if length > maxMessageBytes || size < 0 {
 		return message, 0, ErrUnavailable.New("invalid message length %d", length)
 	}
-	head := make([]byte, length)
-	if _, err := io.ReadFull(request.Body, head); err != nil {
+	encoded := make([]byte, length)
+	if _, err := io.ReadFull(request.Body, encoded); err != nil {
 		return message, 0, err
 	}
-	if err := cbor.Unmarshal(head, &message); err != nil {
+	if err := cbor.Unmarshal(encoded, &message); err != nil {
 		return message, 0, err
 	}
 	if message.Consensus == nil || message.Consensus.Snapshot == nil {
--- a/storage/golden_test.go
+++ b/storage/golden_test.go
@@ -74,7 +74,7 @@
 func TestOpenRefusesLaterFormat(t *testing.T) {
 	folder := t.TempDir()
 	initReplica(t, folder)
-	path := filepath.Join(folder, fileName)
+	path := filepath.Join(folder, databaseFileName)
 	database, err := bolt.Open(path, fileMode, nil)
 	require.NoError(t, err)
 	require.NoError(t, database.Update(func(transaction *bolt.Tx) error {
--- a/storage/reservation.go
+++ b/storage/reservation.go
@@ -11,7 +11,7 @@
 	"github.com/dillchute/dillchute/consensus"
 )
 
-const reservationName = "reservation"
+const reservationFileName = "reservation"
 
 // ReserveIdentity records the identity under which a process without a replica offers itself as an initial
 // member, so that it keeps the identity if it is restarted before the group is formed.
@@ -23,7 +23,7 @@
 	if err != nil {
 		panic("storage: an identity must encode: " + err.Error())
 	}
-	path := filepath.Join(folder, reservationName)
+	path := filepath.Join(folder, reservationFileName)
 	if err := writeSynced(path+".new", addChecksum(data)); err != nil {
 		return ErrIO.Wrap(err, "write %s", path)
 	}
@@ -36,7 +36,7 @@
 // ReservedIdentity returns the reserved identity, or None if there is none, it is corrupt or it belongs to
 // another cluster or format.
 func ReservedIdentity(folder, cluster string) (consensus.ReplicaID, error) {
-	data, err := os.ReadFile(filepath.Join(folder, reservationName))
+	data, err := os.ReadFile(filepath.Join(folder, reservationFileName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return consensus.None, nil
 	}
--- a/storage/reservation_test.go
+++ b/storage/reservation_test.go
@@ -24,7 +24,7 @@
 	require.Equal(t, consensus.ReplicaID(8), read("c"))
 	require.Equal(t, consensus.None, read("other"))
 	require.False(t, HasReplica(folder), "a reservation is not a replica")
-	path := filepath.Join(folder, reservationName)
+	path := filepath.Join(folder, reservationFileName)
 	data, err := os.ReadFile(path)
 	require.NoError(t, err)
 	for length := range data {
--- a/storage/snapshot.go
+++ b/storage/snapshot.go
@@ -18,21 +18,21 @@
 	"github.com/dillchute/dillchute/consensus"
 )
 
-// snapshotFile holds a snapshot of applied entries. It is written separately from the log, so that its
+// The snapshot file holds a snapshot of applied entries. It is written separately from the log, so that its
 // size does not delay the log, and as a stream, so that it need not fit in memory. It is used if it is newer
 // than the snapshot in the database. It consists of a length-prefixed header, the data, and the checksum
 // of both.
 const (
-	snapshotFile   = "snapshot"
-	headerLength   = 4
-	maxHeaderBytes = 1 << 20
+	snapshotFileName  = "snapshot"
+	lengthPrefixBytes = 4
+	maxHeaderBytes    = 1 << 20
 )
 
 // WriteSnapshot makes a snapshot durable, with the data that the function writes, and returns the size of
 // the data. It may be called concurrently with other methods. The caller then calls DropLog to delete
 // the entries that it covers.
 func (s *Store) WriteSnapshot(snapshot consensus.Snapshot, write func(io.Writer) error) (int, error) {
-	path := filepath.Join(s.folder, snapshotFile)
+	path := filepath.Join(s.folder, snapshotFileName)
 	size, err := writeSnapshotFile(path+".new", snapshot, write)
 	if err != nil {
 		return 0, ErrIO.Wrap(err, "write %s", path)
@@ -65,26 +65,26 @@
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
 	buffered := bufio.NewWriter(file)
-	checked := &checksumWriter{writer: buffered}
+	checksummed := &checksumWriter{writer: buffered}
 	snapshot.Data = nil
 	header, err := cbor.Marshal(snapshot)
 	if err != nil {
 		return 0, err
 	}
-	if _, err := checked.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(header))), header...)); err != nil {
+	if _, err := checksummed.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(header))), header...)); err != nil {
 		return 0, err
 	}
-	headerSize := checked.written
-	if err := write(checked); err != nil {
+	headerSize := checksummed.written
+	if err := write(checksummed); err != nil {
 		return 0, err
 	}
-	if _, err := buffered.Write(binary.BigEndian.AppendUint32(nil, checked.sum)); err != nil {
+	if _, err := buffered.Write(binary.BigEndian.AppendUint32(nil, checksummed.sum)); err != nil {
 		return 0, err
 	}
 	if err := buffered.Flush(); err != nil {
 		return 0, err
 	}
-	return checked.written - headerSize, file.Sync()
+	return checksummed.written - headerSize, file.Sync()
 }
 
 // checksumWriter forwards writes and computes their checksum.
@@ -110,14 +110,14 @@
 }
 
 // Read implements io.Reader.
-func (o *snapshotReader) Read(buffer []byte) (int, error) { return o.data.Read(buffer) }
+func (r *snapshotReader) Read(buffer []byte) (int, error) { return r.data.Read(buffer) }
 
 // Close implements io.Closer.
-func (o *snapshotReader) Close() error { return o.file.Close() }
+func (r *snapshotReader) Close() error { return r.file.Close() }
 
 // openSnapshotFile opens and verifies the folder's snapshot file. It returns nil if there is none.
 func openSnapshotFile(folder string) (*snapshotReader, error) {
-	path := filepath.Join(folder, snapshotFile)
+	path := filepath.Join(folder, snapshotFileName)
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -138,42 +138,42 @@
 	if err != nil {
 		return nil, err
 	}
-	covered := info.Size() - checksumSize
-	if covered < headerLength {
+	checksummedSize := info.Size() - checksumSize
+	if checksummedSize < lengthPrefixBytes {
 		return nil, ErrCorrupt.New("the file is only %d bytes long", info.Size())
 	}
 	sum := crc32.New(castagnoli)
-	if _, err := io.Copy(sum, io.NewSectionReader(file, 0, covered)); err != nil {
+	if _, err := io.Copy(sum, io.NewSectionReader(file, 0, checksummedSize)); err != nil {
 		return nil, err
 	}
 	var stored [checksumSize]byte
-	if _, err := file.ReadAt(stored[:], covered); err != nil {
+	if _, err := file.ReadAt(stored[:], checksummedSize); err != nil {
 		return nil, err
 	}
 	if binary.BigEndian.Uint32(stored[:]) != sum.Sum32() {
 		return nil, ErrCorrupt.New("checksum mismatch in the file")
 	}
-	return readHeader(file, covered)
+	return readHeader(file, checksummedSize)
 }
 
-func readHeader(file *os.File, covered int64) (*snapshotReader, error) {
-	var prefix [headerLength]byte
+func readHeader(file *os.File, checksummedSize int64) (*snapshotReader, error) {
+	var prefix [lengthPrefixBytes]byte
 	if _, err := file.ReadAt(prefix[:], 0); err != nil {
 		return nil, err
 	}
 	length := int64(binary.BigEndian.Uint32(prefix[:]))
-	if length > maxHeaderBytes || headerLength+length > covered {
+	if length > maxHeaderBytes || lengthPrefixBytes+length > checksummedSize {
 		return nil, ErrCorrupt.New("invalid header length %d", length)
 	}
 	header := make([]byte, length)
-	if _, err := file.ReadAt(header, headerLength); err != nil {
+	if _, err := file.ReadAt(header, lengthPrefixBytes); err != nil {
 		return nil, err
 	}
-	opened := &snapshotReader{file: file, size: covered - headerLength - length}
+	opened := &snapshotReader{file: file, size: checksummedSize - lengthPrefixBytes - length}
 	if err := cbor.Unmarshal(header, &opened.snapshot); err != nil {
 		return nil, ErrCorrupt.Wrap(err, "decode the header")
 	}
-	opened.data = bufio.NewReader(io.NewSectionReader(file, headerLength+length, opened.size))
+	opened.data = bufio.NewReader(io.NewSectionReader(file, lengthPrefixBytes+length, opened.size))
 	return opened, nil
 }
 
@@ -210,7 +210,7 @@
 
 // receivedPath is the path of a snapshot from another replica that Save has not installed yet.
 func (s *Store) receivedPath(index uint64) string {
-	return filepath.Join(s.folder, fmt.Sprintf("%s.received-%d", snapshotFile, index))
+	return filepath.Join(s.folder, fmt.Sprintf("%s.received-%d", snapshotFileName, index))
 }
 
 // ReceiveSnapshot stores a snapshot from another replica, with data of the given size, until Save is called
@@ -244,7 +244,7 @@
 func (s *Store) installReceived(index uint64) error {
 	s.filesMutex.Lock()
 	defer s.filesMutex.Unlock()
-	if err := os.Rename(s.receivedPath(index), filepath.Join(s.folder, snapshotFile)); err != nil {
+	if err := os.Rename(s.receivedPath(index), filepath.Join(s.folder, snapshotFileName)); err != nil {
 		return ErrIO.Wrap(err, "install the received snapshot at %d", index)
 	}
 	s.snapshotFileIndex = index
@@ -254,11 +254,11 @@
 
 // removeReceived removes received snapshots.
 func (s *Store) removeReceived() {
-	left, err := filepath.Glob(filepath.Join(s.folder, snapshotFile+".received-*"))
+	paths, err := filepath.Glob(filepath.Join(s.folder, snapshotFileName+".received-*"))
 	if err != nil {
 		return
 	}
-	for _, path := range left {
+	for _, path := range paths {
 		// A file that cannot be removed does no harm.
 		_ = os.Remove(path)
 	}
--- a/storage/snapshot_test.go
+++ b/storage/snapshot_test.go
@@ -117,7 +117,7 @@
 	_, err := store.WriteSnapshot(consensus.Snapshot{Index: 6, Term: 1}, writeInHalves("state"))
 	require.NoError(t, err)
 	require.NoError(t, store.Close())
-	path := filepath.Join(folder, snapshotFile)
+	path := filepath.Join(folder, snapshotFileName)
 	data, err := os.ReadFile(path)
 	require.NoError(t, err)
 	data[len(data)-1] ^= 1
@@ -181,7 +181,7 @@
 	require.NoError(t, err)
 	require.Equal(t, uint64(20), reopen(t, folder, store).Snapshot.Index)
 	require.Equal(t, "state", snapshotData(t, folder))
-	require.NoError(t, os.Remove(filepath.Join(folder, snapshotFile)))
+	require.NoError(t, os.Remove(filepath.Join(folder, snapshotFileName)))
 	_, _, err = Open(folder, "c")
 	require.ErrorContains(t, err, "missing")
 }
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -37,12 +37,12 @@
 )
 
 const (
-	fileName      = "control.db"
-	fileMode      = 0o600
-	folderMode    = 0o700
-	formatVersion = 2
-	lockTimeout   = time.Second
-	checksumSize  = 4
+	databaseFileName = "control.db"
+	fileMode         = 0o600
+	folderMode       = 0o700
+	formatVersion    = 2
+	lockTimeout      = time.Second
+	checksumSize     = 4
 )
 
 var (
@@ -91,7 +91,7 @@
 
 // HasReplica reports whether the folder holds a replica, even a corrupt one.
 func HasReplica(folder string) bool {
-	_, err := os.Stat(filepath.Join(folder, fileName))
+	_, err := os.Stat(filepath.Join(folder, databaseFileName))
 	return err == nil
 }
 
@@ -101,7 +101,7 @@
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return ErrIO.Wrap(err, "create data folder %s", folder)
 	}
-	path := filepath.Join(folder, fileName)
+	path := filepath.Join(folder, databaseFileName)
 	if _, err := os.Stat(path); err == nil {
 		return ErrExists.New("%s has been initialised before", folder)
 	}
@@ -167,7 +167,7 @@
 // Open opens a data folder of the cluster and returns its contents. It returns an ErrMissing, ErrForeign or
 // ErrCorrupt error if the folder can't be used.
 func Open(folder, cluster string) (*Store, Contents, error) {
-	path := filepath.Join(folder, fileName)
+	path := filepath.Join(folder, databaseFileName)
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, Contents{}, ErrMissing.New("%s holds no replica: run 'dillchute control init' or 'join' first", folder)
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -145,7 +145,7 @@
 		t.Run(name, func(t *testing.T) {
 			folder := t.TempDir()
 			initReplica(t, folder)
-			test.corrupt(t, filepath.Join(folder, fileName))
+			test.corrupt(t, filepath.Join(folder, databaseFileName))
 			cluster := test.cluster
 			if cluster == "" {
 				cluster = testCluster
