--- a/node/engine.go
+++ b/node/engine.go
@@ -177,7 +177,7 @@
 // usable tells whether the engine may get new work now: an engine without
 // recent evidence, leaving, swapping or with an unknown version may not.
 func (c *Core) usable(target *engine) bool {
-	return target.fenced && !target.leaving && !target.info.Leaving() && !target.swapping &&
+	return target.fenced && !target.leaving && !target.info.Draining() && !target.swapping &&
 		target.version != 0 && c.now-target.reportAt <= reportMaxAgeMillis && c.now >= target.blockedUntil
 }
 
@@ -186,7 +186,7 @@
 func (c *Core) noteServed() {
 	for _, target := range c.engines {
 		heard := c.now-target.reportAt <= reportMaxAgeMillis
-		if heard && !target.leaving && !target.info.Leaving() {
+		if heard && !target.leaving && !target.info.Draining() {
 			c.group(target.info.Group).servedAt = c.now
 		}
 	}
--- a/node/request.go
+++ b/node/request.go
@@ -184,7 +184,7 @@
 // groupExists tells whether the region has any engine of the group.
 func (c *Core) groupExists(group string) bool {
 	for _, info := range c.catalog.Engines {
-		if info.Group == group && !info.Leaving() {
+		if info.Group == group && !info.Draining() {
 			return true
 		}
 	}
--- a/server/rpc.go
+++ b/server/rpc.go
@@ -176,7 +176,7 @@
 	for _, engine := range view.Engines {
 		response.Engines = append(response.Engines, &dillchutev1.EngineStatus{
 			Id: engine.ID, Zone: engine.Zone, Group: engine.Group, Owner: engine.Owner,
-			Epoch: engine.Epoch, Leaving: engine.Leaving(),
+			Epoch: engine.Epoch, Leaving: engine.Draining(),
 		})
 	}
 	for _, ledger := range view.Ledgers {
--- a/state/catalog.go
+++ b/state/catalog.go
@@ -1,39 +1,40 @@
 package state
 
-// WeightPolicy says what happens to running samples when an engine swaps weights.
+// WeightPolicy defines how running samples are handled when an engine swaps weights.
 type WeightPolicy uint8
 
 // The weight policies.
 const (
-	// FinishRunning lets running samples end under their version first.
+	// FinishRunning delays the swap until running samples have finished.
 	FinishRunning WeightPolicy = iota + 1
-	// ContinueRunning swaps under running samples.
+	// ContinueRunning swaps weights while samples run; they continue with the new version.
 	ContinueRunning
-	// RestartRunning cancels running samples and runs them again.
+	// RestartRunning cancels running samples and restarts them after the swap.
 	RestartRunning
 )
 
-// DisconnectedPolicy says what a node without a lease does with new live requests.
+// DisconnectedPolicy defines how a node without a lease handles new live requests.
 type DisconnectedPolicy uint8
 
 // The disconnected policies.
 const (
-	// RefuseDisconnected refuses them as not run.
+	// RefuseDisconnected refuses new live requests with the outcome "not run".
 	RefuseDisconnected DisconnectedPolicy = iota + 1
-	// ServeLiveDisconnected serves them with the engines the node last owned.
+	// ServeLiveDisconnected serves live requests with the engines that the node last owned.
 	ServeLiveDisconnected
 )
 
-// PoolSpec is the declared part of a pool.
+// PoolSpec is the declared configuration of a pool.
 type PoolSpec struct {
 	Name        string       `cbor:"1,keyasint"`
 	Model       string       `cbor:"2,keyasint"`
 	EngineGroup string       `cbor:"3,keyasint"`
 	Policy      WeightPolicy `cbor:"4,keyasint"`
-	// MaxStalenessVersions bounds how many versions a delivered sample trails.
+	// MaxStalenessVersions is the maximum number of versions by which a delivered
+	// sample may be behind the newest.
 	MaxStalenessVersions uint64 `cbor:"5,keyasint"`
-	// MaxStalenessMillis bounds the time since the successor of a delivered
-	// sample's oldest version was published; 0 is unbounded.
+	// MaxStalenessMillis is the maximum time since the successor of a delivered
+	// sample's oldest version was published; 0 means no limit.
 	MaxStalenessMillis int64              `cbor:"6,keyasint"`
 	SamplePriority     uint8              `cbor:"7,keyasint"`
 	LivePriority       uint8              `cbor:"8,keyasint"`
@@ -53,7 +54,7 @@
 // Version is a published weight version.
 type Version struct {
 	Number uint64 `cbor:"1,keyasint"`
-	// PublishedAt is in milliseconds since 1970, on the machine's time.
+	// PublishedAt is Machine.Now at publication.
 	PublishedAt int64 `cbor:"2,keyasint"`
 }
 
@@ -72,7 +73,7 @@
 	return m.Versions[len(m.Versions)-1].Number
 }
 
-// Node is a registered node. It holds a lease as long as it is in the catalog.
+// Node is a registered node. It is removed from the catalog when its lease expires.
 type Node struct {
 	Revision    uint64 `cbor:"1,keyasint"`
 	ID          string `cbor:"2,keyasint"`
@@ -93,19 +94,19 @@
 	Region   string `cbor:"4,keyasint"`
 	Group    string `cbor:"5,keyasint"`
 	Address  string `cbor:"6,keyasint"`
-	// Slots is the number of streams that the engine batches at once.
+	// Slots is the maximum number of concurrent streams.
 	Slots int `cbor:"7,keyasint"`
-	// Listed is the platform's word that the engine is leaving; Ordered is an operator's.
+	// Listed is set if the platform drains the engine, Ordered if an operator does.
 	Listed  bool `cbor:"8,keyasint"`
 	Ordered bool `cbor:"9,keyasint"`
-	// Owner is the node that alone dispatches to the engine, "" for none.
+	// Owner is the only node that dispatches to the engine; "" means none.
 	Owner string `cbor:"10,keyasint"`
-	// Epoch grows with each change of owner; the engine refuses lower ones.
+	// Epoch increases with each change of owner; the engine rejects lower epochs.
 	Epoch uint64 `cbor:"11,keyasint"`
 }
 
-// Leaving tells whether the engine gets no new work.
-func (e *Engine) Leaving() bool { return e.Listed || e.Ordered }
+// Draining reports whether the engine receives no new work.
+func (e *Engine) Draining() bool { return e.Listed || e.Ordered }
 
 // ObjectKind is a kind of catalog object.
 type ObjectKind uint8
@@ -118,14 +119,14 @@
 	KindEngine
 )
 
-// ObjectKey names a catalog object.
+// ObjectKey identifies a catalog object.
 type ObjectKey struct {
 	_    struct{} `cbor:",toarray"`
 	Kind ObjectKind
 	Name string
 }
 
-// Catalog is what nodes act on: the declared pools, models, nodes and engines.
+// Catalog holds the pools, models, nodes and engines that are distributed to nodes.
 type Catalog struct {
 	Pools   map[string]*Pool   `cbor:"1,keyasint,omitempty"`
 	Models  map[string]*Model  `cbor:"2,keyasint,omitempty"`
@@ -141,18 +142,17 @@
 	}
 }
 
-// Delta is the part of the catalog that changed after a revision, as far as it
-// concerns one region's nodes.
+// Delta holds the catalog changes after a revision that are visible in one region.
 type Delta struct {
-	// From is the revision that the delta starts from; 0 means that the delta
-	// replaces all that the receiver knew.
+	// From is the base revision; 0 means that the delta replaces the receiver's
+	// whole catalog.
 	From    uint64      `cbor:"1,keyasint,omitempty"`
 	To      uint64      `cbor:"2,keyasint,omitempty"`
 	Changed Catalog     `cbor:"3,keyasint"`
 	Removed []ObjectKey `cbor:"4,keyasint,omitempty"`
 }
 
-// Merge brings the catalog to the delta's revision.
+// Merge applies the delta to the catalog.
 func (c *Catalog) Merge(delta Delta) {
 	if delta.From == 0 {
 		*c = NewCatalog()
@@ -185,21 +185,21 @@
 	}
 }
 
-// presence is where an object is, as seen from a region.
-type presence uint8
+// visibility describes whether an object exists and is visible in a region.
+type visibility uint8
 
 const (
 	// absent: the object does not exist.
-	absent presence = iota
-	// elsewhere: it belongs to another region.
-	elsewhere
-	// here: it concerns the region.
-	here
+	absent visibility = iota
+	// otherRegion: the object belongs to another region.
+	otherRegion
+	// visible: the object is global or belongs to the region.
+	visible
 )
 
-// copyObject copies the object named by the key into the catalog, if it
-// concerns the region, and tells where the object is.
-func (c *Catalog) copyObject(into *Catalog, key ObjectKey, region string) presence {
+// copyObject copies the object into the given catalog if it is visible in the
+// region, and returns its visibility.
+func (c *Catalog) copyObject(into *Catalog, key ObjectKey, region string) visibility {
 	switch key.Kind {
 	case KindPool:
 		return copyInto(into.Pools, c.Pools[key.Name], key.Name, true)
@@ -214,30 +214,30 @@
 	}
 }
 
-func copyInto[T any](into map[string]*T, object *T, name string, concerns bool) presence {
+func copyInto[T any](into map[string]*T, object *T, name string, inRegion bool) visibility {
 	switch {
 	case object == nil:
 		return absent
-	case !concerns:
-		return elsewhere
+	case !inRegion:
+		return otherRegion
 	}
 	copied := *object
 	into[name] = &copied
-	return here
+	return visible
 }
 
-// maxChangeRecords bounds the change log; a node that is further behind gets
+// maxChangeRecords limits the change log; a node that is further behind receives
 // the whole catalog.
 const maxChangeRecords = 16384
 
 type changeRecord struct {
 	revision uint64
 	key      ObjectKey
-	// left is the region whose view the object left with the change, if any.
-	left string
+	// previousRegion is the region that the object was removed or moved from, if any.
+	previousRegion string
 }
 
-// DeltaSince returns what changed after the revision in the region's view.
+// DeltaSince returns the changes after the revision that are visible in the region.
 func (m *Machine) DeltaSince(revision uint64, region string) Delta {
 	delta := Delta{From: revision, To: m.Revision, Changed: NewCatalog()}
 	if revision == m.Revision && revision > 0 {
@@ -250,8 +250,8 @@
 	}
 	for position := len(m.changes) - 1; position >= 0 && m.changes[position].revision > revision; position-- {
 		change := m.changes[position]
-		where := m.Catalog.copyObject(&delta.Changed, change.key, region)
-		if where == absent || (where == elsewhere && change.left == region) {
+		found := m.Catalog.copyObject(&delta.Changed, change.key, region)
+		if found == absent || (found == otherRegion && change.previousRegion == region) {
 			delta.Removed = append(delta.Removed, change.key)
 		}
 	}
@@ -273,16 +273,17 @@
 	}
 }
 
-// touch raises the revision and records that the object changed at it.
-func (m *Machine) touch(kind ObjectKind, name string) uint64 {
-	return m.touchLeaving(kind, name, "")
+// recordChange increments the revision and records that the object changed.
+func (m *Machine) recordChange(kind ObjectKind, name string) uint64 {
+	return m.recordChangeFrom(kind, name, "")
 }
 
-// touchLeaving is touch for an object that leaves the region's view.
-func (m *Machine) touchLeaving(kind ObjectKind, name, left string) uint64 {
+// recordChangeFrom is recordChange for an object that may no longer be visible
+// in its previous region.
+func (m *Machine) recordChangeFrom(kind ObjectKind, name, previousRegion string) uint64 {
 	m.Revision++
 	m.changes = append(m.changes, changeRecord{
-		revision: m.Revision, key: ObjectKey{Kind: kind, Name: name}, left: left,
+		revision: m.Revision, key: ObjectKey{Kind: kind, Name: name}, previousRegion: previousRegion,
 	})
 	if len(m.changes) > maxChangeRecords {
 		half := len(m.changes) / 2
--- a/state/claim.go
+++ b/state/claim.go
@@ -2,71 +2,71 @@
 
 import "sort"
 
-// ClaimState is how far a claimed request has come.
+// ClaimState is the state of a claimed request.
 type ClaimState uint8
 
 // The states of a claim.
 const (
 	// ClaimRunning: granted; the request may be running.
 	ClaimRunning ClaimState = iota + 1
-	// ClaimAnswered: the answer is recorded.
+	// ClaimAnswered: the request finished and its answer is recorded.
 	ClaimAnswered
-	// ClaimUnknown: the request may have run and its answer is lost.
+	// ClaimUnknown: the request may have run, but its answer is lost.
 	ClaimUnknown
-	// ClaimNotRun: the arrival was refused before any engine was reached. Only
-	// a later attempt of the caller may run.
+	// ClaimNotRun: the request was refused before it reached an engine. Only a
+	// later attempt of the caller may run.
 	ClaimNotRun
 )
 
-// Claim asks for the right to run, once, a request that must not repeat.
+// Claim asks for the exclusive right to run a non-repeatable request.
 type Claim struct {
-	// Key is the caller's identity of the request.
+	// Key is the caller's idempotency key.
 	Key string `cbor:"1,keyasint"`
 	// Digest is a hash of the request's content.
 	Digest []byte `cbor:"2,keyasint"`
-	// IssuedAt and Window are the caller's: after their sum, in milliseconds,
-	// it resends no more, and the claim is forgotten.
+	// IssuedAt and Window, in milliseconds, are set by the caller. After their sum
+	// the caller no longer resends the request, and the claim is deleted.
 	IssuedAt int64 `cbor:"3,keyasint"`
 	Window   int64 `cbor:"4,keyasint"`
-	// Attempt counts the caller's sends of the request from 1.
+	// Attempt numbers the caller's sends of the request, starting at 1.
 	Attempt uint32 `cbor:"8,keyasint"`
-	// Node, Epoch and Nonce name the arrival that asks.
+	// Node, Epoch and Nonce identify the arrival: one receipt of the request by a node.
 	Node  string `cbor:"5,keyasint"`
 	Epoch uint64 `cbor:"6,keyasint"`
 	Nonce uint64 `cbor:"7,keyasint"`
 }
 
-// ClaimOutcome is the answer to a Claim.
+// ClaimOutcome is the outcome of a Claim.
 type ClaimOutcome uint8
 
 // The outcomes of a Claim.
 const (
 	// ClaimGranted: this arrival, and no other, may run the request.
 	ClaimGranted ClaimOutcome = iota + 1
-	// ClaimDuplicate: another arrival holds the claim; State tells more.
+	// ClaimDuplicate: another arrival holds the claim; see ClaimResult.State.
 	ClaimDuplicate
 	// ClaimExpired: the caller's window has passed.
 	ClaimExpired
-	// ClaimMismatch: the identity was used with other content.
+	// ClaimMismatch: the key was used for a request with different content.
 	ClaimMismatch
-	// ClaimFenced: the node's registration has ended.
+	// ClaimFenced: the node's registration is no longer current.
 	ClaimFenced
 )
 
-// ClaimResult is the outcome with, for a duplicate, what is recorded.
+// ClaimResult holds the outcome and, for a duplicate, the recorded state and answer.
 type ClaimResult struct {
 	Outcome ClaimOutcome `cbor:"1,keyasint"`
 	State   ClaimState   `cbor:"2,keyasint,omitempty"`
 	Answer  []byte       `cbor:"3,keyasint,omitempty"`
 }
 
-// ResolveClaim records how a claimed request ended.
+// ResolveClaim records the outcome of a claimed request.
 type ResolveClaim struct {
-	// Claim repeats what was asked for. It may not have been granted yet: the
-	// network reorders.
+	// Claim is a copy of the claim. It may not have been granted yet, because
+	// messages can be reordered.
 	Claim Claim `cbor:"1,keyasint"`
-	// NotRun is set if the request provably reached no engine: a later attempt
-	// of the caller may run, this one and earlier ones never will.
+	// NotRun is set if the request did not reach an engine: a later attempt of
+	// the caller may run, this and earlier attempts must not.
 	NotRun bool `cbor:"5,keyasint"`
 	// Answer is nil if the outcome is unknown.
 	Answer []byte `cbor:"6,keyasint"`
@@ -76,21 +76,20 @@
 	Claim  Claim      `cbor:"1,keyasint"`
 	State  ClaimState `cbor:"2,keyasint"`
 	Answer []byte     `cbor:"3,keyasint"`
-	// Refused is the highest attempt whose caller was told that it did not
-	// run. It and lower ones never run, also if their Claim comes late.
+	// Refused is the highest attempt that was reported as not run. It and earlier
+	// attempts are never granted, even if their Claim arrives later.
 	Refused uint32 `cbor:"4,keyasint,omitempty"`
 }
 
-// heldBy tells whether the same arrival made both claims.
+// heldBy reports whether both claims were made by the same arrival.
 func (r *claimRecord) heldBy(claim *Claim) bool {
 	return r.Claim.Node == claim.Node && r.Claim.Epoch == claim.Epoch && r.Claim.Nonce == claim.Nonce
 }
 
-// claim grants the right to run to the first arrival. A claim is forgotten
-// only after its window, and a request is refused after its window, so a
-// resend never meets a forgotten claim.
+// claim grants the request to the first arrival. Claims are kept until their
+// window ends and later requests are refused, so a resend is always detected.
 func (m *Machine) claim(command *Claim) *ClaimResult {
-	m.forgetClaims()
+	m.expireClaims()
 	if m.Now > command.IssuedAt+command.Window {
 		return &ClaimResult{Outcome: ClaimExpired}
 	}
@@ -98,9 +97,9 @@
 	if record != nil && string(record.Claim.Digest) != string(command.Digest) {
 		return &ClaimResult{Outcome: ClaimMismatch}
 	}
-	free := record == nil || (record.State == ClaimNotRun && command.Attempt > record.Refused)
-	if !free {
-		return record.answer(command)
+	available := record == nil || (record.State == ClaimNotRun && command.Attempt > record.Refused)
+	if !available {
+		return record.resultFor(command)
 	}
 	node := m.Catalog.Nodes[command.Node]
 	if node == nil || node.Epoch != command.Epoch {
@@ -110,9 +109,9 @@
 	return &ClaimResult{Outcome: ClaimGranted}
 }
 
-// answer tells an arrival what is recorded; the holder itself, asking again
-// after a lost answer, is granted again.
-func (r *claimRecord) answer(command *Claim) *ClaimResult {
+// resultFor returns the result for a claim that is already recorded. The holder
+// is granted it again, because it may have lost the first reply.
+func (r *claimRecord) resultFor(command *Claim) *ClaimResult {
 	if r.heldBy(command) && r.State == ClaimRunning {
 		return &ClaimResult{Outcome: ClaimGranted}
 	}
@@ -123,7 +122,7 @@
 	inserted := &claimRecord{Claim: *command, State: state}
 	if earlier := m.Claims[command.Key]; earlier != nil {
 		inserted.Refused = earlier.Refused
-		m.dropClaim(command.Key)
+		m.deleteClaim(command.Key)
 	}
 	m.Claims[command.Key] = inserted
 	end := command.IssuedAt + command.Window
@@ -136,23 +135,23 @@
 	m.ClaimOrder[position] = command.Key
 }
 
-// forgetClaims drops the claims whose window has passed; ClaimOrder is sorted
-// by the window's end.
-func (m *Machine) forgetClaims() {
-	passed := 0
+// expireClaims deletes the claims whose window has ended. ClaimOrder is sorted
+// by the end of the window.
+func (m *Machine) expireClaims() {
+	expired := 0
 	for _, key := range m.ClaimOrder {
 		claim := m.Claims[key].Claim
 		if m.Now <= claim.IssuedAt+claim.Window {
 			break
 		}
 		delete(m.Claims, key)
-		passed++
+		expired++
 	}
-	m.ClaimOrder = m.ClaimOrder[passed:]
+	m.ClaimOrder = m.ClaimOrder[expired:]
 }
 
 func (m *Machine) resolveClaim(command *ResolveClaim) {
-	m.forgetClaims()
+	m.expireClaims()
 	if command.NotRun {
 		m.refuseClaim(&command.Claim)
 		return
@@ -169,8 +168,8 @@
 	}
 }
 
-// refuseClaim records that the caller was told that the arrival did not run,
-// whether or not the arrival's own Claim has come yet.
+// refuseClaim records that the attempt was reported to the caller as not run. The
+// attempt's own Claim may arrive later.
 func (m *Machine) refuseClaim(claim *Claim) {
 	if m.Now > claim.IssuedAt+claim.Window {
 		return
@@ -185,7 +184,7 @@
 	}
 }
 
-func (m *Machine) dropClaim(key string) {
+func (m *Machine) deleteClaim(key string) {
 	delete(m.Claims, key)
 	for position, other := range m.ClaimOrder {
 		if other == key {
--- a/state/command.go
+++ b/state/command.go
@@ -1,16 +1,15 @@
-// Package state is the replicated state machine of the control replicas:
-// declarations, nodes, engine ownership, weight versions, claims of requests
-// that must not repeat, and the sample ledger. Machine.Apply is a pure function
-// of the state and the command, so that all replicas agree; the time it uses is
-// the one that the proposing leader wrote into the command.
+// Package state implements the replicated state machine of the control replicas:
+// declarations, nodes, engine ownership, weight versions, claims of non-repeatable
+// requests, and the sample ledger. Machine.Apply depends only on the state and the
+// command, so that all replicas agree; it takes the time from the command.
 package state
 
 import "github.com/fxamacker/cbor/v2"
 
-// Command is one entry of the replicated log. Exactly one pointer is set.
+// Command is an entry of the replicated log. Exactly one pointer is set.
 type Command struct {
-	// Now is the proposing leader's wall clock in milliseconds since 1970.
-	// The machine's own time never goes back.
+	// Now is the proposing leader's wall clock in milliseconds since 1970. It may
+	// go back; Machine.Now does not.
 	Now             int64            `cbor:"1,keyasint"`
 	Apply           *Apply           `cbor:"2,keyasint,omitempty"`
 	PublishVersion  *PublishVersion  `cbor:"3,keyasint,omitempty"`
@@ -40,34 +39,34 @@
 	Claim    *ClaimResult    `cbor:"8,keyasint,omitempty"`
 }
 
-// deterministic encodes maps in sorted order, so that equal states have equal bytes.
-var deterministic = func() cbor.EncMode {
+// encoder sorts map keys, so that equal states have equal encodings.
+var encoder = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic("state: encoder options: " + err.Error())
+		panic("state: invalid encoder options: " + err.Error())
 	}
 	return mode
 }()
 
-// decoder accepts arrays as long as a snapshot at full size needs.
+// decoder allows arrays and maps large enough for the largest snapshot.
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 26, MaxMapPairs: 1 << 26}.DecMode()
 	if err != nil {
-		panic("state: decoder options: " + err.Error())
+		panic("state: invalid decoder options: " + err.Error())
 	}
 	return mode
 }()
 
-// Encode returns the command as bytes for the log.
+// Encode returns the command's encoding in the log.
 func (c Command) Encode() []byte {
-	data, err := deterministic.Marshal(c)
+	data, err := encoder.Marshal(c)
 	if err != nil {
-		panic("state: a command must encode: " + err.Error())
+		panic("state: encode command: " + err.Error())
 	}
 	return data
 }
 
-// DecodeCommand reads a command from the log.
+// DecodeCommand decodes a log entry.
 func DecodeCommand(data []byte) (Command, error) {
 	var command Command
 	err := decoder.Unmarshal(data, &command)
--- a/state/declaration.go
+++ b/state/declaration.go
@@ -10,14 +10,13 @@
 )
 
 const (
-	// maxHistory bounds the accepted changes that are kept for operators.
+	// maxHistory limits the number of accepted changes kept in History.
 	maxHistory = 256
-	// maxOutcomes bounds the change identities whose outcome is remembered; at
-	// 16,000 changes a day it is about half a day.
+	// maxOutcomes limits the number of change IDs whose outcome is kept.
 	maxOutcomes = 8192
 )
 
-// Apply replaces the declared pools if Base is still the newest declaration.
+// Apply replaces the declared pools if Base is the current declaration's revision.
 type Apply struct {
 	ChangeID     string     `cbor:"1,keyasint"`
 	Base         uint64     `cbor:"2,keyasint"`
@@ -26,7 +25,7 @@
 	Pools        []PoolSpec `cbor:"5,keyasint"`
 }
 
-// ApplyOutcome is what became of an Apply.
+// ApplyOutcome is the outcome of an Apply.
 type ApplyOutcome uint8
 
 // The outcomes of an Apply.
@@ -46,16 +45,16 @@
 	AcceptedAt   int64  `cbor:"5,keyasint"`
 }
 
-// ApplyResult tells what became of an Apply and, with a conflict, which change
-// took the base revision.
+// ApplyResult holds the outcome of an Apply and, for a conflict, the change that
+// superseded the base revision.
 type ApplyResult struct {
 	Outcome  ApplyOutcome `cbor:"1,keyasint"`
 	Revision uint64       `cbor:"2,keyasint"`
 	Winner   *Change      `cbor:"3,keyasint,omitempty"`
 }
 
-// outcome is the remembered result of a change identity.
-type outcome struct {
+// changeOutcome is the recorded result of a change ID.
+type changeOutcome struct {
 	Digest [sha256.Size]byte `cbor:"1,keyasint"`
 	Result ApplyResult       `cbor:"2,keyasint"`
 }
@@ -69,12 +68,12 @@
 		result := earlier.Result
 		return &result
 	}
-	result := m.decideDeclaration(command)
-	m.rememberOutcome(command.ChangeID, &outcome{Digest: digest, Result: *result})
+	result := m.evaluateDeclaration(command)
+	m.recordOutcome(command.ChangeID, &changeOutcome{Digest: digest, Result: *result})
 	return result
 }
 
-func (m *Machine) decideDeclaration(command *Apply) *ApplyResult {
+func (m *Machine) evaluateDeclaration(command *Apply) *ApplyResult {
 	if command.Base != m.Declared {
 		return &ApplyResult{Outcome: ApplyConflict, Revision: m.Declared, Winner: m.changeAfter(command.Base)}
 	}
@@ -92,8 +91,7 @@
 	return &ApplyResult{Outcome: ApplyAccepted, Revision: m.Declared}
 }
 
-// changeAfter returns the change that followed the base revision, or the
-// oldest that is still known.
+// changeAfter returns the first recorded change after the base revision, or nil.
 func (m *Machine) changeAfter(base uint64) *Change {
 	position := sort.Search(len(m.History), func(i int) bool { return m.History[i].Revision > base })
 	if position == len(m.History) {
@@ -103,8 +101,7 @@
 	return &change
 }
 
-// replacePools makes the declared pools those of the list and tells whether
-// anything changed.
+// replacePools replaces the declared pools and reports whether anything changed.
 func (m *Machine) replacePools(specs []PoolSpec) bool {
 	before := m.Revision
 	declared := make(map[string]bool, len(specs))
@@ -114,7 +111,7 @@
 		if pool != nil && reflect.DeepEqual(pool.Spec, spec) {
 			continue
 		}
-		m.Catalog.Pools[spec.Name] = &Pool{Revision: m.touch(KindPool, spec.Name), Spec: spec}
+		m.Catalog.Pools[spec.Name] = &Pool{Revision: m.recordChange(KindPool, spec.Name), Spec: spec}
 		if m.Ledgers[spec.Name] == nil {
 			m.Ledgers[spec.Name] = newLedger()
 		}
@@ -122,14 +119,14 @@
 	for _, name := range slices.Sorted(maps.Keys(m.Catalog.Pools)) {
 		if !declared[name] {
 			delete(m.Catalog.Pools, name)
-			m.touch(KindPool, name)
+			m.recordChange(KindPool, name)
 		}
 	}
 	return m.Revision != before
 }
 
-func (m *Machine) rememberOutcome(changeID string, remembered *outcome) {
-	m.Outcomes[changeID] = remembered
+func (m *Machine) recordOutcome(changeID string, recorded *changeOutcome) {
+	m.Outcomes[changeID] = recorded
 	m.OutcomeOrder = append(m.OutcomeOrder, changeID)
 	if len(m.OutcomeOrder) > maxOutcomes {
 		delete(m.Outcomes, m.OutcomeOrder[0])
@@ -137,23 +134,23 @@
 	}
 }
 
-// The bounds that a declaration is checked against.
+// Limits for declared values.
 const (
 	maxPriority = 9
 	maxPercent  = 100
 )
 
-// Problem is one fault of a declaration.
+// Problem describes an invalid field of a declaration.
 type Problem struct {
-	// Path names the field, such as "pools[2].sample_priority".
+	// Path is the path of the field, such as "pools[2].sample_priority".
 	Path   string
 	Reason string
 }
 
-// String returns the path and the reason.
+// String returns the path and the reason as one line.
 func (p Problem) String() string { return p.Path + ": " + p.Reason }
 
-// ValidatePools returns what is wrong with the declared pools.
+// ValidatePools returns the problems of the declared pools.
 func ValidatePools(pools []PoolSpec) []Problem {
 	var problems []Problem
 	seen, models := map[string]int{}, map[string]string{}
@@ -174,9 +171,9 @@
 
 func (p PoolSpec) validate(path string) []Problem {
 	checks := []struct {
-		field  string
-		wrong  bool
-		reason string
+		field   string
+		invalid bool
+		reason  string
 	}{
 		{"name", p.Name == "", "must not be empty"},
 		{"model", p.Model == "", "must not be empty"},
@@ -193,7 +190,7 @@
 	}
 	var problems []Problem
 	for _, check := range checks {
-		if check.wrong {
+		if check.invalid {
 			problems = append(problems, Problem{path + "." + check.field, check.reason})
 		}
 	}
--- a/state/ledger.go
+++ b/state/ledger.go
@@ -6,28 +6,28 @@
 	"sort"
 )
 
-// maxSteps bounds the steps of a pool whose identity is remembered. A step at
-// or below the forgotten ones is refused, so that no step runs twice.
+// maxSteps limits the number of steps recorded for a pool. Steps up to the last
+// deleted one are refused, so that no step runs twice.
 const maxSteps = 64
 
 // bytesPerToken is the size of a token in Completion.Tokens.
 const bytesPerToken = 4
 
-// Prompt is what one sample of a step is to generate from.
+// Prompt is the input of one sample of a step.
 type Prompt struct {
 	Index     uint32 `cbor:"1,keyasint"`
 	Prompt    string `cbor:"2,keyasint"`
 	MaxTokens uint32 `cbor:"3,keyasint"`
 }
 
-// SubmitStep asks for the samples of a step.
+// SubmitStep adds the samples of a step.
 type SubmitStep struct {
 	Pool    string   `cbor:"1,keyasint"`
 	Step    uint64   `cbor:"2,keyasint"`
 	Prompts []Prompt `cbor:"3,keyasint"`
 }
 
-// SubmitOutcome is what became of a SubmitStep.
+// SubmitOutcome is the outcome of a SubmitStep.
 type SubmitOutcome uint8
 
 // The outcomes of a SubmitStep.
@@ -39,12 +39,12 @@
 	SubmitExpired
 )
 
-// SubmitResult tells what became of a SubmitStep.
+// SubmitResult holds the outcome of a SubmitStep.
 type SubmitResult struct {
 	Outcome SubmitOutcome `cbor:"1,keyasint"`
 }
 
-// SampleKey names a sample within its pool.
+// SampleKey identifies a sample within its pool.
 type SampleKey struct {
 	_     struct{} `cbor:",toarray"`
 	Step  uint64
@@ -58,7 +58,7 @@
 	return k.Index < other.Index
 }
 
-// Segment says that a run of a sample's tokens was generated under a version.
+// Segment is a range of a sample's tokens that was generated with one version.
 type Segment struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
@@ -66,7 +66,7 @@
 	Count   uint32
 }
 
-// Completion is the whole result of one attempt at a sample.
+// Completion is the complete result of a sample.
 type Completion struct {
 	Pool     string    `cbor:"1,keyasint"`
 	Key      SampleKey `cbor:"2,keyasint"`
@@ -74,29 +74,29 @@
 	// Tokens holds 4 bytes for each token, big-endian.
 	Tokens []byte  `cbor:"4,keyasint"`
 	Reward float64 `cbor:"5,keyasint"`
-	// Failed is set if the node gives the sample back instead of a result.
+	// Failed is set if the node returns the sample without a result.
 	Failed bool `cbor:"6,keyasint,omitempty"`
 }
 
-// CompleteSamples records results; the first for a sample counts.
+// CompleteSamples records results; only the first result of a sample is kept.
 type CompleteSamples struct {
 	Node        string       `cbor:"1,keyasint"`
 	Epoch       uint64       `cbor:"2,keyasint"`
 	Completions []Completion `cbor:"3,keyasint"`
 }
 
-// AssignSamples gives waiting samples of a pool to a node.
+// AssignSamples assigns pending samples of a pool to a node.
 type AssignSamples struct {
 	Pool  string `cbor:"1,keyasint"`
 	Node  string `cbor:"2,keyasint"`
 	Epoch uint64 `cbor:"3,keyasint"`
-	// Sequence grows with each new request of the node for the pool; the same
-	// one, resent after a lost answer, gets the same samples.
+	// Sequence increases with each new request of the node for the pool. A resend
+	// with the same sequence returns the same samples.
 	Sequence uint64 `cbor:"4,keyasint"`
 	Max      int    `cbor:"5,keyasint"`
 }
 
-// AssignedSample is a sample that a node is to run.
+// AssignedSample is a sample that is assigned to a node.
 type AssignedSample struct {
 	Key       SampleKey `cbor:"1,keyasint"`
 	Prompt    string    `cbor:"2,keyasint"`
@@ -109,7 +109,7 @@
 	Samples  []AssignedSample `cbor:"2,keyasint"`
 }
 
-// Fetch acknowledges deliveries up to the cursor and asks for those after it.
+// Fetch acknowledges deliveries up to the cursor and requests those after it.
 type Fetch struct {
 	Pool        string `cbor:"1,keyasint"`
 	Session     uint64 `cbor:"2,keyasint"`
@@ -119,7 +119,7 @@
 	Max         int    `cbor:"6,keyasint"`
 }
 
-// Delivery is a completed sample under its delivery number.
+// Delivery is a completed sample with its delivery number.
 type Delivery struct {
 	Number     uint64     `cbor:"1,keyasint"`
 	Completion Completion `cbor:"2,keyasint"`
@@ -127,17 +127,17 @@
 
 // FetchResult lists the deliveries after the cursor.
 type FetchResult struct {
-	// Valid is false if a newer fetch or session has voided this one, or the
-	// cursor cannot be the trainer's.
+	// Valid is false if the fetch is superseded by a newer one or a newer session,
+	// or if the cursor is out of range.
 	Valid      bool       `cbor:"1,keyasint"`
 	Deliveries []Delivery `cbor:"2,keyasint"`
 	Newest     uint64     `cbor:"3,keyasint"`
 }
 
-// SampleState is how far a sample has come.
+// SampleState is the state of a sample.
 type SampleState uint8
 
-// The states of a sample. An acknowledged one is not kept.
+// The states of a sample. Acknowledged samples are deleted.
 const (
 	SamplePending SampleState = iota + 1
 	SampleAssigned
@@ -157,14 +157,14 @@
 	Digest [sha256.Size]byte `cbor:"2,keyasint"`
 }
 
-// assignment remembers a node's newest assignment, for resends.
+// assignment is a node's last assignment, kept to answer resends.
 type assignment struct {
 	Epoch    uint64       `cbor:"1,keyasint"`
 	Sequence uint64       `cbor:"2,keyasint"`
 	Result   AssignResult `cbor:"3,keyasint"`
 }
 
-type numbered struct {
+type numberedSample struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Key    SampleKey
@@ -174,29 +174,29 @@
 type Counters struct {
 	Submitted    uint64 `cbor:"1,keyasint"`
 	Acknowledged uint64 `cbor:"2,keyasint"`
-	// StaleReruns counts samples that were run again for their age.
+	// StaleReruns counts samples that ran again because their result was stale.
 	StaleReruns uint64 `cbor:"3,keyasint"`
-	// Discarded counts results that came after the first, or did not fit.
+	// Discarded counts results for samples that were already completed or acknowledged.
 	Discarded uint64 `cbor:"4,keyasint"`
 }
 
-// Ledger holds the samples of one pool and what its trainer has taken over.
+// Ledger holds the samples of one pool and the delivery state of its trainer.
 type Ledger struct {
-	// Steps are the newest submitted steps in ascending order.
+	// Steps are the last submitted steps in ascending order.
 	Steps []step `cbor:"1,keyasint"`
-	// Forgotten is the greatest step that is not remembered any more.
+	// Forgotten is the highest step that was deleted from Steps.
 	Forgotten uint64                 `cbor:"2,keyasint"`
 	Samples   map[SampleKey]*sample  `cbor:"3,keyasint"`
 	Assigned  map[string]*assignment `cbor:"4,keyasint"`
-	// Completed are completed samples without a number, in commit order.
+	// Completed are the completed samples without a delivery number, in commit order.
 	Completed []SampleKey `cbor:"5,keyasint"`
-	// Offered are numbered samples that are not acknowledged.
-	Offered    []numbered `cbor:"6,keyasint"`
-	LastNumber uint64     `cbor:"7,keyasint"`
-	Session    uint64     `cbor:"8,keyasint"`
-	Sequence   uint64     `cbor:"9,keyasint"`
-	Cursor     uint64     `cbor:"10,keyasint"`
-	Counters   Counters   `cbor:"11,keyasint"`
+	// Offered are the samples with a delivery number that are not acknowledged.
+	Offered    []numberedSample `cbor:"6,keyasint"`
+	LastNumber uint64           `cbor:"7,keyasint"`
+	Session    uint64           `cbor:"8,keyasint"`
+	Sequence   uint64           `cbor:"9,keyasint"`
+	Cursor     uint64           `cbor:"10,keyasint"`
+	Counters   Counters         `cbor:"11,keyasint"`
 
 	pending pendingQueue
 }
@@ -205,8 +205,8 @@
 	return &Ledger{Samples: map[SampleKey]*sample{}, Assigned: map[string]*assignment{}}
 }
 
-// reindex rebuilds what a snapshot does not hold.
-func (l *Ledger) reindex() {
+// rebuildPending rebuilds the pending queue, which a snapshot does not contain.
+func (l *Ledger) rebuildPending() {
 	keys := make([]SampleKey, 0, len(l.Samples))
 	for key, sample := range l.Samples {
 		if sample.State == SamplePending {
@@ -220,10 +220,10 @@
 	}
 }
 
-// Pending returns the number of samples that wait for a node.
+// Pending returns the number of samples that are not assigned to a node.
 func (l *Ledger) Pending() int { return l.pending.len() }
 
-// Deliverable tells whether a fetch from the cursor would change or return anything.
+// Deliverable reports whether a fetch with the cursor could acknowledge or return samples.
 func (l *Ledger) Deliverable(cursor uint64) bool {
 	return cursor > l.Cursor || len(l.Completed) > 0 || len(l.Offered) > 0
 }
@@ -305,7 +305,7 @@
 	return result
 }
 
-// releaseNode makes the samples of an ended registration wait again.
+// releaseNode returns the samples assigned to an ended registration to the queue.
 func (l *Ledger) releaseNode(node string, epoch uint64) {
 	var keys []SampleKey
 	for key, sample := range l.Samples {
@@ -339,25 +339,24 @@
 	}
 }
 
-// complete records the first whole result of a sample. A sample that is
-// completed or acknowledged already discards it; one that is stale by now runs
-// again.
+// complete records the first valid result of a sample. Results for completed or
+// acknowledged samples are discarded; a sample with a stale result runs again.
 func (m *Machine) complete(ledger *Ledger, command *CompleteSamples, completion *Completion) {
 	sample := ledger.Samples[completion.Key]
 	if sample == nil || sample.State == SampleCompleted {
 		ledger.Counters.Discarded++
 		return
 	}
-	current := sample.State == SampleAssigned && sample.Node == command.Node && sample.Epoch == command.Epoch
-	if completion.Failed || !m.wellFormed(completion) {
-		if current {
+	assigned := sample.State == SampleAssigned && sample.Node == command.Node && sample.Epoch == command.Epoch
+	if completion.Failed || !m.isWellFormed(completion) {
+		if assigned {
 			ledger.requeue(completion.Key)
 		}
 		return
 	}
 	if m.isStale(completion, 0) {
 		ledger.Counters.StaleReruns++
-		if current {
+		if assigned {
 			ledger.requeue(completion.Key)
 		}
 		return
@@ -366,9 +365,9 @@
 	ledger.Completed = append(ledger.Completed, completion.Key)
 }
 
-// wellFormed tells whether the segments tile the tokens exactly, under versions
-// that are published.
-func (m *Machine) wellFormed(completion *Completion) bool {
+// isWellFormed reports whether the segments cover the tokens without gaps or
+// overlaps and their versions are published.
+func (m *Machine) isWellFormed(completion *Completion) bool {
 	pool := m.Catalog.Pools[completion.Pool]
 	if pool == nil {
 		return false
@@ -383,15 +382,15 @@
 	return next > 0 && int(next)*bytesPerToken == len(completion.Tokens)
 }
 
-func (m *Machine) isStale(completion *Completion, held uint64) bool {
+func (m *Machine) isStale(completion *Completion, heldVersion uint64) bool {
 	pool := m.Catalog.Pools[completion.Pool]
 	if pool == nil {
 		return true
 	}
-	return pool.Spec.Stale(m.Catalog.Models[pool.Spec.Model], completion.OldestVersion(), held, m.Now)
+	return pool.Spec.IsStale(m.Catalog.Models[pool.Spec.Model], completion.OldestVersion(), heldVersion, m.Now)
 }
 
-// OldestVersion returns the least version among the segments.
+// OldestVersion returns the lowest version among the segments.
 func (c *Completion) OldestVersion() uint64 {
 	oldest := c.Segments[0].Version
 	for _, segment := range c.Segments {
@@ -400,9 +399,9 @@
 	return oldest
 }
 
-// fetch decides deliveries. The trainer's cursor proves that it has taken over
-// nothing after it, and the newer fetch voids answers to earlier ones; so what
-// was offered after the cursor and has gone stale may still be withdrawn.
+// fetch returns the next deliveries. The trainer has accepted nothing after its
+// cursor, and this fetch invalidates the replies to earlier ones. Samples offered
+// after the cursor that have become stale can therefore still be withdrawn.
 func (m *Machine) fetch(command *Fetch) *FetchResult {
 	ledger, pool := m.Ledgers[command.Pool], m.Catalog.Pools[command.Pool]
 	if ledger == nil || pool == nil || !ledger.acceptFetch(command) {
@@ -441,14 +440,14 @@
 		delete(l.Samples, l.Offered[count].Key)
 		count++
 	}
-	l.Offered = append([]numbered(nil), l.Offered[count:]...)
+	l.Offered = append([]numberedSample(nil), l.Offered[count:]...)
 	l.Counters.Acknowledged += uint64(count)
 }
 
-func (m *Machine) withdrawStale(ledger *Ledger, held uint64) {
+func (m *Machine) withdrawStale(ledger *Ledger, heldVersion uint64) {
 	kept := ledger.Offered[:0]
 	for _, offered := range ledger.Offered {
-		if m.isStale(ledger.Samples[offered.Key].Result, held) {
+		if m.isStale(ledger.Samples[offered.Key].Result, heldVersion) {
 			ledger.Counters.StaleReruns++
 			ledger.requeue(offered.Key)
 			continue
@@ -459,24 +458,24 @@
 }
 
 func (m *Machine) offerCompleted(ledger *Ledger, command *Fetch) {
-	taken := 0
+	processed := 0
 	for _, key := range ledger.Completed {
 		if len(ledger.Offered) >= command.Max {
 			break
 		}
-		taken++
+		processed++
 		if m.isStale(ledger.Samples[key].Result, command.HeldVersion) {
 			ledger.Counters.StaleReruns++
 			ledger.requeue(key)
 			continue
 		}
 		ledger.LastNumber++
-		ledger.Offered = append(ledger.Offered, numbered{Number: ledger.LastNumber, Key: key})
+		ledger.Offered = append(ledger.Offered, numberedSample{Number: ledger.LastNumber, Key: key})
 	}
-	ledger.Completed = append([]SampleKey(nil), ledger.Completed[taken:]...)
+	ledger.Completed = append([]SampleKey(nil), ledger.Completed[processed:]...)
 }
 
-// PackTokens returns the tokens in the form of Completion.Tokens.
+// PackTokens encodes tokens for Completion.Tokens.
 func PackTokens(tokens []uint32) []byte {
 	data := make([]byte, 0, len(tokens)*bytesPerToken)
 	for _, token := range tokens {
--- a/state/machine.go
+++ b/state/machine.go
@@ -1,40 +1,40 @@
 package state
 
-// Machine is the replicated state. Exported fields are what a snapshot holds.
+// Machine is the replicated state. A snapshot contains the exported fields.
 type Machine struct {
-	// Now is the machine's time in milliseconds since 1970; it never goes back.
+	// Now is the highest Command.Now so far, in milliseconds since 1970.
 	Now int64 `cbor:"1,keyasint"`
-	// Revision grows with each change of a catalog object.
+	// Revision increases with each change of a catalog object.
 	Revision uint64  `cbor:"2,keyasint"`
 	Catalog  Catalog `cbor:"3,keyasint"`
-	// Declared is the revision of the newest accepted declaration.
-	Declared uint64              `cbor:"4,keyasint"`
-	History  []Change            `cbor:"5,keyasint"`
-	Outcomes map[string]*outcome `cbor:"6,keyasint"`
-	// OutcomeOrder lists the change identities in Outcomes, oldest first.
+	// Declared is the revision of the last accepted declaration.
+	Declared uint64                    `cbor:"4,keyasint"`
+	History  []Change                  `cbor:"5,keyasint"`
+	Outcomes map[string]*changeOutcome `cbor:"6,keyasint"`
+	// OutcomeOrder lists the change IDs in Outcomes, oldest first.
 	OutcomeOrder []string `cbor:"7,keyasint"`
-	// Epochs counts node registrations; each gets a number of its own.
+	// Epochs is the last epoch given to a node registration or an engine ownership.
 	Epochs  uint64                  `cbor:"8,keyasint"`
 	Ledgers map[string]*Ledger      `cbor:"9,keyasint"`
 	Claims  map[string]*claimRecord `cbor:"10,keyasint"`
-	// ClaimOrder lists claims by the time at which they were made.
+	// ClaimOrder lists the keys in Claims by the end of their window.
 	ClaimOrder []string `cbor:"11,keyasint"`
 
 	changes     []changeRecord
 	changesFrom uint64
 }
 
-// NewMachine returns the state before the first command.
+// NewMachine returns the initial state.
 func NewMachine() *Machine {
 	return &Machine{
 		Catalog:  NewCatalog(),
-		Outcomes: map[string]*outcome{},
+		Outcomes: map[string]*changeOutcome{},
 		Ledgers:  map[string]*Ledger{},
 		Claims:   map[string]*claimRecord{},
 	}
 }
 
-// Apply carries out the command.
+// Apply executes the command and returns its result.
 func (m *Machine) Apply(command Command) Result {
 	m.Now = max(m.Now, command.Now)
 	switch {
@@ -70,17 +70,16 @@
 	return Result{}
 }
 
-// Snapshot returns the whole state as bytes; equal states give equal bytes.
+// Snapshot encodes the state; equal states have equal encodings.
 func (m *Machine) Snapshot() []byte {
-	data, err := deterministic.Marshal(m)
+	data, err := encoder.Marshal(m)
 	if err != nil {
-		panic("state: the machine must encode: " + err.Error())
+		panic("state: encode snapshot: " + err.Error())
 	}
 	return data
 }
 
-// Restore returns the state that a snapshot holds. No data is the state before
-// the first command.
+// Restore decodes a snapshot. Empty data restores the initial state.
 func Restore(data []byte) (*Machine, error) {
 	m := NewMachine()
 	if len(data) == 0 {
@@ -91,7 +90,7 @@
 	}
 	m.changesFrom = m.Revision
 	for _, ledger := range m.Ledgers {
-		ledger.reindex()
+		ledger.rebuildPending()
 	}
 	return m, nil
 }
--- a/state/machine_test.go
+++ b/state/machine_test.go
@@ -19,16 +19,18 @@
 	}
 }
 
-// pair holds two machines that apply the same commands. One goes through
-// snapshots, as a replica that falls behind does; they must not differ.
-type pair struct {
+// machinePair applies the same commands to two machines and requires equal results.
+// One of them is also restored from its own snapshots.
+type machinePair struct {
 	plain, restored *Machine
 	now             int64
 }
 
-func newPair() *pair { return &pair{plain: NewMachine(), restored: NewMachine(), now: 1000} }
+func newMachinePair() *machinePair {
+	return &machinePair{plain: NewMachine(), restored: NewMachine(), now: 1000}
+}
 
-func (p *pair) apply(t require.TestingT, command Command) Result {
+func (p *machinePair) apply(t require.TestingT, command Command) Result {
 	command.Now = p.now
 	decoded, err := DecodeCommand(command.Encode())
 	require.NoError(t, err)
@@ -38,12 +40,12 @@
 }
 
 func encoded(t require.TestingT, value any) []byte {
-	data, err := deterministic.Marshal(value)
+	data, err := encoder.Marshal(value)
 	require.NoError(t, err)
 	return data
 }
 
-func (p *pair) restore(t require.TestingT) {
+func (p *machinePair) restore(t require.TestingT) {
 	snapshot := p.restored.Snapshot()
 	restored, err := Restore(snapshot)
 	require.NoError(t, err)
@@ -51,21 +53,21 @@
 	require.Equal(t, p.plain.Snapshot(), snapshot)
 }
 
-// TestDeclarationsCompareAndSwap races changes and their resends.
+// TestDeclarationsCompareAndSwap checks concurrent changes, resends and reused IDs.
 func TestDeclarationsCompareAndSwap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPair()
+		p := newMachinePair()
 		current := uint64(0)
-		first := map[string]Command{}
-		answers := map[string]ApplyResult{}
+		commands := map[string]Command{}
+		results := map[string]ApplyResult{}
 		t.Repeat(map[string]func(*rapid.T){
 			"apply": func(t *rapid.T) {
-				id := fmt.Sprintf("change-%d", len(first))
+				id := fmt.Sprintf("change-%d", len(commands))
 				base := rapid.SampledFrom([]uint64{current, current, 0, current + 1}).Draw(t, "base")
 				command := Command{Apply: &Apply{ChangeID: id, Base: base, Pools: []PoolSpec{testSpec(rapid.Uint64Range(0, 3).Draw(t, "staleness"))}}}
-				first[id] = command
+				commands[id] = command
 				result := *p.apply(t, command).Apply
-				answers[id] = result
+				results[id] = result
 				switch result.Outcome {
 				case ApplyAccepted:
 					require.Equal(t, current, base)
@@ -81,15 +83,15 @@
 				require.Equal(t, current, p.plain.Declared)
 			},
 			"resend": func(t *rapid.T) {
-				if len(first) == 0 {
+				if len(commands) == 0 {
 					return
 				}
-				id := fmt.Sprintf("change-%d", rapid.IntRange(0, len(first)-1).Draw(t, "earlier"))
-				require.Equal(t, answers[id], *p.apply(t, first[id]).Apply)
+				id := fmt.Sprintf("change-%d", rapid.IntRange(0, len(commands)-1).Draw(t, "earlier"))
+				require.Equal(t, results[id], *p.apply(t, commands[id]).Apply)
 				require.Equal(t, current, p.plain.Declared)
 			},
 			"reuse": func(t *rapid.T) {
-				if len(first) == 0 {
+				if len(commands) == 0 {
 					return
 				}
 				other := Command{Apply: &Apply{ChangeID: "change-0", Base: current, Author: "another", Pools: []PoolSpec{testSpec(9)}}}
@@ -101,18 +103,17 @@
 	})
 }
 
-// arrival is one way by which a claimed request has come to a node.
+// arrival is one receipt of a claimed request by a node.
 type arrival struct {
 	claim    Claim
 	resolved bool
 }
 
-// TestClaimsRunAtMostOnce lets resends of one request arrive at several nodes,
-// which reach engines only under a grant, in any order with refusals,
-// expiries and repeated questions.
+// TestClaimsRunAtMostOnce sends one request to several nodes and checks that at most
+// one arrival is granted the claim, with refusals, restarts and repeated claims in any order.
 func TestClaimsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPair()
+		p := newMachinePair()
 		var arrivals []*arrival
 		var running *arrival
 		refused := map[*arrival]bool{}
@@ -124,21 +125,21 @@
 		register("n2", 1)
 		window := int64(10_000)
 		attempt := uint32(0)
-		ask := func(t *rapid.T, chosen *arrival) {
+		submitClaim := func(t *rapid.T, chosen *arrival) {
 			result := p.apply(t, Command{Claim: &chosen.claim}).Claim
 			if result.Outcome != ClaimGranted {
 				return
 			}
-			require.False(t, refused[chosen], "an arrival that said not run was granted")
+			require.False(t, refused[chosen], "an arrival reported as not run was granted the claim")
 			require.True(t, running == nil || running == chosen, "two arrivals hold the claim")
 			require.LessOrEqual(t, p.now, chosen.claim.IssuedAt+window)
 			running = chosen
 		}
-		// arrived lets the action work on one of the arrivals, if there are any.
-		arrived := func(do func(t *rapid.T, chosen *arrival)) func(*rapid.T) {
+		// withArrival calls the action with a random arrival, if there is one.
+		withArrival := func(action func(t *rapid.T, chosen *arrival)) func(*rapid.T) {
 			return func(t *rapid.T) {
 				if len(arrivals) > 0 {
-					do(t, rapid.SampledFrom(arrivals).Draw(t, "arrival"))
+					action(t, rapid.SampledFrom(arrivals).Draw(t, "arrival"))
 				}
 			}
 		}
@@ -150,23 +151,22 @@
 					Attempt: attempt, Node: id, Epoch: epochs[id], Nonce: uint64(len(arrivals))}}
 				arrivals = append(arrivals, chosen)
 				if rapid.Bool().Draw(t, "asked at once") {
-					ask(t, chosen)
+					submitClaim(t, chosen)
 				}
 			},
-			"ask": arrived(ask),
-			"refuse": arrived(func(t *rapid.T, chosen *arrival) {
+			"ask": withArrival(submitClaim),
+			"refuse": withArrival(func(t *rapid.T, chosen *arrival) {
 				if chosen.resolved {
 					return
 				}
-				// The node has not let the request reach an engine, so the claim
-				// may pass on.
+				// The request has not reached an engine, so another arrival may be granted the claim.
 				chosen.resolved, refused[chosen] = true, true
 				p.apply(t, Command{ResolveClaim: &ResolveClaim{Claim: chosen.claim, NotRun: true}})
 				if running == chosen {
 					running = nil
 				}
 			}),
-			"answer": arrived(func(t *rapid.T, chosen *arrival) {
+			"answer": withArrival(func(t *rapid.T, chosen *arrival) {
 				if chosen.resolved || running != chosen {
 					return
 				}
@@ -183,29 +183,29 @@
 	})
 }
 
-// ledgerModel plays nodes that complete samples and a trainer that takes them
-// over, with lost answers, late copies and restarts.
+// ledgerModel simulates nodes that complete samples and a trainer that fetches
+// them, with lost replies, delayed duplicates and restarts.
 type ledgerModel struct {
-	pair
-	staleness uint64
-	newest    uint64
-	epochs    map[string]uint64
-	sequence  map[string]uint64
-	work      []CompleteSamples
-	submitted map[SampleKey]bool
-	taken     map[SampleKey]bool
-	step      uint64
-	session   uint64
-	fetches   uint64
-	cursor    uint64
-	held      uint64
-	old       []Command
+	machinePair
+	staleness      uint64
+	newestVersion  uint64
+	epochs         map[string]uint64
+	assignSequence map[string]uint64
+	results        []CompleteSamples
+	submitted      map[SampleKey]bool
+	delivered      map[SampleKey]bool
+	step           uint64
+	session        uint64
+	fetchSequence  uint64
+	cursor         uint64
+	heldVersion    uint64
+	sentCommands   []Command
 }
 
 func newLedgerModel(t *rapid.T) *ledgerModel {
 	m := &ledgerModel{
-		pair: *newPair(), staleness: rapid.Uint64Range(0, 2).Draw(t, "staleness"), epochs: map[string]uint64{},
-		sequence: map[string]uint64{}, submitted: map[SampleKey]bool{}, taken: map[SampleKey]bool{}, session: 1,
+		machinePair: *newMachinePair(), staleness: rapid.Uint64Range(0, 2).Draw(t, "staleness"), epochs: map[string]uint64{},
+		assignSequence: map[string]uint64{}, submitted: map[SampleKey]bool{}, delivered: map[SampleKey]bool{}, session: 1,
 	}
 	m.apply(t, Command{Apply: &Apply{ChangeID: "first", Pools: []PoolSpec{testSpec(m.staleness)}}})
 	m.publish(t)
@@ -215,8 +215,8 @@
 }
 
 func (m *ledgerModel) publish(t *rapid.T) {
-	m.newest++
-	m.apply(t, Command{PublishVersion: &PublishVersion{Model: "model", Version: m.newest}})
+	m.newestVersion++
+	m.apply(t, Command{PublishVersion: &PublishVersion{Model: "model", Version: m.newestVersion}})
 }
 
 func (m *ledgerModel) register(t *rapid.T, id string) {
@@ -232,20 +232,20 @@
 		m.submitted[SampleKey{Step: m.step, Index: index}] = true
 	}
 	require.Equal(t, SubmitAccepted, m.apply(t, command).Submit.Outcome)
-	m.old = append(m.old, command)
+	m.sentCommands = append(m.sentCommands, command)
 }
 
 func (m *ledgerModel) assign(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"n1", "n2"}).Draw(t, "node")
-	m.sequence[id]++
+	m.assignSequence[id]++
 	command := Command{AssignSamples: &AssignSamples{
-		Pool: testPool, Node: id, Epoch: m.epochs[id], Sequence: m.sequence[id], Max: rapid.IntRange(1, 3).Draw(t, "max"),
+		Pool: testPool, Node: id, Epoch: m.epochs[id], Sequence: m.assignSequence[id], Max: rapid.IntRange(1, 3).Draw(t, "max"),
 	}}
 	result := m.apply(t, command).Assign
-	require.Equal(t, result, m.apply(t, command).Assign, "a resend gets the same samples")
+	require.Equal(t, result, m.apply(t, command).Assign, "a resend returned different samples")
 	for _, assigned := range result.Samples {
-		version := rapid.Uint64Range(max(1, m.newest-min(m.newest, 2)), m.newest).Draw(t, "version")
-		m.work = append(m.work, CompleteSamples{Node: id, Epoch: m.epochs[id], Completions: []Completion{{
+		version := rapid.Uint64Range(max(1, m.newestVersion-min(m.newestVersion, 2)), m.newestVersion).Draw(t, "version")
+		m.results = append(m.results, CompleteSamples{Node: id, Epoch: m.epochs[id], Completions: []Completion{{
 			Pool: testPool, Key: assigned.Key, Segments: []Segment{{Version: version, Count: 2}},
 			Tokens: PackTokens([]uint32{1, 2}), Failed: rapid.IntRange(0, 5).Draw(t, "failed") == 0,
 		}}})
@@ -253,22 +253,22 @@
 }
 
 func (m *ledgerModel) complete(t *rapid.T) {
-	if len(m.work) == 0 {
+	if len(m.results) == 0 {
 		return
 	}
-	// A result may come late and more than once.
-	command := rapid.SampledFrom(m.work).Draw(t, "result")
+	// A result may arrive late and more than once.
+	command := rapid.SampledFrom(m.results).Draw(t, "result")
 	m.apply(t, Command{CompleteSamples: &command})
 }
 
 func (m *ledgerModel) fetch(t *rapid.T) {
-	m.fetches++
+	m.fetchSequence++
 	command := Command{Fetch: &Fetch{
-		Pool: testPool, Session: m.session, Sequence: m.fetches, Cursor: m.cursor, HeldVersion: m.held,
+		Pool: testPool, Session: m.session, Sequence: m.fetchSequence, Cursor: m.cursor, HeldVersion: m.heldVersion,
 		Max: rapid.IntRange(1, 5).Draw(t, "max"),
 	}}
 	result := m.apply(t, command).Fetch
-	m.old = append(m.old, command)
+	m.sentCommands = append(m.sentCommands, command)
 	require.True(t, result.Valid)
 	if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 		return
@@ -277,44 +277,45 @@
 		key := delivery.Completion.Key
 		require.Greater(t, delivery.Number, m.cursor)
 		require.True(t, m.submitted[key])
-		require.False(t, m.taken[key], "%v came twice", key)
-		require.GreaterOrEqual(t, delivery.Completion.OldestVersion()+m.staleness, max(m.newest, m.held))
-		m.taken[key], m.cursor = true, delivery.Number
+		require.False(t, m.delivered[key], "%v was delivered twice", key)
+		require.GreaterOrEqual(t, delivery.Completion.OldestVersion()+m.staleness, max(m.newestVersion, m.heldVersion))
+		m.delivered[key], m.cursor = true, delivery.Number
 	}
-	m.held = max(m.held, result.Newest)
+	m.heldVersion = max(m.heldVersion, result.Newest)
 }
 
 func (m *ledgerModel) replay(t *rapid.T) {
-	if len(m.old) == 0 {
+	if len(m.sentCommands) == 0 {
 		return
 	}
-	command := rapid.SampledFrom(m.old).Draw(t, "late copy")
+	command := rapid.SampledFrom(m.sentCommands).Draw(t, "late copy")
 	result := m.apply(t, command)
 	if result.Fetch != nil {
-		require.False(t, result.Fetch.Valid, "a late copy of a fetch was answered")
+		require.False(t, result.Fetch.Valid, "a delayed duplicate of a fetch was answered")
 	}
 }
 
-// finish lets all that was submitted arrive.
-func (m *ledgerModel) finish(t *rapid.T) {
-	for round := 0; len(m.taken) < len(m.submitted); round++ {
-		require.Less(t, round, 200, "samples are lost")
+// deliverAll runs nodes and trainer until every submitted sample is delivered.
+func (m *ledgerModel) deliverAll(t *rapid.T) {
+	for round := 0; len(m.delivered) < len(m.submitted); round++ {
+		require.Less(t, round, 200, "samples were lost")
 		m.register(t, "n1")
 		m.register(t, "n2")
-		m.sequence["n1"]++
+		m.assignSequence["n1"]++
 		assigned := m.apply(t, Command{AssignSamples: &AssignSamples{
-			Pool: testPool, Node: "n1", Epoch: m.epochs["n1"], Sequence: m.sequence["n1"], Max: 100,
+			Pool: testPool, Node: "n1", Epoch: m.epochs["n1"], Sequence: m.assignSequence["n1"], Max: 100,
 		}}).Assign
 		for _, sample := range assigned.Samples {
 			m.apply(t, Command{CompleteSamples: &CompleteSamples{Node: "n1", Epoch: m.epochs["n1"], Completions: []Completion{{
-				Pool: testPool, Key: sample.Key, Segments: []Segment{{Version: m.newest, Count: 1}}, Tokens: PackTokens([]uint32{7}),
+				Pool: testPool, Key: sample.Key, Segments: []Segment{{Version: m.newestVersion, Count: 1}}, Tokens: PackTokens([]uint32{7}),
 			}}}})
 		}
 		m.fetch(t)
 	}
 }
 
-// TestSamplesReachTheTrainerExactlyOnce plays the ledger against a set.
+// TestSamplesReachTheTrainerExactlyOnce checks that no sample is lost, delivered
+// twice or delivered stale.
 func TestSamplesReachTheTrainerExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLedgerModel(t)
@@ -333,21 +334,21 @@
 			},
 			"restart trainer": func(t *rapid.T) {
 				m.session++
-				m.fetches = 0
+				m.fetchSequence = 0
 			},
 			"wait":    func(t *rapid.T) { m.now += rapid.Int64Range(0, 1000).Draw(t, "millis") },
 			"restore": func(t *rapid.T) { m.restore(t) },
 		})
-		m.finish(t)
+		m.deliverAll(t)
 	})
 }
 
-// TestDeltasBringANodeToTheMachinesCatalog: a node that takes in deltas from any
-// revisions it has held, late and overlapping ones too, ends with its region's view.
-func TestDeltasBringANodeToTheMachinesCatalog(t *testing.T) {
+// TestDeltasConvergeToCatalog checks that a node that merges late and overlapping
+// deltas ends up with its region's catalog.
+func TestDeltasConvergeToCatalog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPair()
-		known, revision := NewCatalog(), uint64(0)
+		p := newMachinePair()
+		received, revision := NewCatalog(), uint64(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"engine": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"e1", "e2", "e3"}).Draw(t, "engine")
@@ -365,17 +366,17 @@
 			"catch up": func(t *rapid.T) {
 				from := rapid.Uint64Range(0, revision).Draw(t, "from")
 				delta := p.plain.DeltaSince(from, "here")
-				known.Merge(delta)
+				received.Merge(delta)
 				revision = delta.To
-				whole := NewCatalog()
-				p.plain.copyAll(&whole, "here")
-				require.Equal(t, encoded(t, whole), encoded(t, known))
+				expected := NewCatalog()
+				p.plain.copyAll(&expected, "here")
+				require.Equal(t, encoded(t, expected), encoded(t, received))
 			},
 		})
 	})
 }
 
-func TestValidatePoolsNamesTheField(t *testing.T) {
+func TestValidatePoolsReportsFieldPath(t *testing.T) {
 	tests := map[string]struct {
 		change func(*PoolSpec)
 		path   string
@@ -402,7 +403,7 @@
 	require.Len(t, ValidatePools([]PoolSpec{testSpec(1), testSpec(1)}), 1)
 }
 
-// FuzzDecodeCommand: bytes from a log give a command or an error, never a panic.
+// FuzzDecodeCommand checks that decoding malformed log data does not panic.
 func FuzzDecodeCommand(f *testing.F) {
 	f.Add(Command{PublishVersion: &PublishVersion{Model: "m", Version: 1}}.Encode())
 	f.Add([]byte{0xa1, 0x02})
@@ -415,16 +416,16 @@
 	})
 }
 
-// FuzzRestore: a snapshot gives a machine or an error, never a panic.
+// FuzzRestore checks that restoring a malformed snapshot does not panic.
 func FuzzRestore(f *testing.F) {
 	f.Add(NewMachine().Snapshot())
 	f.Fuzz(func(_ *testing.T, data []byte) { _, _ = Restore(data) })
 }
 
-// TestLateClaimOfARefusedAttempt: the refusals of two attempts come before the
-// second one's Claim, which must not be granted any more.
-func TestLateClaimOfARefusedAttempt(t *testing.T) {
-	p := newPair()
+// TestLateClaimOfRefusedAttemptNotGranted checks that a Claim that arrives after the
+// refusal of its attempt is not granted.
+func TestLateClaimOfRefusedAttemptNotGranted(t *testing.T) {
+	p := newMachinePair()
 	epoch := p.apply(t, Command{RegisterNode: &RegisterNode{ID: "n1", Incarnation: 1}}).Register.Epoch
 	first := Claim{Key: "key", IssuedAt: 1000, Window: 1000, Attempt: 1, Node: "n1", Epoch: epoch, Nonce: 1}
 	second := first
@@ -434,10 +435,10 @@
 	require.Equal(t, ClaimDuplicate, p.apply(t, Command{Claim: &second}).Claim.Outcome)
 }
 
-// TestMovedEngineLeavesItsOldRegion: nodes of the region that an engine has
-// left forget it, and its owner there owns it no more.
-func TestMovedEngineLeavesItsOldRegion(t *testing.T) {
-	p := newPair()
+// TestMovedEngineRemovedFromOldRegion checks that an engine that has moved to another
+// region has no owner and is removed from the catalogs of its old region.
+func TestMovedEngineRemovedFromOldRegion(t *testing.T) {
+	p := newMachinePair()
 	epoch := p.apply(t, Command{RegisterNode: &RegisterNode{ID: "n1", Region: "west", Incarnation: 1}}).Register.Epoch
 	p.apply(t, Command{SyncEngines: &SyncEngines{Listed: []Engine{{ID: "e1", Region: "west"}}}})
 	p.apply(t, Command{SetOwners: &SetOwners{Grants: []OwnerGrant{{
--- a/state/membership.go
+++ b/state/membership.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// RegisterNode adds a node or replaces its earlier incarnation.
+// RegisterNode adds a node or replaces an earlier incarnation of it.
 type RegisterNode struct {
 	ID          string `cbor:"1,keyasint"`
 	Zone        string `cbor:"2,keyasint"`
@@ -14,18 +14,18 @@
 	Incarnation uint64 `cbor:"5,keyasint"`
 }
 
-// RegisterResult carries the registration's epoch.
+// RegisterResult holds the epoch of the registration.
 type RegisterResult struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 }
 
-// ExpireNode takes out a node whose lease has ended.
+// ExpireNode removes a node whose lease has ended.
 type ExpireNode struct {
 	ID    string `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"`
 }
 
-// DrainNode marks a node as draining or takes the mark back.
+// DrainNode sets or clears a node's draining flag.
 type DrainNode struct {
 	ID       string `cbor:"1,keyasint"`
 	Draining bool   `cbor:"2,keyasint"`
@@ -41,7 +41,7 @@
 	}
 	m.Epochs++
 	m.Catalog.Nodes[command.ID] = &Node{
-		Revision: m.touch(KindNode, command.ID), ID: command.ID,
+		Revision: m.recordChange(KindNode, command.ID), ID: command.ID,
 		Zone: command.Zone, Region: command.Region, Address: command.Address,
 		Incarnation: command.Incarnation, Epoch: m.Epochs,
 	}
@@ -57,12 +57,11 @@
 	return true
 }
 
-// removeNode takes out the node and all that depends on its registration: its
-// engines have no owner, its samples wait again, and the outcome of its claims
-// is unknown from now on.
+// removeNode removes the node. Its engines lose their owner, its samples become
+// pending again, and its running claims become unknown.
 func (m *Machine) removeNode(node *Node) {
 	delete(m.Catalog.Nodes, node.ID)
-	m.touchLeaving(KindNode, node.ID, node.Region)
+	m.recordChangeFrom(KindNode, node.ID, node.Region)
 	for _, id := range slices.Sorted(maps.Keys(m.Catalog.Engines)) {
 		if engine := m.Catalog.Engines[id]; engine.Owner == node.ID {
 			m.setOwner(engine, "")
@@ -86,7 +85,7 @@
 	if node.Draining != command.Draining {
 		changed := *node
 		changed.Draining = command.Draining
-		changed.Revision = m.touch(KindNode, node.ID)
+		changed.Revision = m.recordChange(KindNode, node.ID)
 		m.Catalog.Nodes[node.ID] = &changed
 	}
 	return true
--- a/state/ownership.go
+++ b/state/ownership.go
@@ -1,19 +1,18 @@
 package state
 
-// SyncEngines brings the engines to what the platform lists.
+// SyncEngines updates the engines to match the platform's list.
 type SyncEngines struct {
-	// Listed are engines that are new or have changed; owner and epoch are ignored.
+	// Listed are new and changed engines; their owner and epoch are ignored.
 	Listed  []Engine `cbor:"1,keyasint"`
 	Removed []string `cbor:"2,keyasint"`
 }
 
-// SetOwners gives engines to nodes.
+// SetOwners assigns engines to nodes.
 type SetOwners struct {
 	Grants []OwnerGrant `cbor:"1,keyasint"`
 }
 
-// OwnerGrant gives an engine to a node, provided that the engine still has the
-// epoch and the node the registration that the leader saw.
+// OwnerGrant assigns an engine to a node if both still have the given epochs.
 type OwnerGrant struct {
 	Engine      string `cbor:"1,keyasint"`
 	EngineEpoch uint64 `cbor:"2,keyasint"`
@@ -21,7 +20,7 @@
 	NodeEpoch   uint64 `cbor:"4,keyasint"`
 }
 
-// DrainEngine marks an engine as leaving by an operator's order.
+// DrainEngine sets or clears an engine's draining flag on behalf of an operator.
 type DrainEngine struct {
 	ID      string `cbor:"1,keyasint"`
 	Leaving bool   `cbor:"2,keyasint"`
@@ -29,7 +28,7 @@
 
 func (m *Machine) syncEngines(command *SyncEngines) {
 	for _, listed := range command.Listed {
-		engine, left := listed, ""
+		engine, previousRegion := listed, ""
 		earlier := m.Catalog.Engines[listed.ID]
 		if earlier != nil {
 			engine.Ordered = earlier.Ordered
@@ -37,21 +36,21 @@
 		if earlier != nil && earlier.Region == listed.Region {
 			engine.Owner, engine.Epoch = earlier.Owner, earlier.Epoch
 		} else {
-			// An engine that comes back must not meet an epoch it has seen, and
-			// one that has moved leaves its owner.
+			// A listed engine may have been known before and must get an epoch that it
+			// has not seen. An engine that has moved to another region loses its owner.
 			m.Epochs++
 			engine.Owner, engine.Epoch = "", m.Epochs
 		}
 		if earlier != nil {
-			left = earlier.Region
+			previousRegion = earlier.Region
 		}
-		engine.Revision = m.touchLeaving(KindEngine, engine.ID, left)
+		engine.Revision = m.recordChangeFrom(KindEngine, engine.ID, previousRegion)
 		m.Catalog.Engines[engine.ID] = &engine
 	}
 	for _, id := range command.Removed {
 		if earlier := m.Catalog.Engines[id]; earlier != nil {
 			delete(m.Catalog.Engines, id)
-			m.touchLeaving(KindEngine, id, earlier.Region)
+			m.recordChangeFrom(KindEngine, id, earlier.Region)
 		}
 	}
 }
@@ -69,13 +68,13 @@
 	}
 }
 
-// setOwner changes the owner under a new epoch. The engine is copied, because
-// deltas and replies in flight share the old one.
+// setOwner changes the owner and assigns a new epoch. The engine is copied because
+// pending deltas and replies refer to the old object.
 func (m *Machine) setOwner(engine *Engine, owner string) {
 	m.Epochs++
 	changed := *engine
 	changed.Owner, changed.Epoch = owner, m.Epochs
-	changed.Revision = m.touch(KindEngine, engine.ID)
+	changed.Revision = m.recordChange(KindEngine, engine.ID)
 	m.Catalog.Engines[engine.ID] = &changed
 }
 
@@ -87,7 +86,7 @@
 	if engine.Ordered != command.Leaving {
 		changed := *engine
 		changed.Ordered = command.Leaving
-		changed.Revision = m.touch(KindEngine, engine.ID)
+		changed.Revision = m.recordChange(KindEngine, engine.ID)
 		m.Catalog.Engines[engine.ID] = &changed
 	}
 	return true
--- a/state/pending.go
+++ b/state/pending.go
@@ -2,8 +2,9 @@
 
 import "container/heap"
 
-// pendingQueue orders the waiting samples of a pool: earlier steps first, since
-// their trainer waits, then the longest first, since they end last, then by index.
+// pendingQueue orders the pending samples of a pool: by step, because the trainer
+// waits for the earliest, then the longest first, because they take longest to
+// finish, then by index.
 type pendingQueue struct {
 	items pendingHeap
 }
--- a/state/weights.go
+++ b/state/weights.go
@@ -1,22 +1,22 @@
 package state
 
-// maxVersions bounds the versions of a model whose time of publication is kept.
+// maxVersions limits the number of versions kept for a model.
 const maxVersions = 128
 
-// PublishVersion makes a version the newest of its model.
+// PublishVersion publishes a new version of a model.
 type PublishVersion struct {
 	Model   string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// PublishResult tells whether the version is the newest now.
+// PublishResult reports whether the version is now the newest one.
 type PublishResult struct {
 	Accepted bool   `cbor:"1,keyasint"`
 	Newest   uint64 `cbor:"2,keyasint"`
 }
 
-// publishVersion accepts a version above the newest. The newest one itself,
-// resent after a lost answer, is accepted without effect.
+// publishVersion accepts versions above the newest. The newest version itself is
+// accepted without effect, because the publisher may resend it.
 func (m *Machine) publishVersion(command *PublishVersion) *PublishResult {
 	model := m.Catalog.Models[command.Model]
 	newest := model.Newest()
@@ -29,15 +29,15 @@
 	}
 	kept := changed.Versions[max(0, len(changed.Versions)-maxVersions+1):]
 	changed.Versions = append(append([]Version(nil), kept...), Version{Number: command.Version, PublishedAt: m.Now})
-	changed.Revision = m.touch(KindModel, command.Model)
+	changed.Revision = m.recordChange(KindModel, command.Model)
 	m.Catalog.Models[command.Model] = changed
 	return &PublishResult{Accepted: true, Newest: command.Version}
 }
 
-// Stale tells whether a sample whose oldest segment has the version is over the
-// pool's bound, if held is the version that its trainer holds.
-func (s PoolSpec) Stale(model *Model, oldest, held uint64, now int64) bool {
-	newest := max(model.Newest(), held)
+// IsStale reports whether a sample with the given oldest version exceeds the pool's
+// staleness limits. heldVersion is the version that the trainer holds.
+func (s PoolSpec) IsStale(model *Model, oldest, heldVersion uint64, now int64) bool {
+	newest := max(model.Newest(), heldVersion)
 	if oldest+s.MaxStalenessVersions < newest {
 		return true
 	}
@@ -47,9 +47,8 @@
 	return now-model.successorPublishedAt(oldest) > s.MaxStalenessMillis
 }
 
-// successorPublishedAt returns when the version's successor was published. For
-// a successor that is not remembered any more it returns the oldest time known,
-// which is later than the true one by as much as maxVersions publications allow.
+// successorPublishedAt returns when the version's successor was published. If the
+// successor is no longer recorded, it returns the oldest recorded time, which is later.
 func (m *Model) successorPublishedAt(version uint64) int64 {
 	for _, later := range m.Versions {
 		if later.Number > version {
