--- a/control/core.go
+++ b/control/core.go
@@ -1,8 +1,8 @@
-// Package control is the core of a control replica: consensus, the replicated
-// state machine and, on the leader, node leases and the reconcile loop. It is a
-// deterministic state machine: calls with the current time go in; a Ready to
-// persist, messages and replies come out. Package server runs it in a process,
-// package simulate in virtual time.
+// Package control implements the core of a control replica: consensus, the
+// replicated state machine and, on the leader, node leases and the reconcile loop.
+// It does no I/O and reads no clock: callers pass the current time, persist each
+// Ready, and send the resulting messages and replies. Package server runs it in a
+// process, package simulate in virtual time.
 package control
 
 import (
@@ -11,33 +11,33 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// Clock is the time of a call.
+// Clock holds the current time of a call.
 type Clock struct {
-	// Monotonic is in milliseconds since any fixed point of this process.
+	// Monotonic is in milliseconds since an arbitrary fixed point of this process.
 	Monotonic int64
 	// Wall is in milliseconds since 1970.
 	Wall int64
 }
 
-// Config holds what a Core needs to start.
+// Config configures a Core.
 type Config struct {
 	Consensus consensus.Config
-	// Address is where other processes reach this replica.
+	// Address is the address at which other processes reach this replica.
 	Address string
 	// TickMillis is the time between calls of Tick.
 	TickMillis int64
-	// LeaseMillis is how long a node keeps its lease after its last confirmed
-	// heartbeat. Nodes are told a shorter time; see leaseMargin.
+	// LeaseMillis is the duration of a node's lease after its last confirmed
+	// heartbeat. Nodes are granted a shorter time; see leaseMarginPercent.
 	LeaseMillis int64
-	// ReconcileMillis is the time between runs of the reconcile loop.
+	// ReconcileMillis is the interval of the reconcile loop.
 	ReconcileMillis int64
 	// ReplaceMillis is how long a voter must be silent before a caught-up
-	// learner takes its place; 0 turns replacement off.
+	// learner replaces it; 0 disables replacement.
 	ReplaceMillis int64
-	// ListGraceMillis is how long a new leader renews no lease while it waits
-	// for the platform's list; see mayRenew.
+	// ListGraceMillis is how long a new leader waits for the platform's engine
+	// list before it renews leases; see canRenewLeases.
 	ListGraceMillis int64
-	// SnapshotBytes is the least size of the log that makes a snapshot.
+	// SnapshotBytes is the minimum log size that triggers a snapshot.
 	SnapshotBytes int
 }
 
@@ -47,25 +47,25 @@
 	Message protocol.Message
 }
 
-// Reply answers a local request.
+// Reply is the reply to a local request.
 type Reply struct {
 	ID      uint64
 	Outcome protocol.ProposeOutcome
-	// Leader is the leader's address with an outcome other than done.
+	// Leader is the leader's address, set if the outcome is not ProposeDone.
 	Leader string
 	Result state.Result
 	// View is set in the reply to a read.
 	View *View
 }
 
-// requester is who waits for a proposal: a process by address, or with an
-// empty address a local caller.
+// requester identifies who waits for a reply: another process, or a local caller
+// if the address is empty.
 type requester struct {
 	address string
 	id      uint64
 }
 
-type waiter struct {
+type pendingProposal struct {
 	term      uint64
 	requester requester
 }
@@ -78,28 +78,28 @@
 	applied uint64
 	clock   Clock
 
-	waiting   map[uint64]waiter
+	proposals map[uint64]pendingProposal
 	reads     *consensus.ReadTracker[pendingRead]
 	addresses map[consensus.ReplicaID]string
 
-	// The following belong to one leadership and are made anew with each.
-	leadingTerm  uint64
-	leases       map[string]*lease
-	beats        []pendingBeat
-	beatContext  uint64
-	fetches      []pendingFetch
-	leadingSince int64
-	listed       []state.Engine
-	listedKnown  bool
-	// listCompared is set once the platform's list has been compared, and
-	// listIndex is the entry by which its differences are applied.
-	listCompared   bool
-	listIndex      uint64
-	lastReconcile  int64
-	reconcileIndex uint64
-	// news is set while there is something that nodes have not been told of.
-	news         bool
-	lastNotified int64
+	// The following fields are reset when this replica becomes leader.
+	leadershipTerm   uint64
+	leases           map[string]*lease
+	heartbeats       []pendingHeartbeat
+	heartbeatContext uint64
+	fetches          []pendingFetch
+	leaderSince      int64
+	listedEngines    []state.Engine
+	listReceived     bool
+	// listCompared is set once the platform's list has been compared with the
+	// catalog; listIndex is the log entry that applies the differences.
+	listCompared     bool
+	listIndex        uint64
+	lastReconciledAt int64
+	reconcileIndex   uint64
+	// notifyPending is set if there are changes that nodes were not notified of.
+	notifyPending  bool
+	lastNotifiedAt int64
 
 	logBytes     int
 	snapshotSize int
@@ -108,8 +108,8 @@
 	replies      []Reply
 }
 
-// New returns a replica that continues from what storage held. It fails if the
-// stored snapshot cannot be decoded.
+// New returns a replica that continues from the stored state. It returns an error
+// if the stored snapshot cannot be decoded.
 func New(config Config) (*Core, error) {
 	machine, err := state.Restore(config.Consensus.Snapshot.Data)
 	if err != nil {
@@ -117,8 +117,8 @@
 	}
 	c := &Core{
 		config: config, raft: consensus.New(config.Consensus), machine: machine,
-		applied: config.Consensus.Snapshot.Index,
-		waiting: map[uint64]waiter{}, reads: consensus.NewReadTracker[pendingRead](),
+		applied:   config.Consensus.Snapshot.Index,
+		proposals: map[uint64]pendingProposal{}, reads: consensus.NewReadTracker[pendingRead](),
 		addresses: map[consensus.ReplicaID]string{},
 	}
 	for _, entry := range config.Consensus.Entries {
@@ -153,16 +153,16 @@
 func (c *Core) Tick(clock Clock) {
 	c.clock = clock
 	c.raft.Tick()
-	c.noticeLeadership()
+	c.updateLeadership()
 	c.expireFetches()
-	if c.leading() && clock.Monotonic-c.lastReconcile >= c.config.ReconcileMillis {
-		c.lastReconcile = clock.Monotonic
+	if c.isLeader() && clock.Monotonic-c.lastReconciledAt >= c.config.ReconcileMillis {
+		c.lastReconciledAt = clock.Monotonic
 		c.reconcile()
 	}
 	c.notifyNodes()
 }
 
-// Receive takes in a message of another process.
+// Receive handles a message from another process.
 func (c *Core) Receive(clock Clock, message protocol.Message) {
 	c.clock = clock
 	switch {
@@ -176,14 +176,14 @@
 	case message.Join != nil:
 		c.receiveJoin(*message.Join)
 	}
-	c.noticeLeadership()
+	c.updateLeadership()
 }
 
-// receiveJoin takes a replica into the group as a learner. A replica that does not lead passes the
-// question on, once: whoever asks may know no leader's address.
+// receiveJoin adds a replica to the group as a learner. A follower forwards the request
+// to the leader, at most once, because a new replica may not know the leader's address.
 func (c *Core) receiveJoin(join protocol.Join) {
 	switch {
-	case c.leading():
+	case c.isLeader():
 		c.raft.ProposeMembership(consensus.MembershipChange{Action: consensus.AddLearner, ID: join.ID, Address: join.Address})
 	case !join.PassedOn && c.raft.Leader() != consensus.None:
 		join.PassedOn = true
@@ -191,19 +191,19 @@
 	}
 }
 
-// Propose asks for a command to be committed; the reply carries the ID.
+// Propose proposes a command; the reply has the same ID.
 func (c *Core) Propose(clock Clock, id uint64, command state.Command) {
 	c.clock = clock
 	c.propose(command, requester{id: id})
 }
 
-// ChangeMembership proposes a membership change and tells whether it was taken in.
+// ChangeMembership proposes a membership change and reports whether it was accepted.
 func (c *Core) ChangeMembership(change consensus.MembershipChange) bool {
 	return c.raft.ProposeMembership(change)
 }
 
-// TransferLeadership hands leadership to the most complete other voter, or to
-// the one named, and tells whether there is one.
+// TransferLeadership transfers leadership to the given voter or, for None, to the
+// responsive voter with the longest log. It reports whether a transfer was started.
 func (c *Core) TransferLeadership(to consensus.ReplicaID) bool {
 	if to != consensus.None {
 		return c.raft.TransferLeadership(to)
@@ -219,8 +219,8 @@
 	return best != consensus.None && c.raft.TransferLeadership(best)
 }
 
-// proposeOwn commits a command that nobody waits for.
-func (c *Core) proposeOwn(command state.Command) {
+// proposeInternal proposes a command that has no requester.
+func (c *Core) proposeInternal(command state.Command) {
 	command.Now = c.clock.Wall
 	if index, _, ok := c.raft.Propose(command.Encode()); ok {
 		c.reconcileIndex = index
@@ -231,13 +231,13 @@
 	command.Now = c.clock.Wall
 	index, term, ok := c.raft.Propose(command.Encode())
 	if !ok {
-		c.answer(from, protocol.ProposeNotLeader, state.Result{})
+		c.reply(from, protocol.ProposeNotLeader, state.Result{})
 		return
 	}
-	c.waiting[index] = waiter{term: term, requester: from}
+	c.proposals[index] = pendingProposal{term: term, requester: from}
 }
 
-func (c *Core) answer(to requester, outcome protocol.ProposeOutcome, result state.Result) {
+func (c *Core) reply(to requester, outcome protocol.ProposeOutcome, result state.Result) {
 	leader := ""
 	if outcome != protocol.ProposeDone {
 		leader = c.LeaderAddress()
@@ -259,55 +259,55 @@
 	c.outbox = append(c.outbox, Outgoing{Address: address, Message: message})
 }
 
-func (c *Core) leading() bool { return c.raft.Role() == consensus.Leader }
+func (c *Core) isLeader() bool { return c.raft.Role() == consensus.Leader }
 
-// noticeLeadership makes the leader's state anew when a leadership begins, and
-// answers all who wait when one ends.
-func (c *Core) noticeLeadership() {
-	if c.leading() && c.leadingTerm != c.raft.Term() {
+// updateLeadership resets the leader's state when this replica becomes leader, and
+// replies to all pending requests when it no longer is.
+func (c *Core) updateLeadership() {
+	if c.isLeader() && c.leadershipTerm != c.raft.Term() {
 		c.beginLeadership()
 	}
-	if !c.leading() && c.leadingTerm != 0 {
+	if !c.isLeader() && c.leadershipTerm != 0 {
 		c.endLeadership()
 	}
 }
 
-// beginLeadership grants each registered node a full lease: the earlier leader
-// may have renewed it up to the moment of this election.
+// beginLeadership gives each registered node a full lease, because the previous
+// leader may have renewed it until this election.
 func (c *Core) beginLeadership() {
 	c.endLeadership()
-	c.leadingTerm = c.raft.Term()
+	c.leadershipTerm = c.raft.Term()
 	c.leases = map[string]*lease{}
 	for id, node := range c.machine.Catalog.Nodes {
 		c.leases[id] = &lease{epoch: node.Epoch, renewedAt: c.clock.Monotonic}
 	}
 	c.reconcileIndex = c.raft.Commit()
-	c.leadingSince = c.clock.Monotonic
-	c.listedKnown, c.listCompared = false, false
+	c.leaderSince = c.clock.Monotonic
+	c.listReceived, c.listCompared = false, false
 }
 
 func (c *Core) endLeadership() {
-	c.leadingTerm = 0
-	c.leases, c.beats, c.beatContext = nil, nil, 0
-	for index, waiting := range c.waiting {
-		c.answer(waiting.requester, protocol.ProposeUnknown, state.Result{})
-		delete(c.waiting, index)
+	c.leadershipTerm = 0
+	c.leases, c.heartbeats, c.heartbeatContext = nil, nil, 0
+	for index, proposal := range c.proposals {
+		c.reply(proposal.requester, protocol.ProposeUnknown, state.Result{})
+		delete(c.proposals, index)
 	}
 	for _, fetch := range c.fetches {
-		c.answer(fetch.requester, protocol.ProposeUnknown, state.Result{})
+		c.reply(fetch.requester, protocol.ProposeUnknown, state.Result{})
 	}
 	c.fetches = nil
 }
 
-// HasReady tells whether there is anything to persist, send or apply.
+// HasReady reports whether there is anything to persist, send or apply.
 func (c *Core) HasReady() bool { return c.raft.HasReady() }
 
-// Ready returns what has to be persisted before Advance.
+// Ready returns what must be persisted before Advance is called.
 func (c *Core) Ready() consensus.Ready { return c.raft.Ready() }
 
-// Advance carries on after the Ready has been persisted: it sends its messages
-// and applies its committed entries. It fails if a snapshot or an entry cannot
-// be decoded, which means that replicas run incompatible versions.
+// Advance sends the messages and applies the committed entries of a Ready that has
+// been persisted. It returns an error if a snapshot or an entry cannot be decoded,
+// which means that replicas run incompatible versions.
 func (c *Core) Advance(ready consensus.Ready) error {
 	for _, message := range ready.Messages {
 		consensusMessage := message
@@ -325,7 +325,7 @@
 		}
 	}
 	c.raft.Advance(ready)
-	c.noticeLeadership()
+	c.updateLeadership()
 	c.confirmReads(ready)
 	c.serveFetches()
 	c.compact()
@@ -356,30 +356,30 @@
 	}
 	before := c.machine.Revision
 	result := c.machine.Apply(command)
-	c.noticeApplied(command, result)
-	c.news = c.news || c.machine.Revision != before || command.SubmitStep != nil
-	waiting, ok := c.waiting[entry.Index]
+	c.updateLeases(command, result)
+	c.notifyPending = c.notifyPending || c.machine.Revision != before || command.SubmitStep != nil
+	proposal, ok := c.proposals[entry.Index]
 	if !ok {
 		return nil
 	}
-	delete(c.waiting, entry.Index)
-	if waiting.term != entry.Term {
-		c.answer(waiting.requester, protocol.ProposeUnknown, state.Result{})
+	delete(c.proposals, entry.Index)
+	if proposal.term != entry.Term {
+		c.reply(proposal.requester, protocol.ProposeUnknown, state.Result{})
 		return nil
 	}
-	c.answer(waiting.requester, protocol.ProposeDone, result)
+	c.reply(proposal.requester, protocol.ProposeDone, result)
 	return nil
 }
 
-// noticeApplied keeps the leader's leases in step with registrations.
-func (c *Core) noticeApplied(command state.Command, result state.Result) {
+// updateLeases adds and removes leases as nodes are registered and expired.
+func (c *Core) updateLeases(command state.Command, result state.Result) {
 	if c.leases == nil {
 		return
 	}
 	switch {
 	case command.RegisterNode != nil:
-		known := c.leases[command.RegisterNode.ID]
-		if known == nil || known.epoch != result.Register.Epoch {
+		current := c.leases[command.RegisterNode.ID]
+		if current == nil || current.epoch != result.Register.Epoch {
 			c.leases[command.RegisterNode.ID] = &lease{epoch: result.Register.Epoch, renewedAt: c.clock.Monotonic}
 		}
 	case command.ExpireNode != nil && result.Found:
@@ -387,9 +387,8 @@
 	}
 }
 
-// compact makes a snapshot when the log has outgrown both the configured size
-// and the last snapshot, so that the cost of snapshots stays in proportion to
-// that of the log.
+// compact makes a snapshot when the log exceeds both the configured size and the
+// size of the last snapshot, so that snapshots cost no more than the log itself.
 func (c *Core) compact() {
 	if c.logBytes < max(c.config.SnapshotBytes, c.snapshotSize) {
 		return
@@ -401,21 +400,21 @@
 	}
 }
 
-// TakeSnapshot returns a snapshot to be persisted, or nil.
+// TakeSnapshot returns the snapshot to be persisted, or nil, and clears it.
 func (c *Core) TakeSnapshot() *consensus.Snapshot {
 	snapshot := c.snapshot
 	c.snapshot = nil
 	return snapshot
 }
 
-// TakeMessages returns the messages to be sent and forgets them.
+// TakeMessages returns and clears the messages to be sent.
 func (c *Core) TakeMessages() []Outgoing {
 	messages := c.outbox
 	c.outbox = nil
 	return messages
 }
 
-// TakeReplies returns the replies to local requests and forgets them.
+// TakeReplies returns and clears the replies to local requests.
 func (c *Core) TakeReplies() []Reply {
 	replies := c.replies
 	c.replies = nil
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -5,19 +5,19 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// pendingFetch is a trainer's fetch that waits for something to deliver.
+// pendingFetch is a trainer's fetch that waits for deliverable samples.
 type pendingFetch struct {
 	requester requester
 	command   *state.Fetch
 	deadline  int64
 }
 
-// Fetch answers a trainer's fetch as soon as there is something to deliver or
-// acknowledge, or with nothing after waitMillis. Waiting costs no log entry.
+// Fetch replies to a trainer's fetch as soon as there is something to deliver or
+// acknowledge, or with an empty result after waitMillis. Waiting adds no log entry.
 func (c *Core) Fetch(clock Clock, id uint64, command *state.Fetch, waitMillis int64) {
 	c.clock = clock
-	if !c.leading() {
-		c.answer(requester{id: id}, protocol.ProposeNotLeader, state.Result{})
+	if !c.isLeader() {
+		c.reply(requester{id: id}, protocol.ProposeNotLeader, state.Result{})
 		return
 	}
 	c.fetches = append(c.fetches, pendingFetch{
@@ -50,7 +50,7 @@
 		if pool := c.machine.Catalog.Pools[fetch.command.Pool]; pool != nil {
 			result.Newest = c.machine.Catalog.Models[pool.Spec.Model].Newest()
 		}
-		c.answer(fetch.requester, protocol.ProposeDone, state.Result{Fetch: result})
+		c.reply(fetch.requester, protocol.ProposeDone, state.Result{Fetch: result})
 	}
 	c.fetches = kept
 }
--- a/control/join_test.go
+++ b/control/join_test.go
@@ -9,9 +9,9 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// TestFollowerPassesTheQuestionOn: a replica that does not lead passes on to the leader, once,
-// that another one asks to be let in.
-func TestFollowerPassesTheQuestionOn(t *testing.T) {
+// TestFollowerForwardsJoinRequest checks that a follower forwards a join request to the
+// leader, and does not forward one that was already forwarded.
+func TestFollowerForwardsJoinRequest(t *testing.T) {
 	members := consensus.Membership{Members: []consensus.Member{
 		{ID: 1, Address: "follower", Voter: true}, {ID: 2, Address: "leader", Voter: true},
 	}}
@@ -23,18 +23,18 @@
 		Address: "follower",
 	})
 	require.NoError(t, err)
-	ask := func(passedOn bool) []Outgoing {
-		follower.Receive(Clock{}, protocol.Message{From: "new", Join: &protocol.Join{ID: 9, Address: "new", PassedOn: passedOn}})
+	receiveJoin := func(forwarded bool) []Outgoing {
+		follower.Receive(Clock{}, protocol.Message{From: "new", Join: &protocol.Join{ID: 9, Address: "new", PassedOn: forwarded}})
 		return follower.TakeMessages()
 	}
-	require.Empty(t, ask(false), "no leader is known yet")
+	require.Empty(t, receiveJoin(false), "no leader is known yet")
 	follower.Receive(Clock{}, protocol.Message{From: "leader", Consensus: &consensus.Message{
 		Kind: consensus.MessageHeartbeat, From: 2, To: 1, Term: 2,
 	}})
 	follower.TakeMessages()
-	passed := ask(false)
-	require.Len(t, passed, 1)
-	require.Equal(t, "leader", passed[0].Address)
-	require.Equal(t, &protocol.Join{ID: 9, Address: "new", PassedOn: true}, passed[0].Message.Join)
-	require.Empty(t, ask(true))
+	forwarded := receiveJoin(false)
+	require.Len(t, forwarded, 1)
+	require.Equal(t, "leader", forwarded[0].Address)
+	require.Equal(t, &protocol.Join{ID: 9, Address: "new", PassedOn: true}, forwarded[0].Message.Join)
+	require.Empty(t, receiveJoin(true))
 }
--- a/control/lease.go
+++ b/control/lease.go
@@ -7,106 +7,105 @@
 	"slices"
 )
 
-// leaseMargin is the share of a lease, in percent, by which the holder's is
-// shorter than the granter's. It covers the drift of their monotonic clocks.
-const leaseMargin = 15
+// leaseMarginPercent is by how much the lease granted to a node is shorter than the
+// lease that the leader waits for. It covers the drift of their monotonic clocks.
+const leaseMarginPercent = 15
 
-// lease is what the leader knows about a registered node.
+// lease is the leader's record of a registered node.
 type lease struct {
 	epoch     uint64
 	renewedAt int64
-	// revision is the newest that the node has acknowledged.
+	// revision is the highest catalog revision that the node has acknowledged.
 	revision uint64
 	summary  protocol.Summary
 }
 
-// pendingBeat is a heartbeat that waits for the leader to be confirmed.
-type pendingBeat struct {
-	address string
-	beat    *protocol.Heartbeat
+// pendingHeartbeat is a heartbeat that waits for confirmation of the leadership.
+type pendingHeartbeat struct {
+	address   string
+	heartbeat *protocol.Heartbeat
 }
 
-// receiveHeartbeat renews the node's lease once a quorum has confirmed that
-// this replica still leads. The confirmation is asked for after the heartbeat
-// was received, so a later leader, which waits a full lease from its election
-// before it takes a node out, waits beyond the end of what is granted here.
-func (c *Core) receiveHeartbeat(from string, beat *protocol.Heartbeat) {
-	if !c.leading() {
+// receiveHeartbeat renews the node's lease once a quorum has confirmed that this
+// replica is still the leader. Because the confirmation starts after the heartbeat was
+// received, a later leader, which waits a full lease from its election before it
+// expires a node, waits past the end of the lease granted here.
+func (c *Core) receiveHeartbeat(from string, heartbeat *protocol.Heartbeat) {
+	if !c.isLeader() {
 		c.send(from, protocol.Message{HeartbeatReply: &protocol.HeartbeatReply{
-			Sequence: beat.Sequence, Leader: c.LeaderAddress(),
+			Sequence: heartbeat.Sequence, Leader: c.LeaderAddress(),
 		}})
 		return
 	}
-	c.noticeLeadership()
-	node := c.machine.Catalog.Nodes[beat.Node]
+	c.updateLeadership()
+	node := c.machine.Catalog.Nodes[heartbeat.Node]
 	switch {
-	case node == nil || node.Incarnation != beat.Incarnation:
-		if !beat.Leaving {
-			c.proposeOwn(state.Command{RegisterNode: &state.RegisterNode{
-				ID: beat.Node, Zone: beat.Zone, Region: beat.Region, Address: from, Incarnation: beat.Incarnation,
+	case node == nil || node.Incarnation != heartbeat.Incarnation:
+		if !heartbeat.Leaving {
+			c.proposeInternal(state.Command{RegisterNode: &state.RegisterNode{
+				ID: heartbeat.Node, Zone: heartbeat.Zone, Region: heartbeat.Region, Address: from, Incarnation: heartbeat.Incarnation,
 			}})
 		}
-	case beat.Leaving:
-		c.proposeOwn(state.Command{ExpireNode: &state.ExpireNode{ID: beat.Node, Epoch: node.Epoch}})
-	case beat.Draining && !node.Draining:
-		c.proposeOwn(state.Command{DrainNode: &state.DrainNode{ID: beat.Node, Draining: true}})
+	case heartbeat.Leaving:
+		c.proposeInternal(state.Command{ExpireNode: &state.ExpireNode{ID: heartbeat.Node, Epoch: node.Epoch}})
+	case heartbeat.Draining && !node.Draining:
+		c.proposeInternal(state.Command{DrainNode: &state.DrainNode{ID: heartbeat.Node, Draining: true}})
 	}
-	c.beats = append(c.beats, pendingBeat{address: from, beat: beat})
-	c.confirmBeats()
+	c.heartbeats = append(c.heartbeats, pendingHeartbeat{address: from, heartbeat: heartbeat})
+	c.confirmHeartbeats()
 }
 
-// confirmBeats asks for one confirmation on behalf of all waiting heartbeats.
-func (c *Core) confirmBeats() {
-	if c.beatContext != 0 || len(c.beats) == 0 {
+// confirmHeartbeats starts one leadership confirmation for all pending heartbeats.
+func (c *Core) confirmHeartbeats() {
+	if c.heartbeatContext != 0 || len(c.heartbeats) == 0 {
 		return
 	}
-	c.beatContext = c.reads.Begin(c.raft, pendingRead{beats: c.beats})
-	c.beats = nil
+	c.heartbeatContext = c.reads.Begin(c.raft, pendingRead{heartbeats: c.heartbeats})
+	c.heartbeats = nil
 }
 
-// mayRenew tells whether a new leader knows enough to renew leases. What the
-// platform listed while no leader led must reach a node before the node goes
-// on; but if the platform cannot be reached, serving goes on after a while.
-func (c *Core) mayRenew() bool {
+// canRenewLeases reports whether this leader has applied the platform's engine list,
+// so that nodes learn of changes made while there was no leader. If the platform is
+// unreachable, leases are renewed after ListGraceMillis.
+func (c *Core) canRenewLeases() bool {
 	if c.listCompared && c.applied >= c.listIndex {
 		return true
 	}
-	return c.clock.Monotonic-c.leadingSince >= c.config.ListGraceMillis
+	return c.clock.Monotonic-c.leaderSince >= c.config.ListGraceMillis
 }
 
-func (c *Core) renew(pending pendingBeat) {
-	if !c.mayRenew() {
+func (c *Core) renewLease(pending pendingHeartbeat) {
+	if !c.canRenewLeases() {
 		return
 	}
-	beat := pending.beat
-	node, held := c.machine.Catalog.Nodes[beat.Node], c.leases[beat.Node]
-	if node == nil || held == nil || node.Incarnation != beat.Incarnation || held.epoch != node.Epoch {
+	heartbeat := pending.heartbeat
+	node, current := c.machine.Catalog.Nodes[heartbeat.Node], c.leases[heartbeat.Node]
+	if node == nil || current == nil || node.Incarnation != heartbeat.Incarnation || current.epoch != node.Epoch {
 		return
 	}
-	held.renewedAt = c.clock.Monotonic
-	held.summary = beat.Summary
-	if beat.Epoch == node.Epoch {
-		held.revision = max(held.revision, beat.Revision)
+	current.renewedAt = c.clock.Monotonic
+	current.summary = heartbeat.Summary
+	if heartbeat.Epoch == node.Epoch {
+		current.revision = max(current.revision, heartbeat.Revision)
 	}
 	c.send(pending.address, protocol.Message{HeartbeatReply: &protocol.HeartbeatReply{
-		Sequence: beat.Sequence, Leader: c.config.Address, Epoch: node.Epoch,
-		LeaseMillis: c.config.LeaseMillis * (100 - leaseMargin) / 100,
-		Delta:       c.machine.DeltaSince(beat.Revision, beat.Region),
-		Peers:       c.peerSummaries(beat.Node, node.Region),
+		Sequence: heartbeat.Sequence, Leader: c.config.Address, Epoch: node.Epoch,
+		LeaseMillis: c.config.LeaseMillis * (100 - leaseMarginPercent) / 100,
+		Delta:       c.machine.DeltaSince(heartbeat.Revision, heartbeat.Region),
+		Peers:       c.peerSummaries(heartbeat.Node, node.Region),
 		Pending:     c.pendingSamples(),
 	}})
 }
 
-// notifyMillis is the least time between two rounds of notifications.
-const notifyMillis = 200
+// minNotifyIntervalMillis is the minimum time between notifications of all nodes.
+const minNotifyIntervalMillis = 200
 
-// notifyNodes tells all nodes that there is news. They could wait for their
-// next heartbeats; this only saves that time.
+// notifyNodes notifies all nodes of changes, so that they send a heartbeat at once.
 func (c *Core) notifyNodes() {
-	if !c.leading() || !c.news || c.clock.Monotonic-c.lastNotified < notifyMillis {
+	if !c.isLeader() || !c.notifyPending || c.clock.Monotonic-c.lastNotifiedAt < minNotifyIntervalMillis {
 		return
 	}
-	c.news, c.lastNotified = false, c.clock.Monotonic
+	c.notifyPending, c.lastNotifiedAt = false, c.clock.Monotonic
 	for _, id := range slices.Sorted(maps.Keys(c.leases)) {
 		if node := c.machine.Catalog.Nodes[id]; node != nil {
 			c.send(node.Address, protocol.Message{Notify: &protocol.Notify{}})
@@ -116,10 +115,10 @@
 
 func (c *Core) peerSummaries(self, region string) map[string]protocol.Summary {
 	summaries := map[string]protocol.Summary{}
-	for id, held := range c.leases {
+	for id, peer := range c.leases {
 		node := c.machine.Catalog.Nodes[id]
 		if id != self && node != nil && node.Region == region && !node.Draining {
-			summaries[id] = held.summary
+			summaries[id] = peer.summary
 		}
 	}
 	return summaries
--- a/control/read.go
+++ b/control/read.go
@@ -8,13 +8,14 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// pendingRead waits for a quorum's confirmation: a local read, or heartbeats.
+// pendingRead is a local read, or a batch of heartbeats, that waits for a quorum's
+// confirmation of the leadership.
 type pendingRead struct {
-	local uint64
-	beats []pendingBeat
+	requestID  uint64
+	heartbeats []pendingHeartbeat
 }
 
-// View is a consistent copy of what operators ask for.
+// View is a consistent copy of the state shown to operators.
 type View struct {
 	Declared uint64
 	Pools    []state.PoolSpec
@@ -42,7 +43,7 @@
 	Engines  int
 }
 
-// LedgerView is a pool's ledger in numbers.
+// LedgerView summarizes a pool's ledger.
 type LedgerView struct {
 	Pool      string
 	Newest    uint64
@@ -53,49 +54,49 @@
 	Engines   int
 }
 
-// Read asks for a View that reflects every change accepted before the call.
+// Read requests a View that reflects every change accepted before the call.
 func (c *Core) Read(clock Clock, id uint64) {
 	c.clock = clock
-	if !c.leading() {
-		c.answer(requester{id: id}, protocol.ProposeNotLeader, state.Result{})
+	if !c.isLeader() {
+		c.reply(requester{id: id}, protocol.ProposeNotLeader, state.Result{})
 		return
 	}
-	c.reads.Begin(c.raft, pendingRead{local: id})
+	c.reads.Begin(c.raft, pendingRead{requestID: id})
 }
 
-// confirmReads takes in which reads a quorum has confirmed, and serves those
-// whose index is applied.
+// confirmReads serves the reads that are confirmed by a quorum and whose index is
+// applied, and rejects those that were refused.
 func (c *Core) confirmReads(ready consensus.Ready) {
 	for _, read := range c.reads.TakeRejected(ready) {
-		if read.local != 0 {
-			c.answer(requester{id: read.local}, protocol.ProposeNotLeader, state.Result{})
+		if read.requestID != 0 {
+			c.reply(requester{id: read.requestID}, protocol.ProposeNotLeader, state.Result{})
 		}
 	}
 	for _, read := range c.reads.TakeServable(ready, c.applied) {
 		c.serveRead(read)
 	}
-	if !c.reads.IsPending(c.beatContext) {
-		c.beatContext = 0
+	if !c.reads.IsPending(c.heartbeatContext) {
+		c.heartbeatContext = 0
 	}
-	c.confirmBeats()
+	c.confirmHeartbeats()
 }
 
 func (c *Core) serveRead(read pendingRead) {
-	if !c.leading() {
-		if read.local != 0 {
-			c.answer(requester{id: read.local}, protocol.ProposeNotLeader, state.Result{})
+	if !c.isLeader() {
+		if read.requestID != 0 {
+			c.reply(requester{id: read.requestID}, protocol.ProposeNotLeader, state.Result{})
 		}
 		return
 	}
-	for _, beat := range read.beats {
-		c.renew(beat)
+	for _, heartbeat := range read.heartbeats {
+		c.renewLease(heartbeat)
 	}
-	if read.local != 0 {
-		c.replies = append(c.replies, Reply{ID: read.local, Outcome: protocol.ProposeDone, View: c.view()})
+	if read.requestID != 0 {
+		c.replies = append(c.replies, Reply{ID: read.requestID, Outcome: protocol.ProposeDone, View: c.buildView()})
 	}
 }
 
-func (c *Core) view() *View {
+func (c *Core) buildView() *View {
 	view := &View{
 		Declared: c.machine.Declared, Term: c.raft.Term(), Commit: c.raft.Commit(),
 		History: append([]state.Change(nil), c.machine.History...),
@@ -104,37 +105,37 @@
 		match, _ := c.raft.Match(member.ID)
 		view.Replicas = append(view.Replicas, ReplicaView{Member: member, Leader: member.ID == c.raft.ID(), Match: match})
 	}
-	owned, bound := map[string]int{}, map[string]int{}
+	enginesByOwner, enginesByGroup := map[string]int{}, map[string]int{}
 	for _, engine := range c.machine.Catalog.Engines {
-		owned[engine.Owner]++
-		bound[engine.Group]++
+		enginesByOwner[engine.Owner]++
+		enginesByGroup[engine.Group]++
 		view.Engines = append(view.Engines, *engine)
 	}
 	sort.Slice(view.Engines, func(i, j int) bool { return view.Engines[i].ID < view.Engines[j].ID })
-	c.viewNodes(view, owned)
-	c.viewPools(view, bound)
+	c.addNodeViews(view, enginesByOwner)
+	c.addPoolViews(view, enginesByGroup)
 	return view
 }
 
-func (c *Core) viewNodes(view *View, owned map[string]int) {
+func (c *Core) addNodeViews(view *View, enginesByOwner map[string]int) {
 	for id, node := range c.machine.Catalog.Nodes {
-		nodeView := NodeView{Node: *node, Engines: owned[id]}
-		if held := c.leases[id]; held != nil {
-			nodeView.Revision, nodeView.Summary = held.revision, held.summary
+		nodeView := NodeView{Node: *node, Engines: enginesByOwner[id]}
+		if lease := c.leases[id]; lease != nil {
+			nodeView.Revision, nodeView.Summary = lease.revision, lease.summary
 		}
 		view.Nodes = append(view.Nodes, nodeView)
 	}
 	sort.Slice(view.Nodes, func(i, j int) bool { return view.Nodes[i].Node.ID < view.Nodes[j].Node.ID })
 }
 
-func (c *Core) viewPools(view *View, bound map[string]int) {
+func (c *Core) addPoolViews(view *View, enginesByGroup map[string]int) {
 	for name, pool := range c.machine.Catalog.Pools {
 		view.Pools = append(view.Pools, pool.Spec)
 		ledger := c.machine.Ledgers[name]
 		view.Ledgers = append(view.Ledgers, LedgerView{
 			Pool: name, Newest: c.machine.Catalog.Models[pool.Spec.Model].Newest(),
 			Pending: ledger.Pending(), Assigned: len(ledger.Samples) - ledger.Pending() - ledger.CompletedCount(),
-			Completed: ledger.CompletedCount(), Counters: ledger.Counters, Engines: bound[pool.Spec.EngineGroup],
+			Completed: ledger.CompletedCount(), Counters: ledger.Counters, Engines: enginesByGroup[pool.Spec.EngineGroup],
 		})
 	}
 	sort.Slice(view.Pools, func(i, j int) bool { return view.Pools[i].Name < view.Pools[j].Name })
--- a/control/reconcile.go
+++ b/control/reconcile.go
@@ -9,19 +9,19 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// ListEngines takes in the platform's list of engines, which may lag. Owner,
-// epoch and operators' orders in it are ignored.
+// ListEngines sets the platform's list of engines, which may be outdated. The fields
+// Owner, Epoch and Ordered are ignored.
 func (c *Core) ListEngines(clock Clock, engines []state.Engine) {
 	c.clock = clock
-	first := !c.listedKnown
-	c.listed, c.listedKnown = engines, true
-	if first && c.leading() {
+	isFirst := !c.listReceived
+	c.listedEngines, c.listReceived = engines, true
+	if isFirst && c.isLeader() {
 		c.reconcile()
 	}
 }
 
-// reconcile compares what is with what should be and proposes the difference.
-// It waits until its earlier proposals are applied, so none is made twice.
+// reconcile compares the actual with the desired state and proposes the differences.
+// It waits until its earlier proposals are applied, so that none is made twice.
 func (c *Core) reconcile() {
 	if c.applied < c.reconcileIndex || c.raft.Commit() < c.reconcileIndex {
 		return
@@ -32,24 +32,24 @@
 	c.replaceVoter()
 }
 
-// expireNodes takes out the nodes whose lease has ended. The holder's lease
-// ended earlier by the margin.
+// expireNodes removes the nodes whose lease has ended. The lease granted to the node
+// ended earlier; see leaseMarginPercent.
 func (c *Core) expireNodes() {
 	for _, id := range slices.Sorted(maps.Keys(c.leases)) {
-		held := c.leases[id]
-		if c.clock.Monotonic-held.renewedAt > c.config.LeaseMillis {
-			c.proposeOwn(state.Command{ExpireNode: &state.ExpireNode{ID: id, Epoch: held.epoch}})
+		lease := c.leases[id]
+		if c.clock.Monotonic-lease.renewedAt > c.config.LeaseMillis {
+			c.proposeInternal(state.Command{ExpireNode: &state.ExpireNode{ID: id, Epoch: lease.epoch}})
 		}
 	}
 }
 
 func (c *Core) syncEngines() {
-	if !c.listedKnown {
+	if !c.listReceived {
 		return
 	}
 	command := &state.SyncEngines{}
-	present := make(map[string]bool, len(c.listed))
-	for _, listed := range c.listed {
+	present := make(map[string]bool, len(c.listedEngines))
+	for _, listed := range c.listedEngines {
 		present[listed.ID] = true
 		if known := c.machine.Catalog.Engines[listed.ID]; known == nil || !sameListing(known, listed) {
 			command.Listed = append(command.Listed, listed)
@@ -61,80 +61,80 @@
 		}
 	}
 	if len(command.Listed)+len(command.Removed) > 0 {
-		c.proposeOwn(state.Command{SyncEngines: command})
+		c.proposeInternal(state.Command{SyncEngines: command})
 	}
 	if !c.listCompared {
 		c.listCompared, c.listIndex = true, c.reconcileIndex
 	}
 }
 
-// sameListing compares what the platform lists about an engine.
+// sameListing reports whether the fields set by the platform are equal.
 func sameListing(known *state.Engine, listed state.Engine) bool {
 	listed.Owner, listed.Epoch, listed.Revision, listed.Ordered = known.Owner, known.Epoch, known.Revision, known.Ordered
 	return reflect.DeepEqual(*known, listed)
 }
 
-// ownershipPlan counts engines by node while grants are planned.
+// ownershipPlan holds the planned grants and the resulting number of engines per node.
 type ownershipPlan struct {
-	nodes   map[string][]*state.Node
-	total   map[string]int
-	byGroup map[string]map[string]int
-	grants  []state.OwnerGrant
+	nodesByLocation map[string][]*state.Node
+	engines         map[string]int
+	enginesByGroup  map[string]map[string]int
+	grants          []state.OwnerGrant
 }
 
-// grantEngines gives each engine an owner among the nodes of its zone, or of
-// its region while the zone has none, and evens out their shares.
+// grantEngines assigns each engine to a node of its zone, or of its region if the zone
+// has no node, and balances the number of engines per node.
 func (c *Core) grantEngines() {
 	plan := c.newOwnershipPlan()
 	ids := slices.Sorted(maps.Keys(c.machine.Catalog.Engines))
-	var moved []*state.Engine
+	var unowned []*state.Engine
 	for _, id := range ids {
 		engine := c.machine.Catalog.Engines[id]
-		if plan.mayKeep(engine) {
-			plan.count(engine.Owner, engine.Group)
+		if plan.canKeepOwner(engine) {
+			plan.countEngine(engine.Owner, engine.Group)
 			continue
 		}
-		moved = append(moved, engine)
+		unowned = append(unowned, engine)
 	}
-	for _, engine := range moved {
+	for _, engine := range unowned {
 		plan.grant(engine)
 	}
-	if len(moved) == 0 {
-		c.evenOut(plan, ids)
+	if len(unowned) == 0 {
+		c.rebalance(plan, ids)
 	}
 	if len(plan.grants) > 0 {
-		c.proposeOwn(state.Command{SetOwners: &state.SetOwners{Grants: plan.grants}})
+		c.proposeInternal(state.Command{SetOwners: &state.SetOwners{Grants: plan.grants}})
 	}
 }
 
 func (c *Core) newOwnershipPlan() *ownershipPlan {
 	plan := &ownershipPlan{
-		nodes: map[string][]*state.Node{}, total: map[string]int{}, byGroup: map[string]map[string]int{},
+		nodesByLocation: map[string][]*state.Node{}, engines: map[string]int{}, enginesByGroup: map[string]map[string]int{},
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.machine.Catalog.Nodes)) {
 		node := c.machine.Catalog.Nodes[id]
 		if node.Draining || c.leases[id] == nil {
 			continue
 		}
-		plan.nodes[node.Zone] = append(plan.nodes[node.Zone], node)
-		plan.nodes[regionKey(node.Region)] = append(plan.nodes[regionKey(node.Region)], node)
-		plan.byGroup[id] = map[string]int{}
+		plan.nodesByLocation[node.Zone] = append(plan.nodesByLocation[node.Zone], node)
+		plan.nodesByLocation[regionKey(node.Region)] = append(plan.nodesByLocation[regionKey(node.Region)], node)
+		plan.enginesByGroup[id] = map[string]int{}
 	}
 	return plan
 }
 
-// regionKey keeps regions apart from zones of the same name.
+// regionKey returns a key for the region that differs from any zone's name.
 func regionKey(region string) string { return "\x00" + region }
 
 // candidates returns the nodes that may own the engine.
 func (p *ownershipPlan) candidates(engine *state.Engine) []*state.Node {
-	if nodes := p.nodes[engine.Zone]; len(nodes) > 0 {
+	if nodes := p.nodesByLocation[engine.Zone]; len(nodes) > 0 {
 		return nodes
 	}
-	return p.nodes[regionKey(engine.Region)]
+	return p.nodesByLocation[regionKey(engine.Region)]
 }
 
-func (p *ownershipPlan) mayKeep(engine *state.Engine) bool {
+func (p *ownershipPlan) canKeepOwner(engine *state.Engine) bool {
 	for _, node := range p.candidates(engine) {
 		if node.ID == engine.Owner {
 			return true
@@ -143,46 +143,46 @@
 	return false
 }
 
-func (p *ownershipPlan) count(node, group string) {
-	p.total[node]++
-	p.byGroup[node][group]++
+func (p *ownershipPlan) countEngine(node, group string) {
+	p.engines[node]++
+	p.enginesByGroup[node][group]++
 }
 
 func (p *ownershipPlan) grant(engine *state.Engine) {
 	var best *state.Node
 	for _, node := range p.candidates(engine) {
-		if best == nil || p.lighter(node.ID, best.ID, engine.Group) {
+		if best == nil || p.hasFewerEngines(node.ID, best.ID, engine.Group) {
 			best = node
 		}
 	}
 	if best == nil {
 		return
 	}
-	p.count(best.ID, engine.Group)
+	p.countEngine(best.ID, engine.Group)
 	p.grants = append(p.grants, state.OwnerGrant{
 		Engine: engine.ID, EngineEpoch: engine.Epoch, Node: best.ID, NodeEpoch: best.Epoch,
 	})
 }
 
-func (p *ownershipPlan) lighter(a, b, group string) bool {
-	if p.byGroup[a][group] != p.byGroup[b][group] {
-		return p.byGroup[a][group] < p.byGroup[b][group]
+func (p *ownershipPlan) hasFewerEngines(a, b, group string) bool {
+	if p.enginesByGroup[a][group] != p.enginesByGroup[b][group] {
+		return p.enginesByGroup[a][group] < p.enginesByGroup[b][group]
 	}
-	return p.total[a] < p.total[b]
+	return p.engines[a] < p.engines[b]
 }
 
-// evenOut moves engines from nodes that own at least two more of a group than
-// another candidate does.
-func (c *Core) evenOut(plan *ownershipPlan, ids []string) {
+// rebalance moves engines from nodes that own at least two more engines of a group
+// than another candidate.
+func (c *Core) rebalance(plan *ownershipPlan, ids []string) {
 	for _, id := range ids {
 		engine := c.machine.Catalog.Engines[id]
 		if engine.Owner == "" {
 			continue
 		}
 		for _, node := range plan.candidates(engine) {
-			if plan.byGroup[node.ID][engine.Group]+2 <= plan.byGroup[engine.Owner][engine.Group] {
-				plan.byGroup[engine.Owner][engine.Group]--
-				plan.total[engine.Owner]--
+			if plan.enginesByGroup[node.ID][engine.Group]+2 <= plan.enginesByGroup[engine.Owner][engine.Group] {
+				plan.enginesByGroup[engine.Owner][engine.Group]--
+				plan.engines[engine.Owner]--
 				plan.grant(engine)
 				break
 			}
@@ -190,37 +190,36 @@
 	}
 }
 
-// replaceVoter puts a caught-up learner in the place of a voter that has been
-// silent for long: first the learner gets its vote, then, in a later run, the
-// silent one is removed. One change is under way at a time.
+// replaceVoter replaces a voter that has been silent for ReplaceMillis by a caught-up
+// learner: it promotes the learner and, in a later run, removes the silent voter.
 func (c *Core) replaceVoter() {
 	if c.config.ReplaceMillis == 0 {
 		return
 	}
-	silent, learner := c.replacementCandidates()
+	silentVoter, replacement := c.replacementCandidates()
 	switch {
-	case silent == consensus.None:
-	case learner != consensus.None:
-		c.raft.ProposeMembership(consensus.MembershipChange{Action: consensus.PromoteLearner, ID: learner})
+	case silentVoter == consensus.None:
+	case replacement != consensus.None:
+		c.raft.ProposeMembership(consensus.MembershipChange{Action: consensus.PromoteLearner, ID: replacement})
 	case c.raft.Membership().Voters()%2 == 0:
-		c.raft.ProposeMembership(consensus.MembershipChange{Action: consensus.RemoveReplica, ID: silent})
+		c.raft.ProposeMembership(consensus.MembershipChange{Action: consensus.RemoveReplica, ID: silentVoter})
 	}
 }
 
-func (c *Core) replacementCandidates() (silent, learner consensus.ReplicaID) {
+func (c *Core) replacementCandidates() (silentVoter, replacement consensus.ReplicaID) {
 	evenVoters := c.raft.Membership().Voters()%2 == 0
 	for _, member := range c.raft.Membership().Members {
 		match, silentTicks := c.raft.Match(member.ID)
 		caughtUp := match+maxLearnerLag >= c.raft.Commit() && silentTicks <= c.config.Consensus.ElectionTicks
 		switch {
 		case member.Voter && int64(silentTicks)*c.config.TickMillis > c.config.ReplaceMillis:
-			silent = member.ID
+			silentVoter = member.ID
 		case !member.Voter && caughtUp && !evenVoters:
-			learner = member.ID
+			replacement = member.ID
 		}
 	}
-	return silent, learner
+	return silentVoter, replacement
 }
 
-// maxLearnerLag is how many entries a learner may trail to count as caught up.
+// maxLearnerLag is the maximum number of entries by which a caught-up learner may lag.
 const maxLearnerLag = 64
