--- a/bench/simulate/caller.go
+++ b/bench/simulate/caller.go
@@ -120,7 +120,7 @@
 	}
 	s.tokens = append(s.tokens, event.Tokens...)
 	if event.Outcome != 0 {
-		s.end(event.Outcome, event.Reason, event.RetryMillis)
+		s.end(event.Outcome, event.Reason, event.RetryAfterMillis)
 	}
 }
 
--- a/bench/simulate/cluster.go
+++ b/bench/simulate/cluster.go
@@ -298,7 +298,7 @@
 				continue
 			}
 			checked.core.Tick(checked.monotonic())
-			if checked.core.Leased() && checked.core.Revision() < revision {
+			if checked.core.HasLease() && checked.core.Revision() < revision {
 				cl.violate(oracle.InForce, "%s acts on revision %d; %d was accepted %d ms ago",
 					checked.name, checked.core.Revision(), revision, inForceMillis)
 			}
--- a/bench/simulate/node.go
+++ b/bench/simulate/node.go
@@ -89,7 +89,7 @@
 
 // observe records the revision that the node acts on when it changes.
 func (n *nodeProcess) observe() {
-	if revision := n.core.Revision(); revision != n.acting && n.core.Leased() {
+	if revision := n.core.Revision(); revision != n.acting && n.core.HasLease() {
 		n.acting = revision
 		n.world.record(oracle.Event{Acting: &oracle.Acting{Node: n.name, Incarnation: uint64(n.life), Revision: revision}})
 	}
--- a/bench/simulate/run.go
+++ b/bench/simulate/run.go
@@ -78,7 +78,7 @@
 	}
 	for _, checked := range cl.nodes {
 		if checked.alive {
-			text += fmt.Sprintf(" %s leased %t in flight %d;", checked.name, checked.core.Leased(), checked.core.InFlight())
+			text += fmt.Sprintf(" %s leased %t in flight %d;", checked.name, checked.core.HasLease(), checked.core.InFlight())
 		}
 	}
 	return text
--- a/bench/simulate/timing.go
+++ b/bench/simulate/timing.go
@@ -70,7 +70,7 @@
 func (cl *cluster) timeInForce(revision uint64) {
 	cl.timeUntil(InForceTime, func() bool {
 		for _, checked := range cl.nodes {
-			acts := checked.alive && !checked.frozen && checked.core.Leased()
+			acts := checked.alive && !checked.frozen && checked.core.HasLease()
 			if acts && checked.core.Revision() < revision {
 				return false
 			}
--- a/node/attempt.go
+++ b/node/attempt.go
@@ -5,35 +5,36 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// receiveChunk takes in a part of an attempt. Only the live attempt's next
-// chunk, stamped with a version and the attempt's epoch, counts.
+// receiveChunk handles a chunk of an attempt's output. Chunks of ended attempts and
+// duplicates are dropped; an invalid or out-of-order chunk fails the attempt.
 func (c *Core) receiveChunk(chunk *protocol.EngineChunk) {
 	request := c.attempts[chunk.Attempt]
-	if request == nil || chunk.Index < request.nextIndex {
+	if request == nil || chunk.Index < request.nextChunkIndex {
 		c.counters.DroppedChunks++
 		return
 	}
-	overlong := len(request.tokens)+len(chunk.Tokens) > int(request.maxTokens)
-	if chunk.Index != request.nextIndex || chunk.Version == 0 || chunk.Epoch != request.attemptEpoch || overlong {
+	exceedsLimit := len(request.tokens)+len(chunk.Tokens) > int(request.maxTokens)
+	if chunk.Index != request.nextChunkIndex || chunk.Version == 0 || chunk.Epoch != request.attemptEpoch || exceedsLimit {
 		c.cancelAttempt(request)
-		c.attemptFailed(request, protocol.ReasonProtocolFailure)
+		c.handleFailedAttempt(request, protocol.ReasonProtocolFailure)
 		return
 	}
-	request.nextIndex++
+	request.nextChunkIndex++
 	if target := c.engines[request.engine]; target != nil && !target.swapping {
-		target.notePace(c.now-request.heardAt, len(chunk.Tokens))
+		target.recordPace(c.now-request.lastActivityAt, len(chunk.Tokens))
 	}
-	request.heardAt = c.now
+	request.lastActivityAt = c.now
 	c.counters.TokensGenerated += uint64(len(chunk.Tokens))
-	c.extend(request, chunk.Version, chunk.Tokens)
+	c.appendTokens(request, chunk.Version, chunk.Tokens)
 	if chunk.Done {
 		c.endAttempt(request)
 		c.finish(request)
 	}
 }
 
-// extend adds tokens to what has been delivered and passes them on.
-func (c *Core) extend(request *request, version uint64, tokens []uint32) {
+// appendTokens appends tokens to the request's output and, for a live request,
+// delivers them.
+func (c *Core) appendTokens(request *request, version uint64, tokens []uint32) {
 	if len(tokens) == 0 {
 		return
 	}
@@ -46,7 +47,7 @@
 		request.segments = append(request.segments, state.Segment{Version: version, First: first, Count: uint32(len(tokens))})
 	}
 	if request.live != nil {
-		c.deliver(request, version, tokens)
+		c.deliverTokens(request, version, tokens)
 	}
 }
 
@@ -55,10 +56,10 @@
 		c.finishSample(request)
 		return
 	}
-	c.end(request, protocol.OutcomeAnswered, protocol.ReasonNone)
+	c.endRequest(request, protocol.OutcomeAnswered, protocol.ReasonNone)
 }
 
-// endAttempt frees the attempt's slot.
+// endAttempt removes the attempt and frees its slot.
 func (c *Core) endAttempt(request *request) {
 	delete(c.attempts, request.attempt)
 	if target := c.engines[request.engine]; target != nil {
@@ -67,7 +68,7 @@
 	request.attempt = ""
 }
 
-// cancelAttempt tells the engine to end the attempt and frees its slot.
+// cancelAttempt cancels the attempt at its engine and frees its slot.
 func (c *Core) cancelAttempt(request *request) {
 	if request.attempt == "" {
 		return
@@ -81,8 +82,8 @@
 	c.endAttempt(request)
 }
 
-// receiveRefused takes in that an attempt did not run: the request waits again
-// as if it had not been started.
+// receiveRefused handles an attempt that the engine refused to run: the request is
+// queued again and the attempt is not counted.
 func (c *Core) receiveRefused(id string, refused *protocol.EngineRefused) {
 	request := c.attempts[refused.Attempt]
 	if request == nil {
@@ -91,22 +92,22 @@
 	c.endAttempt(request)
 	request.attemptCount--
 	if target := c.engines[id]; target != nil {
-		c.noteRefusal(target, refused.Reason)
+		c.recordRefusal(target, refused.Reason)
 	}
 	c.enqueue(request)
 }
 
-func (c *Core) noteRefusal(target *engine, reason string) {
-	target.blockedUntil = c.now + blockedMillis
+func (c *Core) recordRefusal(target *engine, reason string) {
+	target.blockedUntil = c.now + refusalBackoffMillis
 	switch reason {
 	case protocol.RefusedFenced:
-		target.fenced = false
+		target.epochAccepted = false
 	case protocol.RefusedUnloaded:
 		target.version = 0
 	case protocol.RefusedLeaving:
-		target.leaving = true
+		target.draining = true
 	case protocol.RefusedConnect:
-		target.reportAt = c.now - reportMaxAgeMillis - 1
+		target.lastReportAt = c.now - maxReportAgeMillis - 1
 	}
 }
 
@@ -116,24 +117,24 @@
 		return
 	}
 	if target := c.engines[request.engine]; target != nil {
-		target.reportAt = c.now - reportMaxAgeMillis - 1
+		target.lastReportAt = c.now - maxReportAgeMillis - 1
 	}
 	c.endAttempt(request)
-	c.attemptFailed(request, protocol.ReasonEngineLost)
+	c.handleFailedAttempt(request, protocol.ReasonEngineLost)
 }
 
-// attemptFailed decides what follows a lost attempt. A request that must not
-// repeat may have run and ends as unknown; others go on from what was
-// delivered, live ones within the retry budget.
-func (c *Core) attemptFailed(request *request, reason protocol.Reason) {
+// handleFailedAttempt retries the request or ends it. A non-repeatable request may have
+// run and ends as unknown. Others continue after the delivered tokens; live ones only
+// within the retry budget.
+func (c *Core) handleFailedAttempt(request *request, reason protocol.Reason) {
 	switch {
 	case request.sample != nil:
 		c.counters.Retries++
 		c.requeueSample(request)
 	case request.live.request.NotRepeatable:
-		c.end(request, protocol.OutcomeUnknown, reason)
-	case c.draining || !c.budget(request.pool).TakeRetry():
-		c.end(request, protocol.OutcomeUnknown, protocol.ReasonRetryBudget)
+		c.endRequest(request, protocol.OutcomeUnknown, reason)
+	case c.draining || !c.retryBudget(request.pool).TakeRetry():
+		c.endRequest(request, protocol.OutcomeUnknown, protocol.ReasonRetryBudget)
 	default:
 		c.counters.Retries++
 		c.enqueue(request)
--- a/node/claim.go
+++ b/node/claim.go
@@ -9,27 +9,27 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// recordedAnswer is what a claim keeps of an answer.
+// recordedAnswer is the answer that is stored with a claim.
 type recordedAnswer struct {
 	Tokens   []uint32        `cbor:"1,keyasint"`
 	Segments []state.Segment `cbor:"2,keyasint"`
 }
 
-// claim asks control for the right to run a request that must not repeat. No
-// byte goes to an engine before it is granted.
-func (c *Core) claim(request *request) {
+// requestClaim asks control for the right to run a non-repeatable request. Nothing is
+// sent to an engine before the claim is granted.
+func (c *Core) requestClaim(request *request) {
 	live := request.live
 	request.phase = phaseClaiming
-	// Until the answer is here the claim may be held.
+	// The claim may be granted before the reply arrives.
 	live.claim = &state.Claim{
 		Key: live.request.Key, Digest: contentDigest(live.request),
 		IssuedAt: live.request.IssuedAt, Window: live.request.WindowMillis, Attempt: live.request.Attempt,
 		Node: c.config.ID, Epoch: c.epoch, Nonce: request.id,
 	}
-	c.propose(state.Command{Claim: live.claim}, func(result state.Result) { c.claimDecided(request, result.Claim) })
+	c.propose(state.Command{Claim: live.claim}, func(result state.Result) { c.receiveClaimResult(request, result.Claim) })
 }
 
-// contentDigest is a hash of what the request asks for.
+// contentDigest returns a hash of the request's pool, prompt and token limit.
 func contentDigest(live protocol.LiveRequest) []byte {
 	hash := sha256.New()
 	for _, part := range []string{live.Pool, live.Prompt} {
@@ -40,39 +40,39 @@
 	return hash.Sum(nil)
 }
 
-func (c *Core) claimDecided(request *request, result *state.ClaimResult) {
+func (c *Core) receiveClaimResult(request *request, result *state.ClaimResult) {
 	if c.requests[request.id] == nil || request.phase != phaseClaiming {
 		return
 	}
 	if result.Outcome == state.ClaimGranted {
-		request.live.granted = true
+		request.live.claimGranted = true
 		c.enqueueLive(request)
 		return
 	}
 	request.live.claim = nil
 	switch {
 	case result.Outcome == state.ClaimExpired:
-		c.end(request, c.failureOutcome(request), protocol.ReasonWindowExpired)
+		c.endRequest(request, c.failureOutcome(request), protocol.ReasonWindowExpired)
 	case result.Outcome == state.ClaimMismatch:
-		c.end(request, protocol.OutcomeNotRun, protocol.ReasonIdentityReused)
+		c.endRequest(request, protocol.OutcomeNotRun, protocol.ReasonIdentityReused)
 	case result.Outcome == state.ClaimFenced:
-		c.end(request, c.failureOutcome(request), protocol.ReasonNoLease)
+		c.endRequest(request, c.failureOutcome(request), protocol.ReasonNoLease)
 	case result.State == state.ClaimNotRun:
-		c.end(request, protocol.OutcomeNotRun, protocol.ReasonSuperseded)
+		c.endRequest(request, protocol.OutcomeNotRun, protocol.ReasonSuperseded)
 	case result.State == state.ClaimAnswered:
 		c.replayAnswer(request, result.Answer)
 	case result.State == state.ClaimRunning:
-		c.end(request, protocol.OutcomeUnknown, protocol.ReasonDuplicate)
+		c.endRequest(request, protocol.OutcomeUnknown, protocol.ReasonDuplicate)
 	default:
-		c.end(request, protocol.OutcomeUnknown, protocol.ReasonOutcomeLost)
+		c.endRequest(request, protocol.OutcomeUnknown, protocol.ReasonOutcomeLost)
 	}
 }
 
-// replayAnswer gives a resend the answer that the first arrival recorded.
+// replayAnswer answers a resend with the recorded answer.
 func (c *Core) replayAnswer(request *request, data []byte) {
 	var answer recordedAnswer
 	if err := cbor.Unmarshal(data, &answer); err != nil {
-		c.end(request, protocol.OutcomeUnknown, protocol.ReasonOutcomeLost)
+		c.endRequest(request, protocol.OutcomeUnknown, protocol.ReasonOutcomeLost)
 		return
 	}
 	for _, segment := range answer.Segments {
@@ -81,10 +81,10 @@
 			Request: request.id, Version: segment.Version, Tokens: tokens,
 		})
 	}
-	c.end(request, protocol.OutcomeAnswered, protocol.ReasonNone)
+	c.endRequest(request, protocol.OutcomeAnswered, protocol.ReasonNone)
 }
 
-// resolveClaim records how a claimed request ended.
+// resolveClaim records the outcome of a claimed request.
 func (c *Core) resolveClaim(request *request, outcome protocol.Outcome) {
 	if request.live == nil || request.live.claim == nil {
 		return
@@ -95,7 +95,7 @@
 	if outcome == protocol.OutcomeAnswered {
 		data, err := cbor.Marshal(recordedAnswer{Tokens: request.tokens, Segments: request.segments})
 		if err != nil {
-			panic("node: an answer must encode: " + err.Error())
+			panic("node: encode answer: " + err.Error())
 		}
 		command.Answer = data
 	}
--- a/node/core.go
+++ b/node/core.go
@@ -1,7 +1,7 @@
-// Package node is the core of a node: it holds a lease from control, queues
-// requests, dispatches them to the engines it owns, forwards to other owners,
-// rolls out weights and reports results. It is a deterministic state machine;
-// package server runs it in a process, package simulate in virtual time.
+// Package node implements the core of a node. A node holds a lease from control,
+// queues requests, dispatches them to the engines that it owns or forwards them to
+// peers, rolls out weights and reports results. The core does no I/O and reads no
+// clock; package server runs it in a process, package simulate in virtual time.
 package node
 
 import (
@@ -13,41 +13,42 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// Config holds what a Core needs to start.
+// Config configures a Core.
 type Config struct {
 	ID      string
 	Zone    string
 	Region  string
 	Address string
-	// Incarnation differs between any two starts of the node.
+	// Incarnation is unique to each start of the node.
 	Incarnation uint64
 	// Controls are the addresses of the control replicas.
 	Controls []string
-	// Seed determines the node's random choices.
+	// Seed seeds the random choice of peers.
 	Seed uint64
-	// Scoring says that results are scored before they are recorded.
+	// Scoring is set if results are scored before they are recorded.
 	Scoring bool
 }
 
-// The node's own time limits, in milliseconds.
+// Intervals and timeouts in milliseconds.
 const (
-	heartbeatMillis = 700
-	probeMillis     = 1000
-	// reportMaxAgeMillis is how old an engine's newest evidence may be for it
-	// to get new work.
-	reportMaxAgeMillis = 3000
-	// chunkTimeoutMillis is how long a stream may be silent.
+	heartbeatIntervalMillis = 700
+	probeIntervalMillis     = 1000
+	// maxReportAgeMillis is the maximum age of an engine's last report for the
+	// engine to receive new work.
+	maxReportAgeMillis = 3000
+	// chunkTimeoutMillis is the maximum time between two chunks of an attempt.
 	chunkTimeoutMillis = 5000
-	// proposeRetryMillis is the time after which a proposal is sent again.
-	proposeRetryMillis = 500
-	// orderTimeoutMillis is how long an order may stay without an answer.
+	// proposalRetryMillis is the time after which a proposal is resent.
+	proposalRetryMillis = 500
+	// orderTimeoutMillis is the maximum time to wait for an order's result.
 	orderTimeoutMillis = 60000
-	// blockedMillis keeps work from an engine that has just refused some.
-	blockedMillis = 200
-	// forwardKeepaliveMillis is the time between signs of life to the node
-	// that forwarded a request; forwardTimeoutMillis ends its wait for one.
-	forwardKeepaliveMillis = 1000
-	forwardTimeoutMillis   = 3500
+	// refusalBackoffMillis is how long an engine that refused an attempt gets no work.
+	refusalBackoffMillis = 200
+	// forwardKeepaliveIntervalMillis is the interval of keepalives to the node that
+	// forwarded a request. After forwardTimeoutMillis without one, that node gives
+	// up on the forwarded request.
+	forwardKeepaliveIntervalMillis = 1000
+	forwardTimeoutMillis           = 3500
 )
 
 // EngineOutgoing is a message for an engine.
@@ -57,25 +58,25 @@
 	Message protocol.EngineMessage
 }
 
-// Outgoing is a message for another process of dillchute.
+// Outgoing is a message for a control replica or another node.
 type Outgoing struct {
 	Address string
 	Message protocol.Message
 }
 
-// CallerEvent is a part of an answer, or its end, for a local caller.
+// CallerEvent is a part of an answer, or its outcome, for a local caller.
 type CallerEvent struct {
 	Request uint64
 	Tokens  []uint32
 	Version uint64
-	// Outcome is not 0 in the last event.
+	// Outcome is set only in the last event.
 	Outcome protocol.Outcome
 	Reason  protocol.Reason
-	// RetryMillis tells when to come back, with an outcome other than answered.
-	RetryMillis int64
+	// RetryAfterMillis is the suggested delay before a retry, unless answered.
+	RetryAfterMillis int64
 }
 
-// ScoreRequest asks a scoring service for the reward of a result.
+// ScoreRequest requests the reward of a result from a scoring service.
 type ScoreRequest struct {
 	Request uint64
 	Pool    string
@@ -83,13 +84,13 @@
 	Tokens  []uint32
 }
 
-// Counters are the node's totals since its start.
+// Counters holds the node's totals since its start.
 type Counters struct {
-	Answered, NotRun, Unknown       uint64
-	SamplesCompleted, SamplesFailed uint64
-	TokensGenerated, TokensWasted   uint64
-	Retries, DroppedChunks          uint64
-	Swaps, SwapFailures             uint64
+	Answered, NotRun, Unknown         uint64
+	SamplesCompleted, SamplesReturned uint64
+	TokensGenerated, TokensWasted     uint64
+	Retries, DroppedChunks            uint64
+	Swaps, SwapFailures               uint64
 }
 
 // Core is one node. Its methods must not be called concurrently.
@@ -98,83 +99,83 @@
 	random *rand.Rand
 	now    int64
 
-	// lease
-	leader        int
-	leaderAddress string
-	beatSequence  uint64
-	beatAt        int64
-	beatSentAt    map[uint64]int64
-	leaseEnd      int64
-	epoch         uint64
-	revision      uint64
-	catalog       state.Catalog
-	peers         map[string]protocol.Summary
-	pendingHints  map[string]int
-	draining      bool
-	drainingSince int64
-	// publications tell when versions of the models were seen.
+	// State of the lease and of what control distributes with it.
+	controlIndex      int
+	leaderAddress     string
+	heartbeatSequence uint64
+	lastHeartbeatAt   int64
+	heartbeatSentAt   map[uint64]int64
+	leaseEnd          int64
+	epoch             uint64
+	revision          uint64
+	catalog           state.Catalog
+	peers             map[string]protocol.Summary
+	pendingSamples    map[string]int
+	draining          bool
+	drainingSince     int64
+	// publications records, by model, when new versions were seen.
 	publications map[string]publication
 
 	engines  map[string]*engine
 	groups   map[string]*group
 	requests map[uint64]*request
 	attempts map[string]*request
-	counter  uint64
-
-	proposals map[uint64]*proposal
-	assigns   map[string]*assign
-	budgets   map[string]*dispatch.RetryBudget
-	forwards  map[string]*dispatch.DuplicateFilter
-	// inbound are requests that other nodes have forwarded here, outbound by
-	// the number of their forwarding those forwarded from here.
+	lastID   uint64
+
+	proposals      map[uint64]*proposal
+	assignRequests map[string]*assignRequest
+	retryBudgets   map[string]*dispatch.RetryBudget
+	forwardFilters map[string]*dispatch.DuplicateFilter
+	// inbound holds requests forwarded by other nodes; outbound holds requests
+	// forwarded to other nodes, by forward ID.
 	inbound  map[inboundKey]*request
 	outbound map[uint64]*request
 
 	completions         []state.Completion
 	completionsInFlight bool
 
-	outbox       []Outgoing
-	engineOutbox []EngineOutgoing
-	callerEvents []CallerEvent
-	scores       []ScoreRequest
-	counters     Counters
+	outbox        []Outgoing
+	engineOutbox  []EngineOutgoing
+	callerEvents  []CallerEvent
+	scoreRequests []ScoreRequest
+	counters      Counters
 }
 
-// New returns a node that knows nothing yet: it starts no work before a leader
-// has granted it a lease and told it the newest catalog.
+// New returns a node without a lease. It starts no work until a leader has granted it
+// a lease and sent the catalog.
 func New(config Config) *Core {
 	return &Core{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, config.Incarnation)),
-		publications: map[string]publication{},
-		beatAt:       -heartbeatMillis, beatSentAt: map[uint64]int64{}, catalog: state.NewCatalog(),
+		publications:    map[string]publication{},
+		lastHeartbeatAt: -heartbeatIntervalMillis, heartbeatSentAt: map[uint64]int64{}, catalog: state.NewCatalog(),
 		engines: map[string]*engine{}, groups: map[string]*group{},
 		requests: map[uint64]*request{}, attempts: map[string]*request{},
-		proposals: map[uint64]*proposal{}, assigns: map[string]*assign{},
-		budgets: map[string]*dispatch.RetryBudget{}, forwards: map[string]*dispatch.DuplicateFilter{},
+		proposals: map[uint64]*proposal{}, assignRequests: map[string]*assignRequest{},
+		retryBudgets: map[string]*dispatch.RetryBudget{}, forwardFilters: map[string]*dispatch.DuplicateFilter{},
 		inbound: map[inboundKey]*request{}, outbound: map[uint64]*request{},
-		// Proposal and forwarding numbers of different incarnations differ.
-		counter: config.Incarnation << incarnationShift,
+		// Makes IDs unique across incarnations.
+		lastID: config.Incarnation << incarnationShift,
 	}
 }
 
-// incarnationShift leaves the lower bits of a number to counting.
+// incarnationShift is the number of low bits of an ID that are used as a counter.
 const incarnationShift = 32
 
 // Counters returns the node's totals.
 func (c *Core) Counters() Counters { return c.counters }
 
-// Leased tells whether the node may start new work.
-func (c *Core) Leased() bool { return c.epoch != 0 && c.now < c.leaseEnd }
+// HasLease reports whether the node holds a valid lease.
+func (c *Core) HasLease() bool { return c.epoch != 0 && c.now < c.leaseEnd }
 
-// Revision returns the catalog revision that the node acts on.
+// Revision returns the revision of the node's catalog.
 func (c *Core) Revision() uint64 { return c.revision }
 
-// InFlight returns the number of requests that the node has not ended.
+// InFlight returns the number of unfinished requests, completions and proposals.
 func (c *Core) InFlight() int { return len(c.requests) + len(c.completions) + len(c.proposals) }
 
 func (c *Core) nextID() uint64 {
-	c.counter++
-	return c.counter
+	c.lastID++
+	return c.lastID
 }
 
 // Tick runs the node's periodic work; now is monotonic, in milliseconds.
@@ -186,12 +187,12 @@
 	c.expireRequests()
 	c.returnStrandedSamples()
 	c.planSwaps()
-	c.pump()
+	c.dispatchQueued()
 	c.requestSamples()
 	c.sendCompletions()
 }
 
-// Receive takes in a message of another process of dillchute.
+// Receive handles a message from a control replica or another node.
 func (c *Core) Receive(now int64, message protocol.Message) {
 	c.now = now
 	switch {
@@ -208,30 +209,30 @@
 	case message.ForwardCancel != nil:
 		c.receiveForwardCancel(message.From, message.ForwardCancel)
 	}
-	c.pump()
+	c.dispatchQueued()
 }
 
-// Drain makes the node take no new work, give its engines away and end what
-// runs. The node may stop when Drained says so.
+// Drain makes the node refuse new work, give up its engines and finish running
+// requests. The process may exit once Drained returns true.
 func (c *Core) Drain(now int64) {
 	c.now = now
 	c.draining, c.drainingSince = true, now
-	c.beatAt = now - heartbeatMillis
+	c.lastHeartbeatAt = now - heartbeatIntervalMillis
 	c.returnQueuedSamples()
 	c.refuseQueuedLive()
 }
 
-// drainLingerMillis is how long a draining node goes on refusing: in that time
-// every peer under a lease has learned not to forward to it. A forwarded
-// request that finds nobody would end as unknown.
+// drainLingerMillis is the minimum time that a draining node keeps refusing requests.
+// It is long enough for every peer with a lease to learn of the drain; requests
+// forwarded to a stopped node would end as unknown.
 const drainLingerMillis = 4000
 
-// Drained tells whether a draining node has nothing left to do.
+// Drained reports whether the node has finished draining.
 func (c *Core) Drained() bool {
 	return c.draining && c.InFlight() == 0 && c.now-c.drainingSince >= drainLingerMillis
 }
 
-// Leave tells the leader that the node has ended all its work.
+// Leave notifies the leader that the node has finished all work and is stopping.
 func (c *Core) Leave(now int64) {
 	c.now = now
 	c.sendHeartbeat(true)
@@ -248,31 +249,31 @@
 	})
 }
 
-// TakeMessages returns the messages to other processes and forgets them.
+// TakeMessages returns and clears the messages to control replicas and nodes.
 func (c *Core) TakeMessages() []Outgoing {
 	messages := c.outbox
 	c.outbox = nil
 	return messages
 }
 
-// TakeEngineMessages returns the messages to engines and forgets them.
+// TakeEngineMessages returns and clears the messages to engines.
 func (c *Core) TakeEngineMessages() []EngineOutgoing {
 	messages := c.engineOutbox
 	c.engineOutbox = nil
 	return messages
 }
 
-// TakeCallerEvents returns the events for local callers and forgets them.
+// TakeCallerEvents returns and clears the events for local callers.
 func (c *Core) TakeCallerEvents() []CallerEvent {
 	events := c.callerEvents
 	c.callerEvents = nil
 	return events
 }
 
-// TakeScoreRequests returns the results to be scored and forgets them.
+// TakeScoreRequests returns and clears the results to be scored.
 func (c *Core) TakeScoreRequests() []ScoreRequest {
-	scores := c.scores
-	c.scores = nil
+	scores := c.scoreRequests
+	c.scoreRequests = nil
 	return scores
 }
 
--- a/node/core_test.go
+++ b/node/core_test.go
@@ -16,19 +16,19 @@
 	testTick    = 50
 )
 
-// testNode runs one core by hand: the test plays control, peers and engines.
+// testNode runs a Core and simulates control, one peer and the engines.
 type testNode struct {
-	t       *testing.T
-	core    *Core
-	now     int64
-	sent    []protocol.Message
-	events  []CallerEvent
-	machine *state.Machine
-	silent  bool
+	t             *testing.T
+	core          *Core
+	now           int64
+	sent          []protocol.Message
+	events        []CallerEvent
+	machine       *state.Machine
+	controlSilent bool
 }
 
-// newTestNode returns a node under a lease, with a pool, an engine "e1" that it
-// owns and a peer.
+// newTestNode returns a node with a lease, a pool, an engine "e1" that it owns and a
+// peer.
 func newTestNode(t *testing.T) *testNode {
 	n := &testNode{t: t, machine: state.NewMachine(), core: New(Config{
 		ID: "n1", Zone: "z", Region: "r", Address: "own", Incarnation: 1, Controls: []string{testControl}, Seed: 1,
@@ -41,22 +41,22 @@
 	}}}})
 	n.apply(state.Command{PublishVersion: &state.PublishVersion{Model: "m", Version: 1}})
 	n.apply(state.Command{SyncEngines: &state.SyncEngines{Listed: []state.Engine{{ID: "e1", Region: "r", Group: "g", Address: "engine", Slots: 16}}}})
-	n.own("e1")
-	n.run(2000)
-	require.True(t, n.core.Leased())
+	n.grantEngine("e1")
+	n.advance(2000)
+	require.True(t, n.core.HasLease())
 	return n
 }
 
 func (n *testNode) apply(command state.Command) state.Result { return n.machine.Apply(command) }
 
-func (n *testNode) own(engine string) {
+func (n *testNode) grantEngine(engine string) {
 	n.apply(state.Command{SetOwners: &state.SetOwners{Grants: []state.OwnerGrant{{
 		Engine: engine, EngineEpoch: n.machine.Catalog.Engines[engine].Epoch, Node: "n1", NodeEpoch: n.machine.Catalog.Nodes["n1"].Epoch,
 	}}}})
 }
 
-// run lets time pass while control, unless silent, and the engine answer.
-func (n *testNode) run(millis int64) {
+// advance advances the time; the engine and, unless controlSilent is set, control reply.
+func (n *testNode) advance(millis int64) {
 	for end := n.now + millis; n.now < end; {
 		n.now += testTick
 		n.core.Tick(n.now)
@@ -66,19 +66,19 @@
 
 func (n *testNode) exchange() {
 	for _, outgoing := range n.core.TakeEngineMessages() {
-		n.answerEngine(outgoing)
+		n.replyAsEngine(outgoing)
 	}
 	for _, outgoing := range n.core.TakeMessages() {
 		n.sent = append(n.sent, outgoing.Message)
-		if n.silent || outgoing.Address != testControl {
+		if n.controlSilent || outgoing.Address != testControl {
 			continue
 		}
-		n.answerControl(outgoing.Message)
+		n.replyAsControl(outgoing.Message)
 	}
 	n.events = append(n.events, n.core.TakeCallerEvents()...)
 }
 
-func (n *testNode) answerEngine(outgoing EngineOutgoing) {
+func (n *testNode) replyAsEngine(outgoing EngineOutgoing) {
 	switch message := outgoing.Message; {
 	case message.Order != nil:
 		n.core.ReceiveEngine(n.now, outgoing.Engine, protocol.EngineMessage{OrderResult: &protocol.EngineOrderResult{
@@ -92,9 +92,9 @@
 	}
 }
 
-func (n *testNode) answerControl(message protocol.Message) {
-	if beat := message.Heartbeat; beat != nil {
-		n.core.Receive(n.now, protocol.Message{From: testControl, HeartbeatReply: n.reply(beat, n.machine.DeltaSince(beat.Revision, "r"))})
+func (n *testNode) replyAsControl(message protocol.Message) {
+	if heartbeat := message.Heartbeat; heartbeat != nil {
+		n.core.Receive(n.now, protocol.Message{From: testControl, HeartbeatReply: n.heartbeatReply(heartbeat, n.machine.DeltaSince(heartbeat.Revision, "r"))})
 	}
 	if message.Propose != nil {
 		n.core.Receive(n.now, protocol.Message{From: testControl, ProposeReply: &protocol.ProposeReply{
@@ -103,18 +103,18 @@
 	}
 }
 
-func (n *testNode) reply(beat *protocol.Heartbeat, delta state.Delta) *protocol.HeartbeatReply {
+func (n *testNode) heartbeatReply(heartbeat *protocol.Heartbeat, delta state.Delta) *protocol.HeartbeatReply {
 	pending := map[string]int{}
 	if ledger := n.machine.Ledgers[testPool]; ledger != nil && ledger.Pending() > 0 {
 		pending[testPool] = ledger.Pending()
 	}
 	return &protocol.HeartbeatReply{
-		Sequence: beat.Sequence, Epoch: n.machine.Catalog.Nodes["n1"].Epoch, LeaseMillis: 3000, Delta: delta, Pending: pending,
+		Sequence: heartbeat.Sequence, Epoch: n.machine.Catalog.Nodes["n1"].Epoch, LeaseMillis: 3000, Delta: delta, Pending: pending,
 		Peers: map[string]protocol.Summary{"n2": {Groups: []protocol.PoolSummary{{Group: "g", Free: 8}}}},
 	}
 }
 
-// lastForward returns the newest request that the node has forwarded.
+// lastForward returns the last request that the node has forwarded, or nil.
 func (n *testNode) lastForward() *protocol.Forward {
 	for position := len(n.sent) - 1; position >= 0; position-- {
 		if n.sent[position].Forward != nil {
@@ -146,17 +146,17 @@
 	return 0, protocol.ReasonNone, tokens
 }
 
-func (n *testNode) dropEngine() {
+func (n *testNode) loseEngine() {
 	n.apply(state.Command{SyncEngines: &state.SyncEngines{Removed: []string{"e1"}}})
 	n.apply(state.Command{SyncEngines: &state.SyncEngines{Listed: []state.Engine{{ID: "e2", Region: "r", Group: "g", Slots: 8}}}})
-	n.run(1000)
+	n.advance(1000)
 }
 
-// TestForwardedPartsMayOvertakeEachOther: later parts of an answer wait for
-// earlier ones, and copies do no harm.
-func TestForwardedPartsMayOvertakeEachOther(t *testing.T) {
+// TestForwardChunksReordered checks that reordered and duplicate chunks of a forwarded
+// request are delivered in order and once.
+func TestForwardChunksReordered(t *testing.T) {
 	n := newTestNode(t)
-	n.dropEngine()
+	n.loseEngine()
 	id := n.submit(protocol.LiveRequest{})
 	forward := n.lastForward()
 	require.NotNil(t, forward)
@@ -174,10 +174,11 @@
 	require.Equal(t, []uint32{10, 20, 30}, tokens)
 }
 
-// TestPartsOfAnotherPeerAreIgnored: only the peer that has the request answers it.
-func TestPartsOfAnotherPeerAreIgnored(t *testing.T) {
+// TestForwardChunksFromOtherPeerIgnored checks that only the peer to which a request was
+// forwarded can answer it.
+func TestForwardChunksFromOtherPeerIgnored(t *testing.T) {
 	n := newTestNode(t)
-	n.dropEngine()
+	n.loseEngine()
 	id := n.submit(protocol.LiveRequest{})
 	n.core.Receive(n.now, protocol.Message{From: "elsewhere", ForwardChunk: &protocol.ForwardChunk{
 		ID: n.lastForward().ID, Version: 1, Tokens: []uint32{66}, Outcome: protocol.OutcomeAnswered,
@@ -188,13 +189,13 @@
 	require.Empty(t, tokens)
 }
 
-// TestRefusedResendSaysWhatIsKnown: a refusal proves that a request which must
-// not repeat ran nowhere only if all earlier sends were refused too.
-func TestRefusedResendSaysWhatIsKnown(t *testing.T) {
+// TestRefusedResendOutcome checks that a refused resend of a non-repeatable request is
+// reported as not run only if all earlier attempts were refused too.
+func TestRefusedResendOutcome(t *testing.T) {
 	for _, unresolved := range []bool{false, true} {
 		n := newTestNode(t)
-		n.silent = true
-		n.run(4000)
+		n.controlSilent = true
+		n.advance(4000)
 		id := n.submit(protocol.LiveRequest{Key: "k", NotRepeatable: true, IssuedAt: 1, WindowMillis: 60_000, Attempt: 2, Unresolved: unresolved})
 		outcome, reason, _ := n.outcome(id)
 		require.Equal(t, protocol.ReasonNoLease, reason)
@@ -206,72 +207,75 @@
 	}
 }
 
-// TestOverlappingDeltaIsTakenIn: a delta from before the known revision comes
-// with a lease, so what is new in it must be taken in.
-func TestOverlappingDeltaIsTakenIn(t *testing.T) {
+// TestOverlappingDeltaApplied checks that a delta that starts before the current revision
+// is applied, because its reply also renews the lease.
+func TestOverlappingDeltaApplied(t *testing.T) {
 	n := newTestNode(t)
-	early := n.core.Revision()
+	earlier := n.core.Revision()
 	n.apply(state.Command{PublishVersion: &state.PublishVersion{Model: "m", Version: 2}})
-	n.run(1500)
-	n.silent = true
-	n.run(heartbeatMillis + testTick)
+	n.advance(1500)
+	n.controlSilent = true
+	n.advance(heartbeatIntervalMillis + testTick)
 	n.apply(state.Command{PublishVersion: &state.PublishVersion{Model: "m", Version: 3}})
-	n.core.Receive(n.now, protocol.Message{From: testControl, HeartbeatReply: n.reply(
-		&protocol.Heartbeat{Sequence: n.core.beatSequence}, n.machine.DeltaSince(early, "r"))})
+	n.core.Receive(n.now, protocol.Message{From: testControl, HeartbeatReply: n.heartbeatReply(
+		&protocol.Heartbeat{Sequence: n.core.heartbeatSequence}, n.machine.DeltaSince(earlier, "r"))})
 	require.Equal(t, n.machine.Revision, n.core.Revision())
-	known := n.core.Revision()
-	n.core.mergeDelta(state.Delta{From: early, To: early + 1, Changed: state.NewCatalog()})
-	require.Equal(t, known, n.core.Revision(), "never back")
+	current := n.core.Revision()
+	n.core.mergeDelta(state.Delta{From: earlier, To: earlier + 1, Changed: state.NewCatalog()})
+	require.Equal(t, current, n.core.Revision(), "an older delta changed the revision")
 }
 
-// TestDrainedNodeLingers: peers learn of the drain before the node is gone.
-func TestDrainedNodeLingers(t *testing.T) {
+// TestDrainingNodeLingers checks that a draining node refuses requests until its peers
+// know of the drain.
+func TestDrainingNodeLingers(t *testing.T) {
 	n := newTestNode(t)
 	n.core.Drain(n.now)
-	n.run(drainLingerMillis - 2*testTick)
+	n.advance(drainLingerMillis - 2*testTick)
 	require.False(t, n.core.Drained())
 	id := n.submit(protocol.LiveRequest{})
 	outcome, reason, _ := n.outcome(id)
 	require.Equal(t, protocol.OutcomeNotRun, outcome)
 	require.Equal(t, protocol.ReasonDraining, reason)
-	n.run(200)
+	n.advance(200)
 	require.True(t, n.core.Drained())
 }
 
-// TestStrandedSamplesGoBack: samples that wait at a node whose engines have
-// gone are given back, to be run elsewhere.
-func TestStrandedSamplesGoBack(t *testing.T) {
+// TestStrandedSamplesReturned checks that a node returns queued samples to control after
+// it has lost its engines.
+func TestStrandedSamplesReturned(t *testing.T) {
 	n := newTestNode(t)
 	var prompts []state.Prompt
 	for index := range uint32(4) {
 		prompts = append(prompts, state.Prompt{Index: index, MaxTokens: 10})
 	}
 	n.apply(state.Command{SubmitStep: &state.SubmitStep{Pool: testPool, Step: 1, Prompts: prompts}})
-	n.run(1500)
-	require.Zero(t, n.machine.Ledgers[testPool].Pending(), "the node has taken the samples")
-	n.dropEngine()
-	for _, id := range n.core.sortedRequests() {
+	n.advance(1500)
+	require.Zero(t, n.machine.Ledgers[testPool].Pending(), "all samples are assigned")
+	n.loseEngine()
+	for _, id := range n.core.sortedRequestIDs() {
 		n.core.receiveLost(n.core.requests[id].attempt)
 	}
-	n.run(2 * strandedMillis)
+	n.advance(2 * strandedTimeoutMillis)
 	require.Equal(t, 4, n.machine.Ledgers[testPool].Pending())
 	require.Zero(t, n.core.InFlight())
 }
 
-// TestLostLeaseStopsNewWork: without a lease nothing governed starts.
+// TestLostLeaseStopsNewWork checks that a node without a lease refuses requests of a pool
+// with RefuseDisconnected.
 func TestLostLeaseStopsNewWork(t *testing.T) {
 	n := newTestNode(t)
-	n.silent = true
-	n.run(3500)
-	require.False(t, n.core.Leased())
+	n.controlSilent = true
+	n.advance(3500)
+	require.False(t, n.core.HasLease())
 	id := n.submit(protocol.LiveRequest{})
 	outcome, reason, _ := n.outcome(id)
 	require.Equal(t, protocol.OutcomeNotRun, outcome)
 	require.Equal(t, protocol.ReasonNoLease, reason)
 }
 
-// TestFullQueueRefusesAtOnce: the refusal comes with when to come back.
-func TestFullQueueRefusesAtOnce(t *testing.T) {
+// TestFullQueueRefusesImmediately checks that a full queue refuses requests with a retry
+// delay.
+func TestFullQueueRefusesImmediately(t *testing.T) {
 	n := newTestNode(t)
 	var last uint64
 	for range 16 + 8 + 4 + 1 {
@@ -280,14 +284,14 @@
 	outcome, reason, _ := n.outcome(last)
 	require.Equal(t, protocol.OutcomeNotRun, outcome)
 	require.Equal(t, protocol.ReasonQueueFull, reason)
-	require.Positive(t, n.events[len(n.events)-1].RetryMillis)
+	require.Positive(t, n.events[len(n.events)-1].RetryAfterMillis)
 }
 
-// TestNotifyBringsTheNewsAtOnce: a notification of the leader, and of nobody
-// else, makes the node ask for what has changed.
-func TestNotifyBringsTheNewsAtOnce(t *testing.T) {
+// TestNotifyTriggersHeartbeat checks that the node fetches changes when it is notified by
+// the leader, and ignores notifications from others.
+func TestNotifyTriggersHeartbeat(t *testing.T) {
 	n := newTestNode(t)
-	n.run(heartbeatMillis / 2)
+	n.advance(heartbeatIntervalMillis / 2)
 	n.apply(state.Command{PublishVersion: &state.PublishVersion{Model: "m", Version: 2}})
 	n.now++
 	n.core.Receive(n.now, protocol.Message{From: "elsewhere", Notify: &protocol.Notify{}})
@@ -298,31 +302,31 @@
 	require.Equal(t, n.machine.Revision, n.core.Revision())
 }
 
-// TestSamplesWaitForNewerWeights: a sample that the next publication would make
-// too old before it can end does not start on an engine that is to swap.
+// TestSamplesWaitForNewerWeights checks that a sample does not start on an engine with
+// outdated weights if it would become stale before it finishes.
 func TestSamplesWaitForNewerWeights(t *testing.T) {
 	n := newTestNode(t)
 	pool := n.core.catalog.Pools[testPool].Spec
 	target, sample := n.core.engines["e1"], &request{maxTokens: 500}
 	tests := map[string]struct {
-		version uint64
-		seen    publication
-		elapsed int64
-		starts  bool
+		version     uint64
+		publication publication
+		elapsed     int64
+		starts      bool
 	}{
-		"publications are far apart":  {1, publication{version: 2, last: 60_000}, 0, true},
-		"publications are close":      {1, publication{version: 2, last: 4000}, 0, false},
-		"publications come in bursts": {1, publication{version: 2, last: 60_000, earlier: 4000}, 0, false},
-		"nothing is known of them":    {1, publication{version: 2}, 0, false},
-		"the engine has the newest":   {2, publication{version: 2, last: 4000}, 0, true},
-		"the swap takes too long":     {1, publication{version: 2, last: 4000}, swapPatienceMillis + 1, true},
+		"publications are far apart":  {1, publication{version: 2, lastInterval: 60_000}, 0, true},
+		"publications are close":      {1, publication{version: 2, lastInterval: 4000}, 0, false},
+		"publications come in bursts": {1, publication{version: 2, lastInterval: 60_000, previousInterval: 4000}, 0, false},
+		"no interval is known":        {1, publication{version: 2}, 0, false},
+		"engine has newest version":   {2, publication{version: 2, lastInterval: 4000}, 0, true},
+		"swap takes too long":         {1, publication{version: 2, lastInterval: 4000}, maxSwapWaitMillis + 1, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			target.version, target.tokenMillis = test.version, 10
-			test.seen.seenAt = n.core.now - test.elapsed
-			n.core.publications[pool.Model] = test.seen
-			require.Equal(t, test.starts, n.core.mayEndInTime(sample, target, pool))
+			test.publication.seenAt = n.core.now - test.elapsed
+			n.core.publications[pool.Model] = test.publication
+			require.Equal(t, test.starts, n.core.canFinishInTime(sample, target, pool))
 		})
 	}
 }
--- a/node/engine.go
+++ b/node/engine.go
@@ -9,47 +9,48 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// engine is an engine that the node owns, as the node sees it.
+// engine is the node's state of an engine that it owns.
 type engine struct {
 	info state.Engine
-	// fenced is set once the engine has taken up this ownership's epoch.
-	fenced   bool
-	sequence uint64
-	order    *protocol.EngineOrder
-	orderAt  int64
-	// version is the one that the engine last said it holds wholly; 0 is unknown.
-	version  uint64
-	leaving  bool
-	reportAt int64
-	probeAt  int64
-	// blockedUntil keeps work away after a refusal.
+	// epochAccepted is set once the engine has accepted this ownership's epoch and
+	// rejects earlier owners.
+	epochAccepted bool
+	sequence      uint64
+	order         *protocol.EngineOrder
+	orderSentAt   int64
+	// version is the weight version that the engine has loaded; 0 means unknown.
+	version      uint64
+	draining     bool
+	lastReportAt int64
+	lastProbeAt  int64
+	// blockedUntil is when the engine may receive work again after a refusal.
 	blockedUntil int64
-	// swapping keeps new work away until the weights are loaded.
+	// swapping is set while new weights are loaded; the engine gets no new work.
 	swapping bool
 	running  map[string]*request
-	// retryOrderAt delays an order after one that failed.
-	retryOrderAt int64
-	// tokenMillis is a moving mean of the time for a token of one stream.
+	// nextOrderAt is the earliest time of the next order after a failed one.
+	nextOrderAt int64
+	// tokenMillis is the moving average of the time per token of one stream.
 	tokenMillis float64
 }
 
-// group is what the node holds for one engine group.
+// group is the node's state of an engine group.
 type group struct {
 	queue dispatch.Queue
-	// servedAt is when the node last owned an engine of the group that was
-	// heard of and not leaving.
-	servedAt int64
+	// lastServedAt is when the node last owned a reporting engine of the group that
+	// was not draining.
+	lastServedAt int64
 }
 
 func (c *Core) group(name string) *group {
 	if c.groups[name] == nil {
-		c.groups[name] = &group{servedAt: c.now}
+		c.groups[name] = &group{lastServedAt: c.now}
 	}
 	return c.groups[name]
 }
 
-// syncEngines takes up engines that control has granted and lets go of others.
-// Attempts that run on an engine let go of end by themselves.
+// syncEngines adds engines that control has granted and removes others. Attempts that
+// run on a removed engine are not cancelled.
 func (c *Core) syncEngines() {
 	for _, id := range slices.Sorted(maps.Keys(c.engines)) {
 		info := c.catalog.Engines[id]
@@ -66,23 +67,24 @@
 			known.info = *info
 			continue
 		}
-		c.engines[id] = &engine{info: *info, probeAt: -probeMillis, reportAt: -reportMaxAgeMillis, running: map[string]*request{}}
+		c.engines[id] = &engine{info: *info, lastProbeAt: -probeIntervalMillis, lastReportAt: -maxReportAgeMillis, running: map[string]*request{}}
 	}
 }
 
-// probeEngines asks each engine for a report and raises its fence.
+// probeEngines requests a report from each engine and sends the ownership's epoch to
+// engines that have not accepted it yet.
 func (c *Core) probeEngines() {
 	for _, id := range slices.Sorted(maps.Keys(c.engines)) {
 		target := c.engines[id]
-		if target.order != nil && c.now-target.orderAt > orderTimeoutMillis {
+		if target.order != nil && c.now-target.orderSentAt > orderTimeoutMillis {
 			c.endOrder(target, false)
 		}
-		if c.now-target.probeAt < probeMillis {
+		if c.now-target.lastProbeAt < probeIntervalMillis {
 			continue
 		}
-		target.probeAt = c.now
+		target.lastProbeAt = c.now
 		c.sendEngine(target, protocol.EngineMessage{Probe: &protocol.EngineProbe{}})
-		if !target.fenced && target.order == nil && c.Leased() {
+		if !target.epochAccepted && target.order == nil && c.HasLease() {
 			c.sendOrder(target, "", 0)
 		}
 	}
@@ -93,16 +95,16 @@
 	target.order = &protocol.EngineOrder{
 		Epoch: target.info.Epoch, Sequence: target.sequence, Model: model, Version: version,
 	}
-	target.orderAt = c.now
+	target.orderSentAt = c.now
 	c.sendEngine(target, protocol.EngineMessage{Order: target.order})
 }
 
-// ReceiveEngine takes in a message of an engine.
+// ReceiveEngine handles a message from an engine.
 func (c *Core) ReceiveEngine(now int64, id string, message protocol.EngineMessage) {
 	c.now = now
 	switch {
 	case message.Chunk != nil && !message.Chunk.Done:
-		// No slot becomes free, so nothing else can start.
+		// No slot becomes free, so no queued request can start.
 		c.receiveChunk(message.Chunk)
 		return
 	case message.Chunk != nil:
@@ -116,26 +118,26 @@
 	case message.Report != nil:
 		c.receiveReport(id, message.Report)
 	}
-	c.pump()
+	c.dispatchQueued()
 }
 
-// receiveReport takes in an engine's word about itself. A version is believed
-// only while no order is under way, since reports lag behind orders.
+// receiveReport handles an engine's status report. The reported version is used only
+// if no order is pending, because reports lag behind orders.
 func (c *Core) receiveReport(id string, report *protocol.EngineReport) {
 	target := c.engines[id]
 	if target == nil {
 		return
 	}
-	target.reportAt = c.now
-	target.leaving = report.Leaving
+	target.lastReportAt = c.now
+	target.draining = report.Leaving
 	if report.Epoch > target.info.Epoch {
-		// Another owner has been granted the engine; the catalog will tell.
-		target.fenced = false
+		// The engine has another owner; a catalog update will follow.
+		target.epochAccepted = false
 		return
 	}
 	if report.Epoch < target.info.Epoch {
-		// The engine has restarted, or has not met this epoch yet.
-		target.fenced = false
+		// The engine has restarted or has not received this epoch yet.
+		target.epochAccepted = false
 		target.version = 0
 		return
 	}
@@ -152,21 +154,21 @@
 	c.endOrder(target, result.Done)
 }
 
-// endOrder records how the order ended. After a failure the engine's version
+// endOrder records the result of the order. After a failed swap the engine's version
 // is unknown until its next report.
 func (c *Core) endOrder(target *engine, done bool) {
 	order := target.order
 	target.order = nil
 	switch {
 	case done && order.Version == 0:
-		target.fenced = true
+		target.epochAccepted = true
 	case done:
-		target.fenced, target.swapping = true, false
+		target.epochAccepted, target.swapping = true, false
 		target.version = order.Version
 		c.counters.Swaps++
 	default:
 		target.swapping = false
-		target.retryOrderAt = c.now + probeMillis
+		target.nextOrderAt = c.now + probeIntervalMillis
 		if order.Version != 0 {
 			target.version = 0
 			c.counters.SwapFailures++
@@ -174,31 +176,31 @@
 	}
 }
 
-// usable tells whether the engine may get new work now: an engine without
-// recent evidence, leaving, swapping or with an unknown version may not.
-func (c *Core) usable(target *engine) bool {
-	return target.fenced && !target.leaving && !target.info.Draining() && !target.swapping &&
-		target.version != 0 && c.now-target.reportAt <= reportMaxAgeMillis && c.now >= target.blockedUntil
+// isUsable reports whether the engine may receive new work: it has reported recently,
+// is neither draining nor swapping, and its version is known.
+func (c *Core) isUsable(target *engine) bool {
+	return target.epochAccepted && !target.draining && !target.info.Draining() && !target.swapping &&
+		target.version != 0 && c.now-target.lastReportAt <= maxReportAgeMillis && c.now >= target.blockedUntil
 }
 
-// noteServed records which groups the node has engines for. An engine that is
-// swapping or busy counts: it will take work again.
-func (c *Core) noteServed() {
+// recordServedGroups records the groups that the node has engines for. Swapping and
+// busy engines count, because they will accept work again.
+func (c *Core) recordServedGroups() {
 	for _, target := range c.engines {
-		heard := c.now-target.reportAt <= reportMaxAgeMillis
-		if heard && !target.leaving && !target.info.Draining() {
-			c.group(target.info.Group).servedAt = c.now
+		reported := c.now-target.lastReportAt <= maxReportAgeMillis
+		if reported && !target.draining && !target.info.Draining() {
+			c.group(target.info.Group).lastServedAt = c.now
 		}
 	}
 }
 
-// reservedSlots is the number of an engine's slots that samples leave free.
-func reservedSlots(slots int) int { return max(1, slots/reservedSlotShare) }
+// reservedSlots returns the number of an engine's slots that only live requests may use.
+func reservedSlots(slots int) int { return max(1, slots/reservedSlotDivisor) }
 
-// reservedSlotShare is the inverse of the share of slots kept for live requests.
-const reservedSlotShare = 8
+// reservedSlotDivisor determines the slots reserved for live requests: one in eight.
+const reservedSlotDivisor = 8
 
-func (c *Core) slotsLeft(target *engine, live bool) int {
+func (c *Core) engineFreeSlots(target *engine, live bool) int {
 	left := target.info.Slots - len(target.running)
 	if !live {
 		left -= reservedSlots(target.info.Slots)
@@ -206,38 +208,38 @@
 	return max(0, left)
 }
 
-func (c *Core) freeSlots(group string, live bool) int {
+func (c *Core) groupFreeSlots(group string, live bool) int {
 	free := 0
 	for _, target := range c.engines {
-		if target.info.Group == group && c.usable(target) {
-			free += c.slotsLeft(target, live)
+		if target.info.Group == group && c.isUsable(target) {
+			free += c.engineFreeSlots(target, live)
 		}
 	}
 	return free
 }
 
-// chooseEngine returns the usable engine with the most free slots among those
-// whose version the request accepts, or nil.
+// chooseEngine returns the usable engine with the most free slots that can run the
+// request, or nil.
 func (c *Core) chooseEngine(request *request) *engine {
 	var best *engine
 	for _, id := range slices.Sorted(maps.Keys(c.engines)) {
 		target := c.engines[id]
-		if target.info.Group != request.group || !c.usable(target) || !c.accepts(request, target) {
+		if target.info.Group != request.group || !c.isUsable(target) || !c.canRunOn(request, target) {
 			continue
 		}
-		if c.slotsLeft(target, request.sample == nil) == 0 {
+		if c.engineFreeSlots(target, request.sample == nil) == 0 {
 			continue
 		}
-		if best == nil || c.slotsLeft(target, true) > c.slotsLeft(best, true) {
+		if best == nil || c.engineFreeSlots(target, true) > c.engineFreeSlots(best, true) {
 			best = target
 		}
 	}
 	return best
 }
 
-// accepts tells whether a result from the engine's version can still be
-// delivered, as far as is known now.
-func (c *Core) accepts(request *request, target *engine) bool {
+// canRunOn reports whether a result generated by the engine's version is expected to
+// be within the pool's staleness limit.
+func (c *Core) canRunOn(request *request, target *engine) bool {
 	if request.sample == nil {
 		return true
 	}
@@ -245,7 +247,7 @@
 	if pool == nil || target.version+pool.Spec.MaxStalenessVersions < c.catalog.Models[pool.Spec.Model].Newest() {
 		return false
 	}
-	return c.mayEndInTime(request, target, pool.Spec)
+	return c.canFinishInTime(request, target, pool.Spec)
 }
 
-func (c *Core) sortedRequests() []uint64 { return slices.Sorted(maps.Keys(c.requests)) }
+func (c *Core) sortedRequestIDs() []uint64 { return slices.Sorted(maps.Keys(c.requests)) }
--- a/node/forward.go
+++ b/node/forward.go
@@ -9,15 +9,14 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// inboundKey names a forwarding by its sender and the sender's number.
+// inboundKey identifies a forwarded request by its sender and the sender's forward ID.
 type inboundKey struct {
 	address string
 	id      uint64
 }
 
-// forward hands the request to a peer with free slots: one of the zone if
-// there is any, else one of the region. A request is forwarded once at a time
-// and by its first node only.
+// forward forwards the request to a peer with free slots, in the node's zone if
+// possible, else in its region. Forwarded requests are not forwarded again.
 func (c *Core) forward(request *request) bool {
 	if request.live.origin.address != "" {
 		return false
@@ -27,12 +26,12 @@
 		return false
 	}
 	request.live.forwardID, request.live.forwardAddress = c.nextID(), peer.Address
-	request.phase, request.heardAt, request.nextIndex = phaseForwarded, c.now, 0
+	request.phase, request.lastActivityAt, request.nextChunkIndex = phaseForwarded, c.now, 0
 	c.outbound[request.live.forwardID] = request
-	request.live.held = map[uint32]*protocol.ForwardChunk{}
+	request.live.bufferedChunks = map[uint32]*protocol.ForwardChunk{}
 	remaining := request.live.request
 	remaining.TimeoutMillis = request.live.deadline - c.now
-	// This node has decided about earlier sends; to the owner it is the first.
+	// This node has already handled earlier attempts; for the peer this is the first.
 	remaining.Unresolved = false
 	c.send(peer.Address, protocol.Message{Forward: &protocol.Forward{
 		ID: request.live.forwardID, OwnerEpoch: peer.Epoch, Request: remaining,
@@ -41,13 +40,13 @@
 	return true
 }
 
-// choosePeer picks between two random peers with free slots the one with more,
-// so that nodes with the same summaries do not all choose the same peer.
+// choosePeer picks two random peers with free slots and returns the one with more, so
+// that nodes with the same summaries do not all choose the same peer.
 func (c *Core) choosePeer(request *request) *state.Node {
 	var zone, region []string
 	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
 		node := c.catalog.Nodes[id]
-		if node == nil || node.Draining || request.live.refusedBy[node.Address] || c.peerFree(id, request.group) <= 0 {
+		if node == nil || node.Draining || request.live.refusedBy[node.Address] || c.peerFreeSlots(id, request.group) <= 0 {
 			continue
 		}
 		region = append(region, id)
@@ -64,14 +63,14 @@
 	}
 	first := candidates[c.random.IntN(len(candidates))]
 	second := candidates[c.random.IntN(len(candidates))]
-	if c.peerFree(second, request.group) > c.peerFree(first, request.group) {
+	if c.peerFreeSlots(second, request.group) > c.peerFreeSlots(first, request.group) {
 		first = second
 	}
-	c.takePeerSlot(first, request.group)
+	c.reservePeerSlot(first, request.group)
 	return c.catalog.Nodes[first]
 }
 
-func (c *Core) peerFree(id, group string) int {
+func (c *Core) peerFreeSlots(id, group string) int {
 	for _, summary := range c.peers[id].Groups {
 		if summary.Group == group {
 			return summary.Free
@@ -80,8 +79,8 @@
 	return 0
 }
 
-// takePeerSlot counts what is forwarded against the peer's last summary.
-func (c *Core) takePeerSlot(id, group string) {
+// reservePeerSlot reduces the free slots in the peer's last summary by one.
+func (c *Core) reservePeerSlot(id, group string) {
 	for position, summary := range c.peers[id].Groups {
 		if summary.Group == group {
 			c.peers[id].Groups[position].Free--
@@ -89,13 +88,13 @@
 	}
 }
 
-// receiveForward takes in a request that another node forwards. A repeated
-// message, or one meant for an earlier registration of this node, must not run.
+// receiveForward handles a request forwarded by another node. Duplicates and messages
+// for an earlier registration of this node are ignored.
 func (c *Core) receiveForward(from string, forwarded *protocol.Forward) {
-	if c.forwards[from] == nil {
-		c.forwards[from] = &dispatch.DuplicateFilter{}
+	if c.forwardFilters[from] == nil {
+		c.forwardFilters[from] = &dispatch.DuplicateFilter{}
 	}
-	if forwarded.OwnerEpoch != c.epoch || !c.forwards[from].Add(forwarded.ID) {
+	if forwarded.OwnerEpoch != c.epoch || !c.forwardFilters[from].Add(forwarded.ID) {
 		return
 	}
 	request := c.admit(forwarded.Request, inboundKey{address: from, id: forwarded.ID})
@@ -108,23 +107,23 @@
 	c.enqueueLive(request)
 }
 
-// keepalive tells the forwarding node that the request is still in hand.
+// keepalive notifies the forwarding node that the request is still in progress.
 func (c *Core) keepalive(request *request) {
-	if request.live.keepaliveAt != 0 && c.now-request.live.keepaliveAt < forwardKeepaliveMillis {
+	if request.live.lastKeepaliveAt != 0 && c.now-request.live.lastKeepaliveAt < forwardKeepaliveIntervalMillis {
 		return
 	}
-	request.live.keepaliveAt = c.now
+	request.live.lastKeepaliveAt = c.now
 	c.sendForwardChunk(request, protocol.ForwardChunk{})
 }
 
 func (c *Core) sendForwardChunk(request *request, chunk protocol.ForwardChunk) {
-	chunk.ID, chunk.Index = request.live.origin.id, request.live.outIndex
-	request.live.outIndex++
+	chunk.ID, chunk.Index = request.live.origin.id, request.live.nextOutIndex
+	request.live.nextOutIndex++
 	c.send(request.live.origin.address, protocol.Message{ForwardChunk: &chunk})
 }
 
-// deliver passes tokens on to the caller or the forwarding node.
-func (c *Core) deliver(request *request, version uint64, tokens []uint32) {
+// deliverTokens sends tokens to the local caller or the forwarding node.
+func (c *Core) deliverTokens(request *request, version uint64, tokens []uint32) {
 	if request.live.origin.address != "" {
 		c.sendForwardChunk(request, protocol.ForwardChunk{Version: version, Tokens: tokens})
 		return
@@ -132,13 +131,13 @@
 	c.callerEvents = append(c.callerEvents, CallerEvent{Request: request.id, Version: version, Tokens: tokens})
 }
 
-func (c *Core) deliverEnd(request *request, outcome protocol.Outcome, reason protocol.Reason, retryMillis int64) {
+func (c *Core) deliverOutcome(request *request, outcome protocol.Outcome, reason protocol.Reason, retryMillis int64) {
 	if request.live.origin.address != "" {
 		c.sendForwardChunk(request, protocol.ForwardChunk{Outcome: outcome, Reason: reason, RetryMillis: retryMillis})
 		return
 	}
 	c.callerEvents = append(c.callerEvents, CallerEvent{
-		Request: request.id, Outcome: outcome, Reason: reason, RetryMillis: retryMillis,
+		Request: request.id, Outcome: outcome, Reason: reason, RetryAfterMillis: retryMillis,
 	})
 }
 
@@ -150,32 +149,32 @@
 	return request
 }
 
-// maxHeldChunks bounds the parts of an answer that wait for an earlier one.
-const maxHeldChunks = 256
+// maxBufferedChunks limits the chunks of an answer that are buffered out of order.
+const maxBufferedChunks = 256
 
-// receiveForwardChunk takes in a part of the answer. Parts that overtook
-// earlier ones wait for them; a part that is lost for good shows as silence.
+// receiveForwardChunk handles a chunk of a forwarded request's answer. Chunks that
+// arrive early are buffered; a lost chunk leads to a timeout.
 func (c *Core) receiveForwardChunk(from string, chunk *protocol.ForwardChunk) {
 	request := c.findForwarded(from, chunk.ID)
-	if request == nil || chunk.Index < request.nextIndex || len(request.live.held) >= maxHeldChunks {
+	if request == nil || chunk.Index < request.nextChunkIndex || len(request.live.bufferedChunks) >= maxBufferedChunks {
 		c.counters.DroppedChunks++
 		return
 	}
-	request.live.held[chunk.Index] = chunk
+	request.live.bufferedChunks[chunk.Index] = chunk
 	for request.phase == phaseForwarded && request.live.forwardID == chunk.ID {
-		next := request.live.held[request.nextIndex]
+		next := request.live.bufferedChunks[request.nextChunkIndex]
 		if next == nil {
 			return
 		}
-		delete(request.live.held, request.nextIndex)
-		c.takeForwardChunk(from, request, next)
+		delete(request.live.bufferedChunks, request.nextChunkIndex)
+		c.applyForwardChunk(from, request, next)
 	}
 }
 
-func (c *Core) takeForwardChunk(from string, request *request, chunk *protocol.ForwardChunk) {
-	request.nextIndex++
-	request.heardAt = c.now
-	c.extend(request, chunk.Version, chunk.Tokens)
+func (c *Core) applyForwardChunk(from string, request *request, chunk *protocol.ForwardChunk) {
+	request.nextChunkIndex++
+	request.lastActivityAt = c.now
+	c.appendTokens(request, chunk.Version, chunk.Tokens)
 	switch chunk.Outcome {
 	case protocol.OutcomeAnswered:
 		c.finish(request)
@@ -184,16 +183,16 @@
 		c.enqueueLive(request)
 	case protocol.OutcomeUnknown:
 		request.attemptCount++
-		c.attemptFailed(request, chunk.Reason)
+		c.handleFailedAttempt(request, chunk.Reason)
 	}
 }
 
-// forwardLost gives up on a peer that has fallen silent. It may have run the request.
-func (c *Core) forwardLost(request *request) {
+// failForward gives up on a silent peer, which may have run the request.
+func (c *Core) failForward(request *request) {
 	c.cancelForward(request)
 	request.live.refusedBy[request.live.forwardAddress] = true
 	request.attemptCount++
-	c.attemptFailed(request, protocol.ReasonPeerLost)
+	c.handleFailedAttempt(request, protocol.ReasonPeerLost)
 }
 
 func (c *Core) cancelForward(request *request) {
--- a/node/lease.go
+++ b/node/lease.go
@@ -7,58 +7,58 @@
 	"slices"
 )
 
-// beatsRemembered bounds the heartbeats whose time of sending is kept.
-const beatsRemembered = 16
+// maxTrackedHeartbeats limits the heartbeats whose send time is kept.
+const maxTrackedHeartbeats = 16
 
 func (c *Core) heartbeat() {
-	if c.now-c.beatAt < heartbeatMillis {
+	if c.now-c.lastHeartbeatAt < heartbeatIntervalMillis {
 		return
 	}
-	if len(c.beatSentAt) > 0 {
-		// The last heartbeat has no answer: the leader may be another one.
-		c.rotateLeader()
+	if len(c.heartbeatSentAt) > 0 {
+		// The last heartbeat was not answered; the leader may have changed.
+		c.tryNextControl()
 	}
 	c.sendHeartbeat(false)
 }
 
-func (c *Core) rotateLeader() {
-	c.leader = (c.leader + 1) % len(c.config.Controls)
-	c.leaderAddress = c.config.Controls[c.leader]
+func (c *Core) tryNextControl() {
+	c.controlIndex = (c.controlIndex + 1) % len(c.config.Controls)
+	c.leaderAddress = c.config.Controls[c.controlIndex]
 }
 
-func (c *Core) control() string {
+func (c *Core) controlAddress() string {
 	if c.leaderAddress == "" {
-		c.leaderAddress = c.config.Controls[c.leader]
+		c.leaderAddress = c.config.Controls[c.controlIndex]
 	}
 	return c.leaderAddress
 }
 
 func (c *Core) sendHeartbeat(leaving bool) {
-	c.beatAt = c.now
-	c.beatSequence++
-	c.beatSentAt[c.beatSequence] = c.now
-	delete(c.beatSentAt, c.beatSequence-beatsRemembered)
-	c.send(c.control(), protocol.Message{Heartbeat: &protocol.Heartbeat{
+	c.lastHeartbeatAt = c.now
+	c.heartbeatSequence++
+	c.heartbeatSentAt[c.heartbeatSequence] = c.now
+	delete(c.heartbeatSentAt, c.heartbeatSequence-maxTrackedHeartbeats)
+	c.send(c.controlAddress(), protocol.Message{Heartbeat: &protocol.Heartbeat{
 		Node: c.config.ID, Zone: c.config.Zone, Region: c.config.Region,
-		Incarnation: c.config.Incarnation, Epoch: c.epoch, Sequence: c.beatSequence,
+		Incarnation: c.config.Incarnation, Epoch: c.epoch, Sequence: c.heartbeatSequence,
 		Revision: c.revision, Summary: c.summary(), Draining: c.draining, Leaving: leaving,
 	}})
 }
 
-// receiveHeartbeatReply renews the lease, counted from when the heartbeat was
-// sent, and brings the catalog up to date.
+// receiveHeartbeatReply renews the lease, starting at the heartbeat's send time, and
+// updates the catalog.
 func (c *Core) receiveHeartbeatReply(from string, reply *protocol.HeartbeatReply) {
 	if reply.Epoch == 0 {
-		c.followHint(reply.Leader)
+		c.followLeaderHint(reply.Leader)
 		return
 	}
-	sentAt, known := c.beatSentAt[reply.Sequence]
+	sentAt, known := c.heartbeatSentAt[reply.Sequence]
 	if !known || reply.Epoch < c.epoch {
 		return
 	}
-	for sequence := range c.beatSentAt {
+	for sequence := range c.heartbeatSentAt {
 		if sequence <= reply.Sequence {
-			delete(c.beatSentAt, sequence)
+			delete(c.heartbeatSentAt, sequence)
 		}
 	}
 	c.leaderAddress = from
@@ -66,20 +66,20 @@
 		c.beginRegistration(reply.Epoch)
 	}
 	c.leaseEnd = max(c.leaseEnd, sentAt+reply.LeaseMillis)
-	c.peers, c.pendingHints = copyPeers(reply.Peers), reply.Pending
+	c.peers, c.pendingSamples = copySummaries(reply.Peers), reply.Pending
 	c.mergeDelta(reply.Delta)
 	c.requestSamples()
 }
 
-// receiveNotify asks the leader for its news.
+// receiveNotify sends a heartbeat to get the leader's changes.
 func (c *Core) receiveNotify(from string) {
-	if from == c.leaderAddress && c.now > c.beatAt {
+	if from == c.leaderAddress && c.now > c.lastHeartbeatAt {
 		c.sendHeartbeat(false)
 	}
 }
 
-// copyPeers copies the summaries, whose free slots this node counts down.
-func copyPeers(peers map[string]protocol.Summary) map[string]protocol.Summary {
+// copySummaries returns a deep copy, because reservePeerSlot modifies the summaries.
+func copySummaries(peers map[string]protocol.Summary) map[string]protocol.Summary {
 	copied := make(map[string]protocol.Summary, len(peers))
 	for id, summary := range peers {
 		summary.Groups = append([]protocol.PoolSummary(nil), summary.Groups...)
@@ -88,41 +88,40 @@
 	return copied
 }
 
-// followHint takes up the address that another replica believes to lead, and
-// asks it at the next tick.
-func (c *Core) followHint(leader string) {
+// followLeaderHint switches to the leader named by a replica and sends it a heartbeat
+// at the next tick.
+func (c *Core) followLeaderHint(leader string) {
 	if leader == "" || leader == c.leaderAddress {
 		return
 	}
 	c.leaderAddress = leader
-	clear(c.beatSentAt)
-	c.beatAt = c.now - heartbeatMillis
+	clear(c.heartbeatSentAt)
+	c.lastHeartbeatAt = c.now - heartbeatIntervalMillis
 }
 
-// mergeDelta never goes back: a delta that ends at or before the known revision
-// is ignored. One that starts before it is taken in, since it holds the newest
-// state of all that has changed; a lease that came with it counts on that.
+// mergeDelta applies a delta that covers changes after the current revision without a gap.
+// It may start earlier; ignoring it would renew the lease without these changes.
 func (c *Core) mergeDelta(delta state.Delta) {
 	if delta.To <= c.revision || delta.From > c.revision {
 		return
 	}
 	c.catalog.Merge(delta)
 	c.revision = delta.To
-	c.notePublications()
+	c.recordPublications()
 	c.syncEngines()
-	c.dropStaleRuns()
+	c.cancelStaleAttempts()
 	c.planSwaps()
 }
 
-// beginRegistration starts over under a new epoch. Control has let samples of
-// the earlier one wait again, so those that have not started here are dropped.
+// beginRegistration starts a new registration. Control has requeued the samples of the
+// previous one, so those that have not started are dropped.
 func (c *Core) beginRegistration(epoch uint64) {
 	c.epoch = epoch
-	c.assigns = map[string]*assign{}
-	for _, id := range c.sortedRequests() {
+	c.assignRequests = map[string]*assignRequest{}
+	for _, id := range c.sortedRequestIDs() {
 		request := c.requests[id]
 		if request.sample != nil && request.phase == phaseQueued {
-			c.forget(request)
+			c.removeRequest(request)
 		}
 	}
 }
@@ -134,25 +133,25 @@
 		summary.Queued += group.queue.Len()
 		free := 0
 		if !c.draining {
-			free = max(0, c.freeSlots(name, true)-group.queue.Len())
+			free = max(0, c.groupFreeSlots(name, true)-group.queue.Len())
 		}
 		summary.Groups = append(summary.Groups, protocol.PoolSummary{Group: name, Free: free, Queued: group.queue.Len()})
 	}
 	return summary
 }
 
-// proposal is a command under way to the leader. It is sent again until its
-// outcome is known; every command tolerates that.
+// proposal is a command sent to the leader. It is resent until its result is known;
+// all commands are idempotent.
 type proposal struct {
 	command state.Command
 	sentAt  int64
-	// done is called with the result.
-	done func(state.Result)
+	// onResult is called with the result of the command.
+	onResult func(state.Result)
 }
 
-func (c *Core) propose(command state.Command, done func(state.Result)) uint64 {
+func (c *Core) propose(command state.Command, onResult func(state.Result)) uint64 {
 	id := c.nextID()
-	c.proposals[id] = &proposal{command: command, done: done}
+	c.proposals[id] = &proposal{command: command, onResult: onResult}
 	c.sendProposal(id)
 	return id
 }
@@ -160,12 +159,12 @@
 func (c *Core) sendProposal(id uint64) {
 	proposal := c.proposals[id]
 	proposal.sentAt = c.now
-	c.send(c.control(), protocol.Message{Propose: &protocol.Propose{ID: id, Command: proposal.command}})
+	c.send(c.controlAddress(), protocol.Message{Propose: &protocol.Propose{ID: id, Command: proposal.command}})
 }
 
 func (c *Core) resendProposals() {
 	for _, id := range slices.Sorted(maps.Keys(c.proposals)) {
-		if c.now-c.proposals[id].sentAt >= proposeRetryMillis {
+		if c.now-c.proposals[id].sentAt >= proposalRetryMillis {
 			c.sendProposal(id)
 		}
 	}
@@ -177,9 +176,9 @@
 		return
 	}
 	if reply.Outcome != protocol.ProposeDone {
-		c.followHint(reply.Leader)
+		c.followLeaderHint(reply.Leader)
 		return
 	}
 	delete(c.proposals, reply.ID)
-	proposal.done(reply.Result)
+	proposal.onResult(reply.Result)
 }
--- a/node/pace.go
+++ b/node/pace.go
@@ -2,44 +2,44 @@
 
 import "github.com/dillchute/dillchute/state"
 
-// publication is what the node has seen of a model's newest version.
+// publication records when a model's newest version was seen.
 type publication struct {
 	version uint64
 	seenAt  int64
-	// last and earlier are the times between the last three publications; 0 is
-	// unknown.
-	last    int64
-	earlier int64
+	// lastInterval and previousInterval are the times between the last three
+	// publications; 0 means unknown.
+	lastInterval     int64
+	previousInterval int64
 }
 
-// interval is the shorter of the last two times between publications: trainers
-// that are ahead publish in bursts.
-func (p publication) interval() int64 {
-	if p.earlier == 0 {
-		return p.last
+// shortestInterval returns the shorter of the last two intervals, because trainers may
+// publish in bursts.
+func (p publication) shortestInterval() int64 {
+	if p.previousInterval == 0 {
+		return p.lastInterval
 	}
-	return min(p.last, p.earlier)
+	return min(p.lastInterval, p.previousInterval)
 }
 
-// notePublications records when newer versions were seen.
-func (c *Core) notePublications() {
+// recordPublications records when new versions were first seen.
+func (c *Core) recordPublications() {
 	for name, model := range c.catalog.Models {
 		newest := model.Newest()
-		known, ok := c.publications[name]
+		last, ok := c.publications[name]
 		switch {
 		case !ok:
 			c.publications[name] = publication{version: newest, seenAt: c.now}
-		case newest > known.version:
-			c.publications[name] = publication{version: newest, seenAt: c.now, last: c.now - known.seenAt, earlier: known.last}
+		case newest > last.version:
+			c.publications[name] = publication{version: newest, seenAt: c.now, lastInterval: c.now - last.seenAt, previousInterval: last.lastInterval}
 		}
 	}
 }
 
-// paceWeight is the weight, in percent, of the newest measurement of a pace.
-const paceWeight = 20
+// paceWeightPercent is the weight of the newest value in the moving average.
+const paceWeightPercent = 20
 
-// notePace measures the time that the engine takes for a token of one stream.
-func (e *engine) notePace(sinceLast int64, tokens int) {
+// recordPace updates the engine's average time per token.
+func (e *engine) recordPace(sinceLast int64, tokens int) {
 	if tokens == 0 || sinceLast <= 0 {
 		return
 	}
@@ -48,24 +48,23 @@
 		e.tokenMillis = measured
 		return
 	}
-	e.tokenMillis += (measured - e.tokenMillis) * paceWeight / 100
+	e.tokenMillis += (measured - e.tokenMillis) * paceWeightPercent / 100
 }
 
-// swapPatienceMillis is how long samples wait for an engine's newer weights.
-const swapPatienceMillis = 30_000
+// maxSwapWaitMillis is the maximum time that samples wait for an engine's swap.
+const maxSwapWaitMillis = 30_000
 
-// mayEndInTime tells whether a sample that starts now on the engine can be
-// expected to end before the versions published meanwhile make it too old. Only
-// engines that are about to get newer weights are judged. If a swap takes very
-// long, an attempt that may come too late is better than none.
-func (c *Core) mayEndInTime(request *request, target *engine, pool state.PoolSpec) bool {
+// canFinishInTime reports whether a sample started now on the engine is expected to
+// finish before newer versions make it stale. It returns true for engines with the
+// newest version, and after maxSwapWaitMillis, so that a slow swap does not block samples.
+func (c *Core) canFinishInTime(request *request, target *engine, pool state.PoolSpec) bool {
 	seen := c.publications[pool.Model]
 	elapsed := c.now - seen.seenAt
-	if target.version >= seen.version || elapsed > swapPatienceMillis {
+	if target.version >= seen.version || elapsed > maxSwapWaitMillis {
 		return true
 	}
-	allowed := int64(target.version + pool.MaxStalenessVersions - seen.version)
-	left := (allowed+1)*seen.interval() - elapsed
-	needed := float64(int(request.maxTokens)-len(request.tokens)) * target.tokenMillis
-	return needed <= float64(left)
+	allowedVersions := int64(target.version + pool.MaxStalenessVersions - seen.version)
+	remainingMillis := (allowedVersions+1)*seen.shortestInterval() - elapsed
+	neededMillis := float64(int(request.maxTokens)-len(request.tokens)) * target.tokenMillis
+	return neededMillis <= float64(remainingMillis)
 }
--- a/node/request.go
+++ b/node/request.go
@@ -8,21 +8,21 @@
 	"slices"
 )
 
-// phase is how far a request has come at this node.
+// phase is the state of a request at this node.
 type phase uint8
 
 const (
-	// phaseClaiming: control is asked for the right to run the request.
+	// phaseClaiming: the request waits for its claim.
 	phaseClaiming phase = iota + 1
 	phaseQueued
 	phaseRunning
 	// phaseForwarded: another node runs the request.
 	phaseForwarded
-	// phaseScoring: the result waits for its reward.
+	// phaseScoring: the sample's result waits for its reward.
 	phaseScoring
 )
 
-// request is a live request or a sample that this node works on.
+// request is a live request or a sample that this node processes.
 type request struct {
 	id         uint64
 	pool       string
@@ -34,55 +34,55 @@
 	enqueuedAt int64
 	phase      phase
 
-	// live is set for a live request, sample for a sample.
+	// Exactly one of live and sample is set.
 	live   *liveRequest
 	sample *state.SampleKey
 
-	// tokens and segments are what all attempts so far have delivered.
+	// tokens and segments hold the output of all attempts so far.
 	tokens   []uint32
 	segments []state.Segment
 
 	attempt string
-	// attemptCount counts the attempts that may have reached an engine;
-	// attemptSerial also those that were refused.
-	attemptCount  int
-	attemptSerial int
-	attemptEpoch  uint64
-	nextIndex     uint32
-	heardAt       int64
-	engine        string
+	// attemptCount counts the attempts that may have run; attemptSerial also
+	// counts those that were refused.
+	attemptCount   int
+	attemptSerial  int
+	attemptEpoch   uint64
+	nextChunkIndex uint32
+	lastActivityAt int64
+	engine         string
 }
 
-// liveRequest is the part of a request that only live ones have.
+// liveRequest holds the fields that only live requests have.
 type liveRequest struct {
 	request  protocol.LiveRequest
 	deadline int64
-	// origin names the node that forwarded the request; its address is empty
-	// for a local caller.
-	origin      inboundKey
-	outIndex    uint32
-	keepaliveAt int64
-	// claim is set while the request holds a claim or waits for one; granted
-	// once control has said that no other arrival has run.
-	claim   *state.Claim
-	granted bool
-	// The forwarding under way, if any, and the nodes that have refused.
+	// origin identifies the forwarded request; its address is empty for a local
+	// caller.
+	origin          inboundKey
+	nextOutIndex    uint32
+	lastKeepaliveAt int64
+	// claim is set while the request holds a claim or waits for one;
+	// claimGranted is set once control has granted it.
+	claim        *state.Claim
+	claimGranted bool
+	// The current forward, if any, and the addresses of peers that refused it.
 	forwardID      uint64
 	forwardAddress string
 	refusedBy      map[string]bool
-	// held are parts of the forwarded answer that wait for earlier ones.
-	held map[uint32]*protocol.ForwardChunk
+	// bufferedChunks are chunks of the forwarded answer that arrived early.
+	bufferedChunks map[uint32]*protocol.ForwardChunk
 }
 
-// bytesPerPromptToken is an estimate for bounds on queued tokens.
+// bytesPerPromptToken is an estimate used to limit queued tokens.
 const bytesPerPromptToken = 4
 
 func (r *request) cost() int {
 	return len(r.prompt)/bytesPerPromptToken + int(r.maxTokens)
 }
 
-// Submit takes in a request of a local caller and returns its number, which
-// its events carry.
+// Submit accepts a request from a local caller and returns its ID, which its events
+// refer to.
 func (c *Core) Submit(now int64, live protocol.LiveRequest) uint64 {
 	c.now = now
 	request := c.admit(live, inboundKey{})
@@ -90,15 +90,15 @@
 		return request.id
 	}
 	if live.NotRepeatable {
-		c.claim(request)
+		c.requestClaim(request)
 		return request.id
 	}
 	c.enqueueLive(request)
-	c.pump()
+	c.dispatchQueued()
 	return request.id
 }
 
-// admit makes a request of a live one, or ends it at once if it cannot run.
+// admit adds a live request, and ends it at once if it cannot run.
 func (c *Core) admit(live protocol.LiveRequest, origin inboundKey) *request {
 	admitted := &request{
 		id: c.nextID(), pool: live.Pool, prompt: live.Prompt, maxTokens: live.MaxTokens, name: live.Key, enqueuedAt: c.now,
@@ -108,80 +108,81 @@
 	if origin.address != "" {
 		c.inbound[origin] = admitted
 	}
-	if reason := c.refusal(live.Pool); reason != protocol.ReasonNone {
-		c.end(admitted, c.failureOutcome(admitted), reason)
+	if reason := c.refusalReason(live.Pool); reason != protocol.ReasonNone {
+		c.endRequest(admitted, c.failureOutcome(admitted), reason)
 		return admitted
 	}
 	pool := c.catalog.Pools[live.Pool].Spec
 	admitted.group, admitted.priority = pool.EngineGroup, min(pool.LivePriority, live.PriorityCap)
-	c.budget(live.Pool).RecordFirstAttempt(pool.RetryPercent)
+	c.retryBudget(live.Pool).RecordFirstAttempt(pool.RetryPercent)
 	return admitted
 }
 
-// refusal returns why a new live request of the pool cannot be taken, if so.
-func (c *Core) refusal(name string) protocol.Reason {
+// refusalReason returns why a new live request of the pool must be refused, or
+// ReasonNone.
+func (c *Core) refusalReason(name string) protocol.Reason {
 	pool := c.catalog.Pools[name]
 	switch {
 	case c.draining:
 		return protocol.ReasonDraining
 	case c.revision == 0:
 		return protocol.ReasonNoLease
-	case pool == nil && c.Leased():
+	case pool == nil && c.HasLease():
 		return protocol.ReasonUnknownPool
 	case pool == nil:
 		return protocol.ReasonNoLease
-	case !c.mayStart(name):
+	case !c.canStart(name):
 		return protocol.ReasonNoLease
 	}
 	return protocol.ReasonNone
 }
 
-// mayStart tells whether new live work of the pool may start: under a lease,
-// or without one if the pool's declaration says so.
-func (c *Core) mayStart(pool string) bool {
+// canStart reports whether live requests of the pool may start: the node has a lease,
+// or the pool is declared to be served without one.
+func (c *Core) canStart(pool string) bool {
 	declared := c.catalog.Pools[pool]
-	return declared != nil && (c.Leased() || declared.Spec.Disconnected == state.ServeLiveDisconnected)
+	return declared != nil && (c.HasLease() || declared.Spec.Disconnected == state.ServeLiveDisconnected)
 }
 
-func (c *Core) budget(pool string) *dispatch.RetryBudget {
-	if c.budgets[pool] == nil {
-		c.budgets[pool] = &dispatch.RetryBudget{}
+func (c *Core) retryBudget(pool string) *dispatch.RetryBudget {
+	if c.retryBudgets[pool] == nil {
+		c.retryBudgets[pool] = &dispatch.RetryBudget{}
 	}
-	return c.budgets[pool]
+	return c.retryBudgets[pool]
 }
 
-// enqueueLive queues a live request, or ends it at once if the queue is full
-// or its deadline cannot be met.
+// enqueueLive queues a live request, or ends it at once if the queue is full, the
+// region has no engine for it or the pool no longer exists.
 func (c *Core) enqueueLive(request *request) {
 	queue, pool := &c.group(request.group).queue, c.catalog.Pools[request.pool]
 	if pool == nil {
-		c.end(request, c.failureOutcome(request), protocol.ReasonUnknownPool)
+		c.endRequest(request, c.failureOutcome(request), protocol.ReasonUnknownPool)
 		return
 	}
 	full := queue.Len() >= pool.Spec.MaxQueuedRequests || queue.Tokens()+request.cost() > pool.Spec.MaxQueuedTokens
 	if full && c.chooseEngine(request) == nil {
-		c.end(request, c.failureOutcome(request), protocol.ReasonQueueFull)
+		c.endRequest(request, c.failureOutcome(request), protocol.ReasonQueueFull)
 		return
 	}
 	if !c.groupExists(request.group) {
-		c.end(request, c.failureOutcome(request), protocol.ReasonNoEngine)
+		c.endRequest(request, c.failureOutcome(request), protocol.ReasonNoEngine)
 		return
 	}
 	c.enqueue(request)
 }
 
-// failureOutcome is not run for a request that has reached no engine, and
-// unknown for one that has. A resend of a request that must not repeat may
-// have run on its earlier way, unless control has granted the claim to this one.
+// failureOutcome returns "not run" for a request that cannot have reached an engine,
+// else "unknown". A resend of a non-repeatable request may have run earlier, unless
+// control has granted it the claim.
 func (c *Core) failureOutcome(request *request) protocol.Outcome {
 	live := request.live
-	if request.attemptCount > 0 || (live.request.NotRepeatable && live.request.Unresolved && !live.granted) {
+	if request.attemptCount > 0 || (live.request.NotRepeatable && live.request.Unresolved && !live.claimGranted) {
 		return protocol.OutcomeUnknown
 	}
 	return protocol.OutcomeNotRun
 }
 
-// groupExists tells whether the region has any engine of the group.
+// groupExists reports whether the region has an engine of the group that is not draining.
 func (c *Core) groupExists(group string) bool {
 	for _, info := range c.catalog.Engines {
 		if info.Group == group && !info.Draining() {
@@ -198,14 +199,14 @@
 	})
 }
 
-// pump starts or forwards as many queued requests as can be.
-func (c *Core) pump() {
+// dispatchQueued starts or forwards as many queued requests as possible.
+func (c *Core) dispatchQueued() {
 	for _, name := range slices.Sorted(maps.Keys(c.groups)) {
 		group := c.groups[name]
 		var skipped []dispatch.Item
-		for group.queue.Len() > 0 && len(skipped) < maxSkipped {
+		for group.queue.Len() > 0 && len(skipped) < maxSkippedRequests {
 			item := group.queue.Pop()
-			if !c.place(c.requests[item.ID]) {
+			if !c.tryDispatch(c.requests[item.ID]) {
 				skipped = append(skipped, item)
 			}
 		}
@@ -215,17 +216,18 @@
 	}
 }
 
-// maxSkipped bounds how far the queue is searched past requests that cannot
-// be placed, such as samples before live requests that may use reserved slots.
-const maxSkipped = 32
+// maxSkippedRequests limits how many requests that cannot be dispatched are skipped,
+// such as samples queued before live requests that may use reserved slots.
+const maxSkippedRequests = 32
 
-// place starts the request on an engine or forwards it, and tells whether it did.
-func (c *Core) place(request *request) bool {
-	if request.sample == nil && !c.mayStart(request.pool) || request.sample != nil && !c.Leased() {
+// tryDispatch starts the request on an engine or forwards it, and reports whether it
+// succeeded.
+func (c *Core) tryDispatch(request *request) bool {
+	if request.sample == nil && !c.canStart(request.pool) || request.sample != nil && !c.HasLease() {
 		return false
 	}
 	if target := c.chooseEngine(request); target != nil {
-		c.start(request, target)
+		c.startAttempt(request, target)
 		return true
 	}
 	if request.live == nil {
@@ -239,18 +241,18 @@
 	}
 	target := c.chooseEngine(request)
 	if target != nil {
-		c.start(request, target)
+		c.startAttempt(request, target)
 	}
 	return target != nil
 }
 
-func (c *Core) start(request *request, target *engine) {
+func (c *Core) startAttempt(request *request, target *engine) {
 	request.attemptCount++
 	request.attemptSerial++
 	request.phase, request.engine = phaseRunning, target.info.ID
 	request.attempt, request.attemptEpoch = c.attemptName(request), target.info.Epoch
-	request.nextIndex, request.heardAt = 0, c.now
-	c.dropStalePrefix(request)
+	request.nextChunkIndex, request.lastActivityAt = 0, c.now
+	c.dropStaleTokens(request)
 	c.attempts[request.attempt] = request
 	target.running[request.attempt] = request
 	c.sendEngine(target, protocol.EngineMessage{Start: &protocol.EngineStart{
@@ -267,30 +269,30 @@
 	return ""
 }
 
-// expireRequests ends requests whose deadline has passed and attempts that are
-// silent for too long.
+// expireRequests ends requests whose deadline has passed, fails attempts and forwards
+// that timed out, and sends keepalives.
 func (c *Core) expireRequests() {
-	for _, id := range c.sortedRequests() {
+	for _, id := range c.sortedRequestIDs() {
 		request := c.requests[id]
 		switch {
 		case request.live != nil && c.now >= request.live.deadline:
 			c.cancelAttempt(request)
 			c.cancelForward(request)
-			c.end(request, c.failureOutcome(request), protocol.ReasonDeadline)
-		case request.live != nil && request.phase == phaseQueued && !c.mayStart(request.pool):
-			c.end(request, c.failureOutcome(request), protocol.ReasonNoLease)
-		case request.phase == phaseRunning && c.now-request.heardAt > chunkTimeoutMillis:
+			c.endRequest(request, c.failureOutcome(request), protocol.ReasonDeadline)
+		case request.live != nil && request.phase == phaseQueued && !c.canStart(request.pool):
+			c.endRequest(request, c.failureOutcome(request), protocol.ReasonNoLease)
+		case request.phase == phaseRunning && c.now-request.lastActivityAt > chunkTimeoutMillis:
 			c.cancelAttempt(request)
-			c.attemptFailed(request, protocol.ReasonEngineLost)
-		case request.phase == phaseForwarded && c.now-request.heardAt > forwardTimeoutMillis:
-			c.forwardLost(request)
+			c.handleFailedAttempt(request, protocol.ReasonEngineLost)
+		case request.phase == phaseForwarded && c.now-request.lastActivityAt > forwardTimeoutMillis:
+			c.failForward(request)
 		case request.live != nil && request.live.origin.address != "":
 			c.keepalive(request)
 		}
 	}
 }
 
-// Cancel ends a request whose caller has gone.
+// Cancel ends a live request that its caller has cancelled.
 func (c *Core) Cancel(now int64, id uint64) {
 	c.now = now
 	request := c.requests[id]
@@ -299,19 +301,19 @@
 	}
 	c.cancelAttempt(request)
 	c.cancelForward(request)
-	c.end(request, c.failureOutcome(request), protocol.ReasonCancelled)
+	c.endRequest(request, c.failureOutcome(request), protocol.ReasonCancelled)
 }
 
-// end gives the request its final answer and forgets it.
-func (c *Core) end(request *request, outcome protocol.Outcome, reason protocol.Reason) {
+// endRequest delivers the request's outcome and removes the request.
+func (c *Core) endRequest(request *request, outcome protocol.Outcome, reason protocol.Reason) {
 	c.countOutcome(outcome)
 	c.resolveClaim(request, outcome)
 	retry := int64(0)
 	if outcome != protocol.OutcomeAnswered {
 		retry = c.retryDelay(request, reason)
 	}
-	c.deliverEnd(request, outcome, reason, retry)
-	c.forget(request)
+	c.deliverOutcome(request, outcome, reason, retry)
+	c.removeRequest(request)
 }
 
 func (c *Core) countOutcome(outcome protocol.Outcome) {
@@ -325,19 +327,19 @@
 	}
 }
 
-// The bounds of the delay after which a caller is told to come back.
+// Limits of the suggested retry delay.
 const (
 	minRetryMillis = 100
 	maxRetryMillis = 10000
-	// millisPerQueuedToken is a rough time for a queued token of one slot.
+	// millisPerQueuedToken is an estimate of the time per token and slot.
 	millisPerQueuedToken = 20
 )
 
-// retryDelay estimates when a resend is likely to be served.
+// retryDelay estimates after how many milliseconds a retry is likely to succeed.
 func (c *Core) retryDelay(request *request, reason protocol.Reason) int64 {
 	switch reason {
 	case protocol.ReasonNoLease, protocol.ReasonControlUnknown, protocol.ReasonDraining:
-		return heartbeatMillis
+		return heartbeatIntervalMillis
 	case protocol.ReasonQueueFull:
 		slots := 0
 		for _, target := range c.engines {
@@ -351,7 +353,7 @@
 	return minRetryMillis
 }
 
-func (c *Core) forget(request *request) {
+func (c *Core) removeRequest(request *request) {
 	if request.phase == phaseQueued {
 		c.group(request.group).queue.Remove(request.id)
 	}
@@ -362,12 +364,12 @@
 	}
 }
 
-// refuseQueuedLive ends what has not started when the node drains.
+// refuseQueuedLive ends the queued live requests of a draining node.
 func (c *Core) refuseQueuedLive() {
-	for _, id := range c.sortedRequests() {
+	for _, id := range c.sortedRequestIDs() {
 		request := c.requests[id]
 		if request.live != nil && request.phase == phaseQueued {
-			c.end(request, c.failureOutcome(request), protocol.ReasonDraining)
+			c.endRequest(request, c.failureOutcome(request), protocol.ReasonDraining)
 		}
 	}
 }
--- a/node/sample.go
+++ b/node/sample.go
@@ -8,70 +8,70 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// assign is the node's newest request for samples of a pool.
-type assign struct {
-	sequence uint64
-	inFlight bool
-	askedAt  int64
-	// empty is set if the last answer held no sample.
+// assignRequest is the node's last request for samples of a pool.
+type assignRequest struct {
+	sequence    uint64
+	inFlight    bool
+	requestedAt int64
+	// empty is set if the last reply contained no samples.
 	empty bool
 }
 
 const (
-	// assignPauseMillis is the pause after an answer without samples, unless
-	// control says that some wait.
-	assignPauseMillis = 200
-	// maxAssign bounds the samples asked for at once.
-	maxAssign = 256
-	// maxCompletionBatch bounds the results in one proposal.
-	maxCompletionBatch = 256
+	// assignBackoffMillis is the minimum time between requests after a reply
+	// without samples.
+	assignBackoffMillis = 200
+	// maxAssignSamples limits the samples per request.
+	maxAssignSamples = 256
+	// maxCompletionsPerBatch limits the results per proposal.
+	maxCompletionsPerBatch = 256
 )
 
-// requestSamples asks control for as many samples as there are free slots.
+// requestSamples requests samples from control for the free slots.
 func (c *Core) requestSamples() {
-	if !c.Leased() || c.draining {
+	if !c.HasLease() || c.draining {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.catalog.Pools)) {
-		if c.pendingHints[name] > 0 {
+		if c.pendingSamples[name] > 0 {
 			c.requestPoolSamples(name, c.catalog.Pools[name].Spec.EngineGroup)
 		}
 	}
 }
 
 func (c *Core) requestPoolSamples(pool, group string) {
-	asked := c.assigns[pool]
-	if asked == nil {
-		asked = &assign{}
-		c.assigns[pool] = asked
-	}
-	paused := asked.empty && c.now-asked.askedAt < assignPauseMillis
-	wanted := min(maxAssign, c.freeSlots(group, false)-c.group(group).queue.Len())
-	if asked.inFlight || paused || wanted <= 0 {
+	current := c.assignRequests[pool]
+	if current == nil {
+		current = &assignRequest{}
+		c.assignRequests[pool] = current
+	}
+	inBackoff := current.empty && c.now-current.requestedAt < assignBackoffMillis
+	maxSamples := min(maxAssignSamples, c.groupFreeSlots(group, false)-c.group(group).queue.Len())
+	if current.inFlight || inBackoff || maxSamples <= 0 {
 		return
 	}
-	asked.sequence++
-	asked.inFlight, asked.askedAt = true, c.now
+	current.sequence++
+	current.inFlight, current.requestedAt = true, c.now
 	epoch := c.epoch
 	command := state.Command{AssignSamples: &state.AssignSamples{
-		Pool: pool, Node: c.config.ID, Epoch: epoch, Sequence: asked.sequence, Max: wanted,
+		Pool: pool, Node: c.config.ID, Epoch: epoch, Sequence: current.sequence, Max: maxSamples,
 	}}
-	c.propose(command, func(result state.Result) { c.receiveSamples(pool, epoch, asked, result.Assign) })
+	c.propose(command, func(result state.Result) { c.receiveSamples(pool, epoch, current, result.Assign) })
 }
 
-func (c *Core) receiveSamples(pool string, epoch uint64, asked *assign, result *state.AssignResult) {
+func (c *Core) receiveSamples(pool string, epoch uint64, current *assignRequest, result *state.AssignResult) {
 	if epoch != c.epoch {
 		return
 	}
-	asked.inFlight = false
-	asked.empty = len(result.Samples) == 0
-	if asked.empty {
-		delete(c.pendingHints, pool)
+	current.inFlight = false
+	current.empty = len(result.Samples) == 0
+	if current.empty {
+		delete(c.pendingSamples, pool)
 	}
 	for _, assigned := range result.Samples {
 		c.admitSample(pool, assigned)
 	}
-	c.pump()
+	c.dispatchQueued()
 	c.requestSamples()
 }
 
@@ -91,59 +91,58 @@
 	c.enqueue(admitted)
 }
 
-// SampleName is the name under which engines record a sample.
+// SampleName returns the request name that engines use for a sample.
 func SampleName(pool string, key state.SampleKey) string {
 	return fmt.Sprintf("%s/%d/%d", pool, key.Step, key.Index)
 }
 
-// requeueSample lets a sample wait for another attempt, which goes on from the
-// tokens it has.
+// requeueSample queues a sample for another attempt, which continues after its tokens,
+// or returns it to control if the node is draining.
 func (c *Core) requeueSample(request *request) {
 	if c.draining {
-		c.giveBack(request)
+		c.returnSample(request)
 		return
 	}
 	c.enqueue(request)
 }
 
-// giveBack returns a sample to control, to be run elsewhere.
-func (c *Core) giveBack(request *request) {
-	c.counters.SamplesFailed++
+// returnSample returns a sample to control, to be run by another node.
+func (c *Core) returnSample(request *request) {
+	c.counters.SamplesReturned++
 	c.counters.TokensWasted += uint64(len(request.tokens))
 	c.completions = append(c.completions, state.Completion{Pool: request.pool, Key: *request.sample, Failed: true})
-	c.forget(request)
+	c.removeRequest(request)
 }
 
-// strandedMillis is how long samples wait at a node that has no engine for them.
-const strandedMillis = 2000
+// strandedTimeoutMillis is how long samples wait at a node that has no engine for them.
+const strandedTimeoutMillis = 2000
 
-// returnStrandedSamples gives back samples that wait for engines which the node
-// does not have any more; other nodes may have some.
+// returnStrandedSamples returns queued samples that the node no longer has engines for.
 func (c *Core) returnStrandedSamples() {
-	c.noteServed()
-	for _, id := range c.sortedRequests() {
+	c.recordServedGroups()
+	for _, id := range c.sortedRequestIDs() {
 		request := c.requests[id]
 		if request.sample == nil || request.phase != phaseQueued {
 			continue
 		}
-		if c.now-c.group(request.group).servedAt > strandedMillis {
-			c.giveBack(request)
+		if c.now-c.group(request.group).lastServedAt > strandedTimeoutMillis {
+			c.returnSample(request)
 		}
 	}
 }
 
 func (c *Core) returnQueuedSamples() {
-	for _, id := range c.sortedRequests() {
+	for _, id := range c.sortedRequestIDs() {
 		request := c.requests[id]
 		if request.sample != nil && request.phase == phaseQueued {
-			c.giveBack(request)
+			c.returnSample(request)
 		}
 	}
 	c.sendCompletions()
 }
 
-// stale tells whether the sample's oldest segment is over the pool's bound by now.
-func (c *Core) stale(request *request) bool {
+// isStale reports whether a segment of the sample exceeds the pool's staleness limit.
+func (c *Core) isStale(request *request) bool {
 	pool := c.catalog.Pools[request.pool]
 	if request.sample == nil || pool == nil || len(request.segments) == 0 {
 		return false
@@ -157,34 +156,33 @@
 	return false
 }
 
-// dropStalePrefix forgets tokens that would make the result too old to deliver.
-func (c *Core) dropStalePrefix(request *request) {
-	if c.stale(request) {
+// dropStaleTokens discards the sample's tokens if they are stale.
+func (c *Core) dropStaleTokens(request *request) {
+	if c.isStale(request) {
 		c.counters.TokensWasted += uint64(len(request.tokens))
 		request.tokens, request.segments = nil, nil
 	}
 }
 
-// dropStaleRuns ends attempts whose result cannot be delivered any more.
-func (c *Core) dropStaleRuns() {
-	for _, id := range c.sortedRequests() {
+// cancelStaleAttempts cancels and requeues running samples whose tokens are stale.
+func (c *Core) cancelStaleAttempts() {
+	for _, id := range c.sortedRequestIDs() {
 		request := c.requests[id]
-		if request.phase == phaseRunning && c.stale(request) {
+		if request.phase == phaseRunning && c.isStale(request) {
 			c.cancelAttempt(request)
-			c.dropStalePrefix(request)
+			c.dropStaleTokens(request)
 			c.requeueSample(request)
 		}
 	}
 }
 
-// preempt makes room for a live request that finds no free slot: the sample
-// with the fewest tokens waits again and goes on later from what it has. It
-// tells whether there was one.
+// preempt frees a slot for a live request by requeueing the running sample of lower
+// priority that has the fewest tokens. It reports whether there was one.
 func (c *Core) preempt(live *request) bool {
 	var victim *request
 	for _, id := range slices.Sorted(maps.Keys(c.engines)) {
 		target := c.engines[id]
-		if target.info.Group != live.group || !c.usable(target) {
+		if target.info.Group != live.group || !c.isUsable(target) {
 			continue
 		}
 		for _, attempt := range slices.Sorted(maps.Keys(target.running)) {
@@ -207,41 +205,41 @@
 
 func (c *Core) finishSample(request *request) {
 	if !c.config.Scoring {
-		c.complete(request, 0)
+		c.completeSample(request, 0)
 		return
 	}
 	request.phase = phaseScoring
-	c.scores = append(c.scores, ScoreRequest{
+	c.scoreRequests = append(c.scoreRequests, ScoreRequest{
 		Request: request.id, Pool: request.pool, Prompt: request.prompt, Tokens: request.tokens,
 	})
 }
 
-// ReceiveScore takes in the reward of a result. The runtime repeats a score
-// request until it has an answer.
+// ReceiveScore records the reward of a result. The caller retries a score request
+// until it has a reward.
 func (c *Core) ReceiveScore(now int64, id uint64, reward float64) {
 	c.now = now
 	if request := c.requests[id]; request != nil && request.phase == phaseScoring {
-		c.complete(request, reward)
+		c.completeSample(request, reward)
 	}
 }
 
-func (c *Core) complete(request *request, reward float64) {
+func (c *Core) completeSample(request *request, reward float64) {
 	c.counters.SamplesCompleted++
 	c.completions = append(c.completions, state.Completion{
 		Pool: request.pool, Key: *request.sample, Segments: request.segments,
 		Tokens: state.PackTokens(request.tokens), Reward: reward,
 	})
-	c.forget(request)
+	c.removeRequest(request)
 	c.sendCompletions()
 }
 
-// sendCompletions records results, one batch at a time, so that results which
-// come while one is under way share the next log entry.
+// sendCompletions proposes results one batch at a time, so that results that arrive
+// while a batch is in flight share the next log entry.
 func (c *Core) sendCompletions() {
 	if c.completionsInFlight || len(c.completions) == 0 || c.epoch == 0 {
 		return
 	}
-	count := min(len(c.completions), maxCompletionBatch)
+	count := min(len(c.completions), maxCompletionsPerBatch)
 	batch := c.completions[:count:count]
 	c.completions = c.completions[count:]
 	c.completionsInFlight = true
--- a/node/swap.go
+++ b/node/swap.go
@@ -7,9 +7,10 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// planSwaps brings the owned engines to the newest weights, a share at a time.
+// planSwaps swaps the owned engines to the newest weights, at most MaxSwappingPercent
+// of a group at a time.
 func (c *Core) planSwaps() {
-	if !c.Leased() {
+	if !c.HasLease() {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.catalog.Pools)) {
@@ -19,7 +20,7 @@
 
 func (c *Core) planGroupSwaps(pool state.PoolSpec) {
 	newest := c.catalog.Models[pool.Model].Newest()
-	var behind []*engine
+	var outdated []*engine
 	owned, swapping := 0, 0
 	for _, id := range slices.Sorted(maps.Keys(c.engines)) {
 		target := c.engines[id]
@@ -32,12 +33,12 @@
 			swapping++
 			c.continueSwap(target, pool.Model, newest)
 		case c.needsSwap(target, newest):
-			behind = append(behind, target)
+			outdated = append(outdated, target)
 		}
 	}
 	allowed := max(1, owned*pool.MaxSwappingPercent/100) - swapping
-	for _, target := range leastRunningFirst(behind) {
-		// An engine without weights serves nobody, so it need not wait its turn.
+	for _, target := range sortByRunning(outdated) {
+		// An engine without weights serves no requests, so the limit does not apply.
 		if target.version != 0 && allowed <= 0 {
 			continue
 		}
@@ -48,13 +49,13 @@
 }
 
 func (c *Core) needsSwap(target *engine, newest uint64) bool {
-	return newest > 0 && target.version < newest && target.fenced && target.order == nil && !target.leaving &&
-		c.now-target.reportAt <= reportMaxAgeMillis && c.now >= target.retryOrderAt
+	return newest > 0 && target.version < newest && target.epochAccepted && target.order == nil && !target.draining &&
+		c.now-target.lastReportAt <= maxReportAgeMillis && c.now >= target.nextOrderAt
 }
 
-// continueSwap sends the order once nothing that runs stands in its way: under
-// the finish policy running requests end first, under the restart policy
-// samples are cancelled and run again, under the continue policy all go on.
+// continueSwap sends the swap order once the running requests allow it: the finish
+// policy waits for them, the restart policy cancels and requeues samples, and the
+// continue policy lets them run.
 func (c *Core) continueSwap(target *engine, model string, newest uint64) {
 	if target.order != nil {
 		return
@@ -62,12 +63,12 @@
 	waiting := false
 	for _, attempt := range slices.Sorted(maps.Keys(target.running)) {
 		running := target.running[attempt]
-		switch c.policyOf(running) {
+		switch c.weightPolicyOf(running) {
 		case state.FinishRunning:
 			waiting = true
 		case state.RestartRunning:
 			if running.sample != nil {
-				c.restart(running)
+				c.restartSample(running)
 			}
 		}
 	}
@@ -76,21 +77,21 @@
 	}
 }
 
-func (c *Core) policyOf(request *request) state.WeightPolicy {
+func (c *Core) weightPolicyOf(request *request) state.WeightPolicy {
 	if pool := c.catalog.Pools[request.pool]; pool != nil {
 		return pool.Spec.Policy
 	}
 	return state.ContinueRunning
 }
 
-func (c *Core) restart(request *request) {
+func (c *Core) restartSample(request *request) {
 	c.cancelAttempt(request)
 	c.counters.TokensWasted += uint64(len(request.tokens))
 	request.tokens, request.segments = nil, nil
 	c.requeueSample(request)
 }
 
-func leastRunningFirst(engines []*engine) []*engine {
+func sortByRunning(engines []*engine) []*engine {
 	slices.SortStableFunc(engines, func(a, b *engine) int { return len(a.running) - len(b.running) })
 	return engines
 }
--- a/server/callers.go
+++ b/server/callers.go
@@ -353,7 +353,7 @@
 	}
 	return callerErrorDetail{
 		Outcome: received.Outcome.String(), Reason: string(received.Reason), Message: message,
-		RetryAfterMilliseconds: received.RetryMillis,
+		RetryAfterMilliseconds: received.RetryAfterMillis,
 	}
 }
 
--- a/server/node.go
+++ b/server/node.go
@@ -113,9 +113,9 @@
 func (n *Node) tick() {
 	n.core.Tick(n.now())
 	n.status.Store(&nodeStatus{
-		leased: n.core.Leased(), revision: n.core.Revision(), inFlight: n.core.InFlight(), counters: n.core.Counters(),
+		leased: n.core.HasLease(), revision: n.core.Revision(), inFlight: n.core.InFlight(), counters: n.core.Counters(),
 	})
-	if leased := n.core.Leased(); leased != n.leased {
+	if leased := n.core.HasLease(); leased != n.leased {
 		n.leased = leased
 		kind := event.LeaseLost
 		if leased {
