--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,5 @@
-// Package client is the Go client of dillchute's control interface. It finds
-// the leader, resends calls whose answer was lost, and keeps a trainer's
-// cursor and session.
+// Package client is the Go client of dillchute's control API. It finds the leader,
+// retries failed calls, and tracks a trainer's cursor and session.
 package client
 
 import (
@@ -18,43 +17,42 @@
 
 var (
 	namespace = errorx.NewNamespace("client")
-	// ErrUnavailable: no replica decided the call before the context ended.
-	// The call may have been carried out; it may be resent with the same identity.
+	// ErrUnavailable: no replica completed the call before the context ended. The
+	// call may have been executed; it can be retried with the same ID.
 	ErrUnavailable = namespace.NewType("unavailable")
-	// ErrRejected: the call was refused for what it says, or for the state of
-	// things; resending it does not help.
+	// ErrRejected: the call is invalid or not possible in the current state; a
+	// retry does not help.
 	ErrRejected = namespace.NewType("rejected")
 )
 
 const (
-	leaderHeader = "Dillchute-Leader"
-	callTimeout  = 3 * time.Second
-	retryPause   = 100 * time.Millisecond
+	leaderHeader  = "Dillchute-Leader"
+	callTimeout   = 3 * time.Second
+	retryInterval = 100 * time.Millisecond
 )
 
-// Client calls the leader of the control replicas. Its methods must not be
-// called concurrently; several clients may be.
+// Client calls the leader of the control replicas. It is not safe for concurrent use.
 type Client struct {
 	addresses []string
 	current   string
-	next      int
+	nextIndex int
 	http      *http.Client
 }
 
-// New returns a client that knows the replicas by their addresses.
+// New returns a client for the control replicas with the given addresses.
 func New(addresses []string) *Client {
 	return &Client{addresses: addresses, current: addresses[0], http: &http.Client{}}
 }
 
-// call tries replicas until one decides the call or the context ends. Each try
-// may take callTimeout plus the extra time.
-func call[Request, Response any](ctx context.Context, c *Client, extra time.Duration, request *Request,
-	do func(context.Context, string, *connect.Request[Request]) (*connect.Response[Response], error),
+// call tries replicas until one completes or rejects the call or the context ends.
+// Each attempt may take callTimeout plus extraTimeout.
+func call[Request, Response any](ctx context.Context, c *Client, extraTimeout time.Duration, request *Request,
+	send func(context.Context, string, *connect.Request[Request]) (*connect.Response[Response], error),
 ) (*Response, error) {
-	var last error
+	var lastErr error
 	for {
-		limited, cancel := context.WithTimeout(ctx, callTimeout+extra)
-		response, err := do(limited, "http://"+c.current, connect.NewRequest(request))
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout+extraTimeout)
+		response, err := send(callCtx, "http://"+c.current, connect.NewRequest(request))
 		cancel()
 		if err == nil {
 			return response.Msg, nil
@@ -62,12 +60,12 @@
 		if isRejection(err) {
 			return nil, ErrRejected.Wrap(err, "%s", c.current)
 		}
-		last = err
-		c.moveOn(err)
+		lastErr = err
+		c.selectNextReplica(err)
 		select {
 		case <-ctx.Done():
-			return nil, ErrUnavailable.Wrap(last, "no replica decided the call")
-		case <-time.After(retryPause):
+			return nil, ErrUnavailable.Wrap(lastErr, "no replica completed the call")
+		case <-time.After(retryInterval):
 		}
 	}
 }
@@ -80,17 +78,17 @@
 	return false
 }
 
-// moveOn follows the replica's word about the leader, or tries the next one.
-func (c *Client) moveOn(err error) {
-	var refusal *connect.Error
-	if errors.As(err, &refusal) {
-		if leader := refusal.Meta().Get(leaderHeader); leader != "" && leader != c.current {
+// selectNextReplica switches to the leader named in the error, or else to the next replica.
+func (c *Client) selectNextReplica(err error) {
+	var connectErr *connect.Error
+	if errors.As(err, &connectErr) {
+		if leader := connectErr.Meta().Get(leaderHeader); leader != "" && leader != c.current {
 			c.current = leader
 			return
 		}
 	}
-	c.next = (c.next + 1) % len(c.addresses)
-	c.current = c.addresses[c.next]
+	c.nextIndex = (c.nextIndex + 1) % len(c.addresses)
+	c.current = c.addresses[c.nextIndex]
 }
 
 func (c *Client) operations(address string) dillchutev1connect.OperationsClient {
@@ -101,63 +99,63 @@
 	return dillchutev1connect.NewRolloutsClient(c.http, address)
 }
 
-// Apply calls the schema's Apply.
+// Apply replaces the declared pools if the request's base revision is current.
 func (c *Client) Apply(ctx context.Context, request *dillchutev1.ApplyRequest) (*dillchutev1.ApplyResponse, error) {
 	return call(ctx, c, 0, request, func(ctx context.Context, address string, r *connect.Request[dillchutev1.ApplyRequest]) (*connect.Response[dillchutev1.ApplyResponse], error) {
 		return c.operations(address).Apply(ctx, r)
 	})
 }
 
-// GetDeclarations calls the schema's GetDeclarations.
+// GetDeclarations returns the declared pools and their revision.
 func (c *Client) GetDeclarations(ctx context.Context) (*dillchutev1.GetDeclarationsResponse, error) {
 	return call(ctx, c, 0, &dillchutev1.GetDeclarationsRequest{}, func(ctx context.Context, address string, r *connect.Request[dillchutev1.GetDeclarationsRequest]) (*connect.Response[dillchutev1.GetDeclarationsResponse], error) {
 		return c.operations(address).GetDeclarations(ctx, r)
 	})
 }
 
-// GetHistory calls the schema's GetHistory.
+// GetHistory returns the last accepted changes, newest first.
 func (c *Client) GetHistory(ctx context.Context, limit uint32) (*dillchutev1.GetHistoryResponse, error) {
 	return call(ctx, c, 0, &dillchutev1.GetHistoryRequest{Limit: limit}, func(ctx context.Context, address string, r *connect.Request[dillchutev1.GetHistoryRequest]) (*connect.Response[dillchutev1.GetHistoryResponse], error) {
 		return c.operations(address).GetHistory(ctx, r)
 	})
 }
 
-// GetStatus calls the schema's GetStatus.
+// GetStatus returns the status of replicas, nodes, engines and pools.
 func (c *Client) GetStatus(ctx context.Context) (*dillchutev1.GetStatusResponse, error) {
 	return call(ctx, c, 0, &dillchutev1.GetStatusRequest{}, func(ctx context.Context, address string, r *connect.Request[dillchutev1.GetStatusRequest]) (*connect.Response[dillchutev1.GetStatusResponse], error) {
 		return c.operations(address).GetStatus(ctx, r)
 	})
 }
 
-// DrainNode calls the schema's DrainNode.
+// DrainNode sets or clears a node's draining flag.
 func (c *Client) DrainNode(ctx context.Context, request *dillchutev1.DrainNodeRequest) (*dillchutev1.DrainNodeResponse, error) {
 	return call(ctx, c, 0, request, func(ctx context.Context, address string, r *connect.Request[dillchutev1.DrainNodeRequest]) (*connect.Response[dillchutev1.DrainNodeResponse], error) {
 		return c.operations(address).DrainNode(ctx, r)
 	})
 }
 
-// DrainEngine calls the schema's DrainEngine.
+// DrainEngine sets or clears an engine's draining flag.
 func (c *Client) DrainEngine(ctx context.Context, request *dillchutev1.DrainEngineRequest) (*dillchutev1.DrainEngineResponse, error) {
 	return call(ctx, c, 0, request, func(ctx context.Context, address string, r *connect.Request[dillchutev1.DrainEngineRequest]) (*connect.Response[dillchutev1.DrainEngineResponse], error) {
 		return c.operations(address).DrainEngine(ctx, r)
 	})
 }
 
-// ChangeMembership calls the schema's ChangeMembership.
+// ChangeMembership adds, promotes or removes a control replica.
 func (c *Client) ChangeMembership(ctx context.Context, request *dillchutev1.ChangeMembershipRequest) (*dillchutev1.ChangeMembershipResponse, error) {
 	return call(ctx, c, 0, request, func(ctx context.Context, address string, r *connect.Request[dillchutev1.ChangeMembershipRequest]) (*connect.Response[dillchutev1.ChangeMembershipResponse], error) {
 		return c.operations(address).ChangeMembership(ctx, r)
 	})
 }
 
-// SubmitStep calls the schema's SubmitStep.
+// SubmitStep submits the prompts of one training step.
 func (c *Client) SubmitStep(ctx context.Context, request *dillchutev1.SubmitStepRequest) (*dillchutev1.SubmitStepResponse, error) {
 	return call(ctx, c, 0, request, func(ctx context.Context, address string, r *connect.Request[dillchutev1.SubmitStepRequest]) (*connect.Response[dillchutev1.SubmitStepResponse], error) {
 		return c.rollouts(address).SubmitStep(ctx, r)
 	})
 }
 
-// PublishWeights calls the schema's PublishWeights.
+// PublishWeights publishes a new weight version of a model.
 func (c *Client) PublishWeights(ctx context.Context, request *dillchutev1.PublishWeightsRequest) (*dillchutev1.PublishWeightsResponse, error) {
 	return call(ctx, c, 0, request, func(ctx context.Context, address string, r *connect.Request[dillchutev1.PublishWeightsRequest]) (*connect.Response[dillchutev1.PublishWeightsResponse], error) {
 		return c.rollouts(address).PublishWeights(ctx, r)
@@ -167,8 +165,8 @@
 func (c *Client) fetch(ctx context.Context, request *dillchutev1.FetchRequest) (*dillchutev1.FetchResponse, error) {
 	wait := time.Duration(request.WaitMilliseconds) * time.Millisecond
 	return call(ctx, c, wait, request, func(ctx context.Context, address string, r *connect.Request[dillchutev1.FetchRequest]) (*connect.Response[dillchutev1.FetchResponse], error) {
-		// Each try is a fetch of its own: an answer to an earlier one that
-		// is still under way must not be taken.
+		// Each attempt has its own sequence number, so that a delayed earlier
+		// attempt becomes invalid.
 		r.Msg.Sequence++
 		return c.rollouts(address).Fetch(ctx, r)
 	})
--- a/client/trainer.go
+++ b/client/trainer.go
@@ -7,9 +7,9 @@
 	dillchutev1 "github.com/dillchute/dillchute/api/dillchute/v1"
 )
 
-// Trainer fetches the samples of one pool for one trainer process. Each sample
-// is returned once. The caller must store the cursor together with what it
-// made of the samples, and hand it to the next process's Trainer.
+// Trainer fetches the samples of one pool for one trainer process. Each sample is
+// returned once. The caller must store the cursor together with the results of the
+// samples, and pass it to NewTrainer after a restart.
 type Trainer struct {
 	client   *Client
 	pool     string
@@ -18,8 +18,8 @@
 	cursor   uint64
 }
 
-// NewTrainer returns a trainer that goes on after the cursor. The session must
-// be above that of any earlier process of the pool's trainer.
+// NewTrainer returns a trainer that continues after the cursor. The session must be
+// higher than that of any earlier process of the pool's trainer.
 func NewTrainer(client *Client, pool string, session, cursor uint64) *Trainer {
 	return &Trainer{client: client, pool: pool, session: session, cursor: cursor}
 }
@@ -27,9 +27,8 @@
 // Cursor returns the number of the last delivery that Fetch has returned.
 func (t *Trainer) Cursor() uint64 { return t.cursor }
 
-// Fetch acknowledges what earlier calls returned and waits for more samples,
-// at most for the given time. It returns an ErrRejected error if a later
-// session has taken over.
+// Fetch acknowledges the samples returned by earlier calls and waits at most the given
+// time for more. It returns an ErrRejected error if a later session has started.
 func (t *Trainer) Fetch(ctx context.Context, heldVersion uint64, limit uint32, wait time.Duration) (*dillchutev1.FetchResponse, error) {
 	request := &dillchutev1.FetchRequest{
 		Pool: t.pool, Session: t.session, Sequence: t.sequence, Cursor: t.cursor,
@@ -41,7 +40,7 @@
 		return nil, err
 	}
 	if !response.Valid {
-		return nil, ErrRejected.New("a later fetch or session of pool %q has voided this one", t.pool)
+		return nil, ErrRejected.New("fetch from pool %q was superseded by a later fetch or session", t.pool)
 	}
 	for _, sample := range response.Samples {
 		t.cursor = sample.Delivery
--- a/declaration/declaration.go
+++ b/declaration/declaration.go
@@ -1,5 +1,5 @@
-// Package declaration reads declared pools from the YAML files of a folder and
-// converts them to and from the schema's messages.
+// Package declaration reads pool declarations from the YAML files of a folder and
+// converts pools to and from protobuf messages.
 package declaration
 
 import (
@@ -21,16 +21,16 @@
 
 var (
 	namespace = errorx.NewNamespace("declaration")
-	// ErrInvalid: a file cannot be read or holds something wrong.
+	// ErrInvalid: a file cannot be read or is invalid.
 	ErrInvalid = namespace.NewType("invalid")
 )
 
-// file is the form of a declaration's file.
+// file is the content of a declaration file.
 type file struct {
 	Pools []pool `yaml:"pools"`
 }
 
-// pool is the form of a pool in a file.
+// pool is a pool in a declaration file.
 type pool struct {
 	Name                 string        `yaml:"name"`
 	Model                string        `yaml:"model"`
@@ -54,7 +54,7 @@
 	}
 }
 
-// UnmarshalYAML lays the file's fields over the defaults.
+// UnmarshalYAML decodes a pool; fields that are not set have default values.
 func (p *pool) UnmarshalYAML(node ast.Node) error {
 	type plain pool
 	defaults := plain(defaultPool())
@@ -84,8 +84,8 @@
 	}
 }
 
-// Load reads and checks all .yaml and .yml files of the folder, ordered by
-// name. It returns an ErrInvalid error that names file and line or field path.
+// Load reads and validates all .yaml and .yml files of the folder, sorted by name.
+// An ErrInvalid error names the file and the line or the field path.
 func Load(folder string) ([]state.PoolSpec, error) {
 	names, err := fileNames(folder)
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 	var pools []state.PoolSpec
 	var problems []string
-	origin := map[string]string{}
+	declaredIn := map[string]string{}
 	for _, name := range names {
 		declared, err := loadFile(filepath.Join(folder, name))
 		if err != nil {
@@ -103,15 +103,15 @@
 			problems = append(problems, name+": "+problem.String())
 		}
 		for position, pool := range declared {
-			if first, ok := origin[pool.Name]; ok && first != name {
-				problems = append(problems, fmt.Sprintf("%s: pools[%d].name: %q is declared in %s too", name, position, pool.Name, first))
+			if first, ok := declaredIn[pool.Name]; ok && first != name {
+				problems = append(problems, fmt.Sprintf("%s: pools[%d].name: %q is also declared in %s", name, position, pool.Name, first))
 			}
-			origin[pool.Name] = name
+			declaredIn[pool.Name] = name
 		}
 		pools = append(pools, declared...)
 	}
 	if len(problems) == 0 {
-		// Faults between pools of different files have no single file.
+		// Conflicts between pools of different files are reported for the folder.
 		for _, problem := range state.ValidatePools(pools) {
 			problems = append(problems, folder+": "+problem.String())
 		}
@@ -125,7 +125,7 @@
 func fileNames(folder string) ([]string, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
-		return nil, ErrInvalid.Wrap(err, "read folder")
+		return nil, ErrInvalid.Wrap(err, "read declaration folder")
 	}
 	var names []string
 	for _, entry := range entries {
@@ -144,7 +144,7 @@
 func loadFile(path string) ([]state.PoolSpec, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, ErrInvalid.Wrap(err, "read declaration")
+		return nil, ErrInvalid.Wrap(err, "read declaration file")
 	}
 	pools, err := Parse(data)
 	if err != nil {
@@ -153,7 +153,7 @@
 	return pools, nil
 }
 
-// Parse decodes one file's content, without checking the values.
+// Parse decodes the content of one file without validating the values.
 func Parse(data []byte) ([]state.PoolSpec, error) {
 	var decoded file
 	if err := config.DecodeStrict(data, &decoded); err != nil {
@@ -166,7 +166,7 @@
 	return specs, nil
 }
 
-// ToProto converts a pool to the schema's form.
+// ToProto converts a pool to its protobuf message.
 func ToProto(spec state.PoolSpec) *dillchutev1.PoolSpec {
 	return &dillchutev1.PoolSpec{
 		Name: spec.Name, Model: spec.Model, EngineGroup: spec.EngineGroup,
@@ -179,10 +179,11 @@
 	}
 }
 
-// maxByte keeps out-of-range numbers of the schema out of range when narrowed.
+// maxByte caps protobuf numbers before they are narrowed to 8 bits, so that invalid
+// values stay invalid.
 const maxByte = 255
 
-// FromProto converts a pool from the schema's form.
+// FromProto converts a pool from its protobuf message.
 func FromProto(spec *dillchutev1.PoolSpec) state.PoolSpec {
 	return state.PoolSpec{
 		Name: spec.GetName(), Model: spec.GetModel(), EngineGroup: spec.GetEngineGroup(),
--- a/state/declaration.go
+++ b/state/declaration.go
@@ -161,7 +161,7 @@
 		}
 		seen[pool.Name] = position
 		if model, ok := models[pool.EngineGroup]; ok && model != pool.Model {
-			problems = append(problems, Problem{path + ".model", fmt.Sprintf("engine group %q serves model %q already", pool.EngineGroup, model)})
+			problems = append(problems, Problem{path + ".model", fmt.Sprintf("engine group %q already serves model %q", pool.EngineGroup, model)})
 		}
 		models[pool.EngineGroup] = pool.Model
 		problems = append(problems, pool.validate(path)...)
