--- a/state/machine_test.go
+++ b/state/machine_test.go
@@ -115,7 +115,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newMachinePair()
 		var arrivals []*arrival
-		var running *arrival
+		var holder *arrival
 		refused := map[*arrival]bool{}
 		epochs := map[string]uint64{}
 		register := func(id string, incarnation uint64) {
@@ -131,9 +131,9 @@
 				return
 			}
 			require.False(t, refused[chosen], "an arrival reported as not run was granted the claim")
-			require.True(t, running == nil || running == chosen, "two arrivals hold the claim")
+			require.True(t, holder == nil || holder == chosen, "two arrivals hold the claim")
 			require.LessOrEqual(t, p.now, chosen.claim.IssuedAt+window)
-			running = chosen
+			holder = chosen
 		}
 		// withArrival calls the action with a random arrival, if there is one.
 		withArrival := func(action func(t *rapid.T, chosen *arrival)) func(*rapid.T) {
@@ -162,12 +162,12 @@
 				// The request has not reached an engine, so another arrival may be granted the claim.
 				chosen.resolved, refused[chosen] = true, true
 				p.apply(t, Command{ResolveClaim: &ResolveClaim{Claim: chosen.claim, NotRun: true}})
-				if running == chosen {
-					running = nil
+				if holder == chosen {
+					holder = nil
 				}
 			}),
 			"answer": withArrival(func(t *rapid.T, chosen *arrival) {
-				if chosen.resolved || running != chosen {
+				if chosen.resolved || holder != chosen {
 					return
 				}
 				chosen.resolved = true
