--- a/ledger/command.go
+++ b/ledger/command.go
@@ -1,6 +1,5 @@
-// Package ledger is the replicated record of steps: what a trainer handed in,
-// and the results in the order in which they became known. Apply is a pure
-// function of state and command.
+// Package ledger is the replicated state machine for training steps: the steps that trainers submit
+// and their results in commit order. Machine.Apply is deterministic.
 package ledger
 
 import (
@@ -16,33 +15,33 @@
 	Record *Record `cbor:"2,keyasint,omitempty"`
 	End    *End    `cbor:"3,keyasint,omitempty"`
 	Prune  *Prune  `cbor:"4,keyasint,omitempty"`
-	// Order says that the leader is about to give an order to an engine, whose ID is the
-	// subject: the next leader must know for how long it must not.
+	// Order is committed before the leader sends an order to the engine whose ID is the subject, so that
+	// the next leader knows how long it must wait before it sends one.
 	Order *duty.Action `cbor:"5,keyasint,omitempty"`
-	// Checkpoint keeps what long runs have produced so far.
+	// Checkpoint saves the output of unfinished runs.
 	Checkpoint *Checkpoint `cbor:"6,keyasint,omitempty"`
 	Paces      *Paces      `cbor:"7,keyasint,omitempty"`
-	// Failed counts what engines and reward calls have failed of a sample.
+	// Failed records how often engine runs and reward calls of a sample have failed.
 	Failed *Failed `cbor:"8,keyasint,omitempty"`
 }
 
-// Failed says how often a sample has failed so far. The counts never fall.
+// Failed sets a sample's failure counts. A lower count than the recorded one is ignored.
 type Failed struct {
 	Step   string   `cbor:"1,keyasint"`
 	Sample string   `cbor:"2,keyasint"`
 	Counts Failures `cbor:"3,keyasint"`
 }
 
-// Failures counts the answers that were failures, over all leaders.
+// Failures counts the failed attempts of a sample across all leaders.
 type Failures struct {
-	// Runs are those of engines, Rewards those of reward calls.
+	// Runs counts engine runs, Rewards counts reward calls.
 	Runs    int `cbor:"1,keyasint"`
 	Rewards int `cbor:"2,keyasint"`
 }
 
-// Paces is what the leader has observed of the engines, for the next leader.
+// Paces saves the generation speed that the leader has observed per engine, for the next leader.
 type Paces struct {
-	// Millis is the time between two events of a run, by the engines' IDs.
+	// Millis maps an engine's ID to the time between two events of a run.
 	Millis map[string]float64 `cbor:"1,keyasint"`
 }
 
@@ -61,71 +60,69 @@
 	Body []byte `cbor:"4,keyasint"`
 }
 
-// Sample is one request for tokens of a step.
+// Sample is one generation request of a step.
 type Sample struct {
 	ID     string  `cbor:"1,keyasint"`
 	Path   string  `cbor:"2,keyasint"`
 	Header []Field `cbor:"3,keyasint"`
 	Body   []byte  `cbor:"4,keyasint"`
-	// Group names the samples that share a prompt and count only together.
+	// Group names the samples that share a prompt and count only as a complete group.
 	Group  string  `cbor:"5,keyasint"`
 	Reward *Reward `cbor:"6,keyasint"`
-	// Predicted is the expected number of tokens that come out, 0 if unknown.
+	// Predicted is the expected number of output tokens, 0 if unknown.
 	Predicted int `cbor:"7,keyasint"`
-	// MostTokens is the most tokens that come out, 0 if unknown.
+	// MostTokens is the maximum number of output tokens, 0 if unknown.
 	MostTokens int `cbor:"8,keyasint,omitempty"`
 }
 
-// Step is what a trainer hands in at once.
+// Step is a batch of samples that a trainer submits together.
 type Step struct {
 	ID   string `cbor:"1,keyasint"`
 	Host string `cbor:"2,keyasint"`
-	// Number counts the trainer's steps, from 0.
+	// Number is the index of the step within the training run, from 0.
 	Number int    `cbor:"3,keyasint"`
 	Model  string `cbor:"4,keyasint"`
-	// OldestVersion is the oldest version of the weights that may make tokens.
+	// OldestVersion is the oldest version of the weights that may generate tokens.
 	OldestVersion uint64 `cbor:"5,keyasint"`
 	SingleVersion bool   `cbor:"6,keyasint"`
-	// Wanted is the number of groups that the trainer waits for.
+	// Wanted is the number of complete groups that the trainer waits for.
 	Wanted int `cbor:"7,keyasint"`
-	// Attempts is the number of failures after which a sample is given up.
+	// Attempts is the number of failures after which a sample fails permanently.
 	Attempts int `cbor:"8,keyasint"`
-	// The times are in milliseconds since 1970, by the leader's clock.
+	// Times are Unix milliseconds by the leader's clock.
 	SubmittedAt int64    `cbor:"9,keyasint"`
 	DueAt       int64    `cbor:"10,keyasint"`
 	GiveUpAt    int64    `cbor:"11,keyasint"`
 	Samples     []Sample `cbor:"12,keyasint"`
-	// Priority ranks the step among others; 0 is the most urgent.
+	// Priority is 0 for the most urgent steps.
 	Priority int `cbor:"13,keyasint"`
-	// EventTokens is the number of tokens that one event of a text holds, 0 if
-	// unknown.
+	// EventTokens is the number of tokens per event, 0 if unknown.
 	EventTokens int `cbor:"14,keyasint,omitempty"`
-	// Tenant is the name of the one that handed the step in, "" where there are none.
+	// Tenant is the tenant that submitted the step, empty in a deployment without tenants.
 	Tenant string `cbor:"15,keyasint,omitempty"`
 }
 
-// State says how a sample ended.
+// State is the final state of a sample.
 type State uint8
 
 // The states.
 const (
-	// Succeeded: the text is whole and scored.
+	// Succeeded means that the text is complete and scored.
 	Succeeded State = iota + 1
-	// Dead: the sample was given up.
-	Dead
+	// FailedPermanently means that the sample is not retried.
+	FailedPermanently
 )
 
-// Result is the end of one sample.
+// Result is the final state of a sample and its output.
 type Result struct {
 	Sample string `cbor:"1,keyasint"`
 	State  State  `cbor:"2,keyasint"`
-	// Text holds the data of all events, separated by line feeds.
+	// Text holds the data of all events, separated by newlines.
 	Text     string   `cbor:"3,keyasint"`
 	Versions []uint64 `cbor:"4,keyasint"`
 	Score    string   `cbor:"5,keyasint"`
-	// Kept is, in a command, the number of events that checkpoints have kept of the
-	// text: Text holds those after them, and Checksum is that of the whole text. It
-	// is 0 in the state, where Text is whole.
+	// Kept is the number of leading events that the command omits from Text because checkpoints hold
+	// them. Checksum covers the complete text. In the state, Text is complete and Kept is 0.
 	Kept     uint64 `cbor:"6,keyasint,omitempty"`
 	Checksum uint32 `cbor:"7,keyasint,omitempty"`
 }
@@ -136,29 +133,29 @@
 	Results []Result `cbor:"2,keyasint"`
 }
 
-// Checkpoint adds to the partial texts of a step's samples.
+// Checkpoint extends the partial texts of a step's samples.
 type Checkpoint struct {
 	Step  string         `cbor:"1,keyasint"`
 	Texts []Continuation `cbor:"2,keyasint"`
 }
 
-// Continuation is what a sample's run has produced after some events.
+// Continuation holds the events that a sample's run has produced after those of earlier checkpoints.
 type Continuation struct {
 	Sample string `cbor:"1,keyasint"`
-	// After is the number of events of the text before these. What is kept
-	// beyond it is replaced: 0 begins the text anew.
+	// After is the number of events that precede Events. Saved events beyond it are replaced; 0
+	// replaces the whole text.
 	After  uint64   `cbor:"2,keyasint"`
 	Events []string `cbor:"3,keyasint"`
-	// Versions made the whole text up to the last of Events.
+	// Versions lists the weights that generated the text up to the last of Events.
 	Versions []uint64 `cbor:"4,keyasint"`
 }
 
-// End closes a step: no more of it is run.
+// End ends a step. None of its remaining samples are run.
 type End struct {
 	Step string `cbor:"1,keyasint"`
 }
 
-// Prune forgets steps that have ended and whose results nobody may ask for.
+// Prune deletes ended steps whose results can no longer be read.
 type Prune struct {
 	Steps []string `cbor:"1,keyasint"`
 }
@@ -166,25 +163,24 @@
 var encoder = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic("ledger: encoder options: " + err.Error())
+		panic("ledger: invalid encoder options: " + err.Error())
 	}
 	return mode
 }()
 
-// maxCommandBytes bounds a command that was packed.
+// maxCommandBytes limits the size of an unpacked command.
 const maxCommandBytes = 256 << 20
 
-// Encode returns the command as bytes for the log, packed.
+// Encode returns the packed encoding of the command for the log.
 func (c Command) Encode() []byte {
 	data, err := encoder.Marshal(c)
 	if err != nil {
-		panic("ledger: a command must encode: " + err.Error())
+		panic("ledger: encode command: " + err.Error())
 	}
 	return pack.Pack(data)
 }
 
-// decodeCommand reads what Encode returned. It fails with a pack.ErrCorrupt error
-// or one of the decoder's.
+// decodeCommand decodes the output of Encode. It returns a pack.ErrCorrupt error or a decoder error.
 func decodeCommand(data []byte) (Command, error) {
 	var command Command
 	err := pack.Decode(data, maxCommandBytes, &command)
--- a/ledger/machine_test.go
+++ b/ledger/machine_test.go
@@ -12,7 +12,7 @@
 	_ "github.com/dillchute/dillchute/internal/fixedseed"
 )
 
-func step(id string, samples int) *Step {
+func newStep(id string, samples int) *Step {
 	s := &Step{ID: id}
 	for number := range samples {
 		s.Samples = append(s.Samples, Sample{ID: fmt.Sprintf("%s-%d", id, number), Body: []byte{byte(number)}})
@@ -20,18 +20,17 @@
 	return s
 }
 
-// TestPositionsNeverChange: whatever is recorded, repeated, ended or restored
-// from a snapshot, a result keeps its position and content, no sample stands
-// twice, and what belongs to another step is not taken.
-func TestPositionsNeverChange(t *testing.T) {
+// TestResultPositionsNeverChange checks that recorded results keep their position and content through
+// any sequence of commands and restores, without duplicates or results of another step's samples.
+func TestResultPositionsNeverChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
-		seen := map[string][]Result{}
+		earlierResults := map[string][]Result{}
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "step")
 			switch rapid.IntRange(0, 6).Draw(t, "command") {
 			case 0:
-				m.Apply(Command{Submit: step(id, rapid.IntRange(1, 6).Draw(t, "samples"))}.Encode())
+				m.Apply(Command{Submit: newStep(id, rapid.IntRange(1, 6).Draw(t, "samples"))}.Encode())
 			case 1, 2, 3:
 				record := &Record{Step: id}
 				for range rapid.IntRange(1, 3).Draw(t, "results") {
@@ -45,9 +44,9 @@
 				m.Apply(Command{End: &End{Step: id}}.Encode())
 			case 5:
 				restored := NewMachine()
-				var written bytes.Buffer
-				require.NoError(t, m.Snapshot()(&written))
-				require.NoError(t, restored.Restore(&written))
+				var snapshot bytes.Buffer
+				require.NoError(t, m.Snapshot()(&snapshot))
+				require.NoError(t, restored.Restore(&snapshot))
 				m = restored
 			case 6:
 				m.Apply(Command{Checkpoint: &Checkpoint{Step: id, Texts: []Continuation{{
@@ -57,31 +56,31 @@
 			}
 			for _, entry := range m.Steps() {
 				for sample := range entry.Partials {
-					require.False(t, entry.Ended || entry.Listed(sample), "no partial text beside a result")
+					require.False(t, entry.Ended || entry.HasResult(sample), "partial text of a sample with a result or of an ended step")
 					require.NotNil(t, entry.Sample(sample))
 				}
-				before := seen[entry.Step.ID]
-				require.GreaterOrEqual(t, len(entry.Results), len(before))
-				require.Equal(t, before, append([]Result(nil), entry.Results[:len(before)]...))
-				seen[entry.Step.ID] = append([]Result(nil), entry.Results...)
-				samples := map[string]bool{}
+				earlier := earlierResults[entry.Step.ID]
+				require.GreaterOrEqual(t, len(entry.Results), len(earlier))
+				require.Equal(t, earlier, append([]Result(nil), entry.Results[:len(earlier)]...))
+				earlierResults[entry.Step.ID] = append([]Result(nil), entry.Results...)
+				recorded := map[string]bool{}
 				for _, result := range entry.Results {
-					require.False(t, samples[result.Sample])
+					require.False(t, recorded[result.Sample])
 					require.NotNil(t, entry.Sample(result.Sample))
-					require.True(t, entry.Listed(result.Sample))
-					samples[result.Sample] = true
+					require.True(t, entry.HasResult(result.Sample))
+					recorded[result.Sample] = true
 				}
 			}
 		}
 	})
 }
 
-// TestEndedStepTakesNoMoreResults also holds for a step that is sent again.
-func TestEndedStepTakesNoMoreResults(t *testing.T) {
+// TestEndedStepRejectsResults checks that submitting an ended step again does not reopen it.
+func TestEndedStepRejectsResults(t *testing.T) {
 	m := NewMachine()
-	m.Apply(Command{Submit: step("a", 2)}.Encode())
+	m.Apply(Command{Submit: newStep("a", 2)}.Encode())
 	m.Apply(Command{End: &End{Step: "a"}}.Encode())
-	m.Apply(Command{Submit: step("a", 2)}.Encode())
+	m.Apply(Command{Submit: newStep("a", 2)}.Encode())
 	m.Apply(Command{Record: &Record{Step: "a", Results: []Result{{Sample: "a-0"}}}}.Encode())
 	require.True(t, m.Step("a").Ended)
 	require.Empty(t, m.Step("a").Results)
@@ -89,27 +88,26 @@
 	require.Nil(t, m.Step("a"))
 }
 
-// TestCheckpointsTileTheText: a checkpoint adds to what is kept, repeats change
-// nothing, a gap is refused, a text that begins anew replaces the old one, and
-// a copy for a snapshot does not change.
-func TestCheckpointsTileTheText(t *testing.T) {
+// TestCheckpointsExtendPartialText checks continuations that append, repeat, overlap, replace or would
+// leave a gap, and that later checkpoints do not modify a snapshot taken before.
+func TestCheckpointsExtendPartialText(t *testing.T) {
 	m := NewMachine()
-	m.Apply(Command{Submit: step("a", 2)}.Encode())
-	save := func(after uint64, versions []uint64, events ...string) {
+	m.Apply(Command{Submit: newStep("a", 2)}.Encode())
+	checkpoint := func(after uint64, versions []uint64, events ...string) {
 		m.Apply(Command{Checkpoint: &Checkpoint{Step: "a", Texts: []Continuation{
 			{Sample: "a-0", After: after, Events: events, Versions: versions},
 		}}}.Encode())
 	}
-	save(0, []uint64{1}, "1", "2")
-	save(2, []uint64{1, 2}, "3", "4")
+	checkpoint(0, []uint64{1}, "1", "2")
+	checkpoint(2, []uint64{1, 2}, "3", "4")
 	snapshot := m.Snapshot()
-	save(2, []uint64{1, 2}, "3", "4")
+	checkpoint(2, []uint64{1, 2}, "3", "4")
 	require.Equal(t, Partial{Events: []string{"1", "2", "3", "4"}, Versions: []uint64{1, 2}}, m.Step("a").Partials["a-0"])
-	save(5, []uint64{1}, "6")
+	checkpoint(5, []uint64{1}, "6")
 	require.Len(t, m.Step("a").Partials["a-0"].Events, 4)
-	save(3, []uint64{1, 2}, "d", "e")
+	checkpoint(3, []uint64{1, 2}, "d", "e")
 	require.Equal(t, []string{"1", "2", "3", "d", "e"}, m.Step("a").Partials["a-0"].Events)
-	save(0, []uint64{3}, "new")
+	checkpoint(0, []uint64{3}, "new")
 	require.Equal(t, Partial{Events: []string{"new"}, Versions: []uint64{3}}, m.Step("a").Partials["a-0"])
 
 	var written bytes.Buffer
@@ -119,63 +117,61 @@
 	require.Equal(t, []string{"1", "2", "3", "4"}, restored.Step("a").Partials["a-0"].Events)
 
 	m.Apply(Command{Record: &Record{Step: "a", Results: []Result{{Sample: "a-0", State: Succeeded}}}}.Encode())
-	save(0, []uint64{3}, "late")
+	checkpoint(0, []uint64{3}, "late")
 	require.Empty(t, m.Step("a").Partials)
 }
 
-// TestLargeCommandsArePacked: and entries of an earlier version, which are not,
-// are still read.
+// TestLargeCommandsArePacked also checks that unpacked entries of earlier versions are decoded.
 func TestLargeCommandsArePacked(t *testing.T) {
 	record := Command{Record: &Record{Step: "a", Results: []Result{
 		{Sample: "a-0", State: Succeeded, Text: strings.Repeat("a text of many words ", 1000)},
 	}}}
-	plain, err := encoder.Marshal(record)
+	unpacked, err := encoder.Marshal(record)
 	require.NoError(t, err)
-	require.Less(t, len(record.Encode()), len(plain)/2)
-	for _, data := range [][]byte{plain, record.Encode()} {
+	require.Less(t, len(record.Encode()), len(unpacked)/2)
+	for _, data := range [][]byte{unpacked, record.Encode()} {
 		m := NewMachine()
-		m.Apply(Command{Submit: step("a", 1)}.Encode())
+		m.Apply(Command{Submit: newStep("a", 1)}.Encode())
 		m.Apply(data)
 		require.Equal(t, record.Record.Results, m.Step("a").Results)
 	}
 }
 
-// TestPacesAreKept: also over a snapshot, and the newest replace the others.
-func TestPacesAreKept(t *testing.T) {
+// TestPacesSurviveSnapshot also checks that a newer report replaces all earlier paces.
+func TestPacesSurviveSnapshot(t *testing.T) {
 	m := NewMachine()
 	generation := m.Generation
 	m.Apply(Command{Paces: &Paces{Millis: map[string]float64{"e0": 40, "e1": 50}}}.Encode())
 	m.Apply(Command{Paces: &Paces{Millis: map[string]float64{"e0": 41}}}.Encode())
-	require.Equal(t, generation, m.Generation, "no result has changed")
-	var written bytes.Buffer
-	require.NoError(t, m.Snapshot()(&written))
+	require.Equal(t, generation, m.Generation, "paces change no step")
+	var snapshot bytes.Buffer
+	require.NoError(t, m.Snapshot()(&snapshot))
 	restored := NewMachine()
-	require.NoError(t, restored.Restore(&written))
+	require.NoError(t, restored.Restore(&snapshot))
 	require.Equal(t, map[string]float64{"e0": 41}, restored.Paces())
 }
 
-// TestResultsGoOnFromWhatIsKept: a result that holds only the events after those
-// of a checkpoint is listed with its whole text; one that does not fit what is
-// kept is not taken.
-func TestResultsGoOnFromWhatIsKept(t *testing.T) {
+// TestRecordRestoresTextFromCheckpoint checks that a shortened result is completed from the checkpoint
+// and ignored if the checkpoint does not match.
+func TestRecordRestoresTextFromCheckpoint(t *testing.T) {
 	events := []string{"1", "2", "3", "4"}
-	whole := Result{Sample: "a-0", State: Succeeded, Text: JoinEvents(events), Versions: []uint64{1}}
-	shortened := whole
+	complete := Result{Sample: "a-0", State: Succeeded, Text: JoinEvents(events), Versions: []uint64{1}}
+	shortened := complete
 	shortened.ShortenText(events, 3)
 	require.Equal(t, "4", shortened.Text)
 	for name, kept := range map[string][]string{
 		"as it was": {"1", "2", "3"}, "longer": {"1", "2", "3", "x"}, "another text": {"1", "x", "3"}, "shorter": {"1", "2"}, "nothing": nil,
 	} {
 		m := NewMachine()
-		m.Apply(Command{Submit: step("a", 1)}.Encode())
+		m.Apply(Command{Submit: newStep("a", 1)}.Encode())
 		if kept != nil {
 			m.Apply(Command{Checkpoint: &Checkpoint{Step: "a", Texts: []Continuation{{Sample: "a-0", Events: kept}}}}.Encode())
 		}
 		m.Apply(Command{Record: &Record{Step: "a", Results: []Result{shortened}}}.Encode())
 		if name != "as it was" && name != "longer" {
 			require.Empty(t, m.Step("a").Results, name)
-			m.Apply(Command{Record: &Record{Step: "a", Results: []Result{whole}}}.Encode())
+			m.Apply(Command{Record: &Record{Step: "a", Results: []Result{complete}}}.Encode())
 		}
-		require.Equal(t, []Result{whole}, m.Step("a").Results, name)
+		require.Equal(t, []Result{complete}, m.Step("a").Results, name)
 	}
 }
--- a/ledger/text.go
+++ b/ledger/text.go
@@ -5,32 +5,32 @@
 	"strings"
 )
 
-// eventSeparator stands between the data of two events of a text.
+// eventSeparator separates the data of events in a text.
 const eventSeparator = "\n"
 
-var checksumTable = crc32.MakeTable(crc32.Castagnoli)
+var crc32cTable = crc32.MakeTable(crc32.Castagnoli)
 
-// JoinEvents returns the text that the events make.
+// JoinEvents joins the data of events to a text.
 func JoinEvents(events []string) string { return strings.Join(events, eventSeparator) }
 
-// ShortenText replaces the result's text by the events after those that
-// checkpoints have kept, of which there must be fewer than all.
+// ShortenText removes the first kept events from the result's text, since checkpoints hold them.
+// At least one event must remain.
 func (r *Result) ShortenText(events []string, kept uint64) {
-	r.Checksum = crc32.Checksum([]byte(r.Text), checksumTable)
+	r.Checksum = crc32.Checksum([]byte(r.Text), crc32cTable)
 	r.Kept, r.Text = kept, JoinEvents(events[kept:])
 }
 
-// wholeText returns the result with its whole text. It tells whether what is
-// kept is the beginning that the result was made with.
-func (r Result) wholeText(kept Partial) (Result, bool) {
+// restoreText returns the result with its complete text, which begins with events of the checkpoint.
+// It returns false if the checkpoint is too short or the checksum does not match.
+func (r Result) restoreText(partial Partial) (Result, bool) {
 	if r.Kept == 0 {
 		return r, true
 	}
-	if uint64(len(kept.Events)) < r.Kept {
+	if uint64(len(partial.Events)) < r.Kept {
 		return r, false
 	}
-	r.Text = JoinEvents(kept.Events[:r.Kept]) + eventSeparator + r.Text
-	matches := crc32.Checksum([]byte(r.Text), checksumTable) == r.Checksum
+	r.Text = JoinEvents(partial.Events[:r.Kept]) + eventSeparator + r.Text
+	matches := crc32.Checksum([]byte(r.Text), crc32cTable) == r.Checksum
 	r.Kept, r.Checksum = 0, 0
 	return r, matches
 }
--- a/runner/choose.go
+++ b/runner/choose.go
@@ -20,8 +20,8 @@
 	if s.Leader != other.Leader {
 		return !s.Leader
 	}
-	if near, otherNear := s.Zone == zone, other.Zone == zone; near != otherNear {
-		return near
+	if isNear, isOtherNear := s.Zone == zone, other.Zone == zone; isNear != isOtherNear {
+		return isNear
 	}
 	if s.Member != other.Member {
 		return !s.Member
--- a/runner/golden_test.go
+++ b/runner/golden_test.go
@@ -14,23 +14,23 @@
 		{Name: "commands", Zero: commands{}},
 		{Name: "report", Zero: report{}},
 	}
-	for position := range kinds {
-		kinds[position].Encode = func(value any) []byte {
+	for i := range kinds {
+		kinds[i].Encode = func(value any) []byte {
 			var frame bytes.Buffer
 			// Writes to a buffer do not fail.
 			_ = writeMessage(&frame, value)
-			return frame.Bytes()[frameHead:]
+			return frame.Bytes()[frameHeaderBytes:]
 		}
-		kinds[position].Decode = func(data []byte, into any) error {
-			return readMessage(bytes.NewReader(append(frameLength(len(data)), data...)), into)
+		kinds[i].Decode = func(data []byte, into any) error {
+			return readMessage(bytes.NewReader(append(encodeFrameLength(len(data)), data...)), into)
 		}
 	}
 	golden.Check(t, kinds)
 }
 
 // frameHead is the number of bytes of a frame's length.
-const frameHead = 4
+const frameHeaderBytes = 4
 
-func frameLength(length int) []byte {
+func encodeFrameLength(length int) []byte {
 	return []byte{byte(length >> 24), byte(length >> 16), byte(length >> 8), byte(length)}
 }
--- a/runner/link.go
+++ b/runner/link.go
@@ -24,7 +24,7 @@
 	maxBackoff = 2 * time.Second
 	// cancelWait is how long the end of a run is waited for that the leader has ended:
 	// several times the way there and back and the runner's endDelay.
-	cancelWait = 100 * time.Millisecond
+	cancelTimeout = 100 * time.Millisecond
 )
 
 var errRefused = errorx.NewNamespace("runner").NewType("link_refused")
@@ -38,7 +38,7 @@
 	name    string
 	context context.Context
 	cancel  context.CancelFunc
-	up      atomic.Bool
+	isOpen  atomic.Bool
 	// changed tells that there are commands to send.
 	changed chan struct{}
 
@@ -50,12 +50,12 @@
 
 // linkRun is a run that the link's runner holds.
 type linkRun struct {
-	each  func(Batch)
-	ended chan scheduler.RunEnd
+	onBatch func(Batch)
+	ended   chan scheduler.RunEnd
 }
 
 // Held is a run that was begun over an earlier link, as a new link brings it back.
-type Held struct {
+type OrphanedRun struct {
 	// Step, Sample and Engine are IDs.
 	Step, Sample, Engine string
 	// Text is the sample's text so far.
@@ -67,22 +67,24 @@
 
 // Accept has what follows the text handed to the function. It must be called before the
 // pool's function for runs that are brought back returns.
-func (h *Held) Accept(each func(Batch)) { h.run.each = each }
+func (h *OrphanedRun) Accept(each func(Batch)) { h.run.onBatch = each }
 
 // Wait waits for the end of a run that was accepted.
-func (h *Held) Wait(ctx context.Context) scheduler.RunEnd { return h.link.wait(ctx, h.number, h.run) }
+func (h *OrphanedRun) Wait(ctx context.Context) scheduler.RunEnd {
+	return h.link.wait(ctx, h.number, h.run)
+}
 
 // Name is that of the store that holds the stream.
-func (h *Held) Name() string { return h.link.name }
+func (h *OrphanedRun) Name() string { return h.link.name }
 
 func newLink(pool *Pool, store Store) *Link {
 	ctx, cancel := context.WithCancel(pool.context)
-	opened := &Link{
+	link := &Link{
 		pool: pool, address: store.Address, store: store, name: store.Name, context: ctx, cancel: cancel,
 		changed: make(chan struct{}, 1), runs: map[uint64]*linkRun{},
 	}
-	go opened.keepOpen()
-	return opened
+	go link.keepOpen()
+	return link
 }
 
 // Name is that of the store that holds the streams, "" for a nil link.
@@ -95,12 +97,12 @@
 
 // Run hands the run's text to the function, part by part and in order, until the run ends.
 // It is Interrupted if the link ends, or is nil.
-func (l *Link) Run(ctx context.Context, request Request, each func(Batch)) scheduler.RunEnd {
+func (l *Link) Run(ctx context.Context, request Request, onBatch func(Batch)) scheduler.RunEnd {
 	if l == nil {
 		return scheduler.Interrupted
 	}
-	run := &linkRun{each: each, ended: make(chan scheduler.RunEnd, 1)}
-	number, ok := l.ask(run, request)
+	run := &linkRun{onBatch: onBatch, ended: make(chan scheduler.RunEnd, 1)}
+	number, ok := l.queueStart(run, request)
 	if !ok {
 		return scheduler.Interrupted
 	}
@@ -114,36 +116,36 @@
 	case end := <-run.ended:
 		return end
 	case <-ctx.Done():
-		return l.end(number, run)
+		return l.cancelAndWait(number, run)
 	}
 }
 
 // end has the runner end a run, and waits for a moment for what it tells of it. A text
 // that was whole by then is whole. Where the leadership or the link has ended, nothing is
 // told to the runner: the run is the next link's.
-func (l *Link) end(number uint64, run *linkRun) scheduler.RunEnd {
+func (l *Link) cancelAndWait(number uint64, run *linkRun) scheduler.RunEnd {
 	defer l.forget(number)
 	if l.context.Err() != nil || l.pool.context.Err() != nil {
 		return scheduler.Broken
 	}
 	l.cancelRun(number)
-	limit := time.NewTimer(cancelWait)
-	defer limit.Stop()
+	timeout := time.NewTimer(cancelTimeout)
+	defer timeout.Stop()
 	select {
 	case end := <-run.ended:
 		if end == scheduler.Complete {
 			return end
 		}
-	case <-limit.C:
+	case <-timeout.C:
 	}
 	return scheduler.Broken
 }
 
 // ask queues the start of a run. It fails on a link that has ended.
-func (l *Link) ask(run *linkRun, request Request) (number uint64, ok bool) {
+func (l *Link) queueStart(run *linkRun, request Request) (number uint64, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.up.Load() {
+	if !l.isOpen.Load() {
 		return 0, false
 	}
 	l.nextRun++
@@ -154,7 +156,7 @@
 	l.pending.Starts = append(l.pending.Starts, start{
 		Run: l.nextRun, Backend: request.Backend, Step: request.Step, Host: request.Host, Tenant: request.Tenant, Sample: &sample,
 		Text: Batch{First: 1, Events: request.Text.Events, Versions: request.Text.Versions}, decidedAt: request.DecidedAt,
-		Known: request.Known, KindKnown: request.KindKnown,
+		Known: request.KnownCrashes, KindKnown: request.KnownKindCrashes,
 	})
 	wake(l.changed)
 	return l.nextRun, true
@@ -181,7 +183,7 @@
 func (l *Link) keepOpen() {
 	backoff := minBackoff
 	for l.context.Err() == nil {
-		opened, err := l.carry()
+		opened, err := l.connectAndServe()
 		if opened {
 			backoff = minBackoff
 			event.RunnerDisconnected.On(l.pool.logger).Str("runner", l.name).Uint("runs", uint64(l.interruptRuns())).Err(err).Send()
@@ -192,14 +194,14 @@
 }
 
 // carry opens the link and carries it on until it ends.
-func (l *Link) carry() (opened bool, err error) {
+func (l *Link) connectAndServe() (opened bool, err error) {
 	ctx, cancel := context.WithCancel(l.context)
 	defer cancel()
 	body, commandWriter := io.Pipe()
 	defer body.Close()
 	defer commandWriter.Close()
-	silence := time.AfterFunc(runnerSilence, cancel)
-	defer silence.Stop()
+	watchdog := time.AfterFunc(runnerTimeout, cancel)
+	defer watchdog.Stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.address+Path, body)
 	if err != nil {
 		return false, err
@@ -217,50 +219,50 @@
 		return false, errRefused.New("status %d", response.StatusCode)
 	}
 	reader := bufio.NewReader(response.Body)
-	var first report
-	if err := readMessage(reader, &first); err != nil {
+	var firstReport report
+	if err := readMessage(reader, &firstReport); err != nil {
 		return false, err
 	}
-	accepted := l.open(first)
-	event.RunnerConnected.On(l.pool.logger).Str("runner", l.name).Int("ms", clock.Since(l.pool.begun).Milliseconds()).
-		Uint("held", uint64(len(first.Held))).Uint("accepted", uint64(accepted)).Send()
-	heard := atomic.Uint64{}
-	heard.Store(first.Number)
+	accepted := l.activate(firstReport)
+	event.RunnerConnected.On(l.pool.logger).Str("runner", l.name).Int("ms", clock.Since(l.pool.createdAt).Milliseconds()).
+		Uint("held", uint64(len(firstReport.Held))).Uint("accepted", uint64(accepted)).Send()
+	lastReport := atomic.Uint64{}
+	lastReport.Store(firstReport.Number)
 	go func() {
 		defer cancel()
-		l.sendCommands(ctx, commandWriter, &heard)
+		l.sendCommands(ctx, commandWriter, &lastReport)
 	}()
-	return true, l.takeReports(reader, silence, &heard)
+	return true, l.receiveReports(reader, watchdog, &lastReport)
 }
 
 // open has runs begin on the link, after those that it brings back. It returns how many
 // of them were accepted; the runner ends the others.
-func (l *Link) open(first report) (accepted int) {
-	held := make([]*Held, 0, len(first.Held))
-	for _, one := range first.Held {
-		text := scheduler.Text{Events: one.Text.Events, Last: uint64(len(one.Text.Events)), Versions: one.Text.Versions}
+func (l *Link) activate(firstReport report) (accepted int) {
+	orphans := make([]*OrphanedRun, 0, len(firstReport.Held))
+	for _, orphan := range firstReport.Held {
+		text := scheduler.Text{Events: orphan.Text.Events, Last: uint64(len(orphan.Text.Events)), Versions: orphan.Text.Versions}
 		run := &linkRun{ended: make(chan scheduler.RunEnd, 1)}
-		held = append(held, &Held{Step: one.Step, Sample: one.Sample, Engine: one.Engine, Text: text, link: l, number: one.Run, run: run})
+		orphans = append(orphans, &OrphanedRun{Step: orphan.Step, Sample: orphan.Sample, Engine: orphan.Engine, Text: text, link: l, number: orphan.Run, run: run})
 	}
 	// They are known before they are accepted, so that an end of the link interrupts them.
 	l.mutex.Lock()
 	l.pending = commands{}
-	for _, one := range held {
-		l.runs[one.number] = one.run
+	for _, orphan := range orphans {
+		l.runs[orphan.number] = orphan.run
 	}
 	l.mutex.Unlock()
-	if len(held) > 0 {
-		l.pool.adopt(held)
+	if len(orphans) > 0 {
+		l.pool.adopt(orphans)
 	}
-	for _, one := range held {
-		if one.run.each == nil {
-			l.cancelRun(one.number)
-			l.forget(one.number)
+	for _, orphan := range orphans {
+		if orphan.run.onBatch == nil {
+			l.cancelRun(orphan.number)
+			l.forget(orphan.number)
 		} else {
 			accepted++
 		}
 	}
-	l.up.Store(true)
+	l.isOpen.Store(true)
 	return accepted
 }
 
@@ -268,7 +270,7 @@
 func (l *Link) interruptRuns() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.up.Store(false)
+	l.isOpen.Store(false)
 	interrupted := len(l.runs)
 	for _, run := range l.runs {
 		run.ended <- scheduler.Interrupted
@@ -279,7 +281,7 @@
 
 // sendCommands writes the commands that gather, and a message now and then if there
 // are none.
-func (l *Link) sendCommands(ctx context.Context, writer io.Writer, heard *atomic.Uint64) {
+func (l *Link) sendCommands(ctx context.Context, writer io.Writer, lastReport *atomic.Uint64) {
 	buffered := bufio.NewWriter(writer)
 	keepalive := time.NewTimer(0)
 	defer keepalive.Stop()
@@ -291,7 +293,7 @@
 		case <-keepalive.C:
 		}
 		message := l.takePending()
-		message.Heard = heard.Load()
+		message.Heard = lastReport.Load()
 		if writeMessage(buffered, message) != nil || buffered.Flush() != nil {
 			return
 		}
@@ -306,51 +308,51 @@
 	defer l.mutex.Unlock()
 	pending := l.pending
 	l.pending = commands{}
-	pending.Starts = slices.DeleteFunc(pending.Starts, func(asked start) bool {
-		late := clock.Since(asked.decidedAt) > pendingLimit
-		if run := l.runs[asked.Run]; late && run != nil {
-			delete(l.runs, asked.Run)
+	pending.Starts = slices.DeleteFunc(pending.Starts, func(request start) bool {
+		isExpired := clock.Since(request.decidedAt) > maxPendingTime
+		if run := l.runs[request.Run]; isExpired && run != nil {
+			delete(l.runs, request.Run)
 			run.ended <- scheduler.Interrupted
 		}
-		return late
+		return isExpired
 	})
 	return pending
 }
 
 // takeReports takes in reports until the link ends.
-func (l *Link) takeReports(reader *bufio.Reader, silence *time.Timer, heard *atomic.Uint64) error {
+func (l *Link) receiveReports(reader *bufio.Reader, watchdog *time.Timer, lastReport *atomic.Uint64) error {
 	for {
 		var message report
 		if err := readMessage(reader, &message); err != nil {
 			return err
 		}
-		silence.Reset(runnerSilence)
-		heard.Store(message.Number)
+		watchdog.Reset(runnerTimeout)
+		lastReport.Store(message.Number)
 		if message.Superseded {
 			l.pool.superseded.Store(true)
 			return errRefused.New("a later link has taken over")
 		}
-		for _, news := range message.Runs {
-			l.takeNews(news)
+		for _, update := range message.Runs {
+			l.deliverUpdate(update)
 		}
 	}
 }
 
 // takeNews hands a run's news on, unless the run has been forgotten.
-func (l *Link) takeNews(news runReport) {
+func (l *Link) deliverUpdate(update runReport) {
 	l.mutex.Lock()
-	run := l.runs[news.Run]
-	if news.End != 0 {
-		delete(l.runs, news.Run)
+	run := l.runs[update.Run]
+	if update.End != 0 {
+		delete(l.runs, update.Run)
 	}
 	l.mutex.Unlock()
 	if run == nil {
 		return
 	}
-	if len(news.Batch.Events) > 0 {
-		run.each(news.Batch)
+	if len(update.Batch.Events) > 0 {
+		run.onBatch(update.Batch)
 	}
-	if news.End != 0 {
-		run.ended <- news.End
+	if update.End != 0 {
+		run.ended <- update.End
 	}
 }
--- a/runner/message.go
+++ b/runner/message.go
@@ -21,21 +21,21 @@
 	keepaliveInterval = 250 * time.Millisecond
 	// runnerSilence is how long a runner says nothing before the leader gives its
 	// runs to others: four messages, and under the time after which a run stalls.
-	runnerSilence = time.Second
+	runnerTimeout = time.Second
 	// leaderSilence is how long the leader says nothing before a runner ends its
 	// link. It is longer than the leader's, which alone decides whether a run goes on.
-	leaderSilence = 1200 * time.Millisecond
+	leaderTimeout = 1200 * time.Millisecond
 	// orphanTime is how long runs go on without a link. A new leader is elected within
 	// two election timeouts, 0.8 s, as a rule, and opens its links at once.
-	orphanTime = 2500 * time.Millisecond
+	orphanTimeout = 2500 * time.Millisecond
 	// termHeader carries the term of the leader that opens a link.
 	termHeader = "Leader-Term"
 	// pendingLimit is how long after it was decided a start may be sent.
-	pendingLimit = 300 * time.Millisecond
+	maxPendingTime = 300 * time.Millisecond
 	// startValidity is how old the newest report that the leader had heard may be when
 	// a start is taken in. A runner that stood still must not begin what the leader
 	// asked for long ago.
-	startValidity = time.Second
+	maxReportAge = time.Second
 )
 
 // start asks for a run. Its number is unique on the link.
@@ -58,7 +58,7 @@
 
 // firstHeldRun is the number that a link gives to the first run that it brings back.
 // Those that the leader starts count from 1.
-const firstHeldRun = 1 << 32
+const firstOrphanNumber = 1 << 32
 
 // commands is a message from the leader.
 type commands struct {
@@ -73,14 +73,14 @@
 	Number uint64      `cbor:"1,keyasint"`
 	Runs   []runReport `cbor:"2,keyasint,omitempty"`
 	// Held are the runs that the link brings back; in the first report only.
-	Held []heldReport `cbor:"3,keyasint,omitempty"`
+	Held []orphanReport `cbor:"3,keyasint,omitempty"`
 	// Superseded is set in the last report of a link that another one has taken over.
 	Superseded bool `cbor:"4,keyasint,omitempty"`
 }
 
 // heldReport tells of a run that was begun over an earlier link. Its news follow as
 // those of any run, after the text that stands here.
-type heldReport struct {
+type orphanReport struct {
 	Run    uint64 `cbor:"1,keyasint"`
 	Step   string `cbor:"2,keyasint"`
 	Sample string `cbor:"3,keyasint"`
--- a/runner/pending_test.go
+++ b/runner/pending_test.go
@@ -13,23 +13,23 @@
 
 // TestStartThatWaitedIsNotSent: a leader that is short of time sends no start that was
 // decided long ago; its run has not begun and is waited for no longer.
-func TestStartThatWaitedIsNotSent(t *testing.T) {
+func TestExpiredStartIsNotSent(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
 	link := &Link{runs: map[uint64]*linkRun{}, changed: make(chan struct{}, 1)}
-	link.up.Store(true)
+	link.isOpen.Store(true)
 	request := Request{Step: "s", Sample: &ledger.Sample{ID: "x"}, DecidedAt: clock.Now()}
-	early := &linkRun{ended: make(chan scheduler.RunEnd, 1)}
-	_, ok := link.ask(early, request)
+	expired := &linkRun{ended: make(chan scheduler.RunEnd, 1)}
+	_, ok := link.queueStart(expired, request)
 	require.True(t, ok)
-	source.Suspend(pendingLimit + time.Millisecond)
+	source.Suspend(maxPendingTime + time.Millisecond)
 	require.Empty(t, link.takePending().Starts)
-	require.Equal(t, scheduler.Interrupted, <-early.ended)
+	require.Equal(t, scheduler.Interrupted, <-expired.ended)
 	require.Empty(t, link.runs)
 
 	request.DecidedAt = clock.Now()
 	prompt := &linkRun{ended: make(chan scheduler.RunEnd, 1)}
-	number, ok := link.ask(prompt, request)
+	number, ok := link.queueStart(prompt, request)
 	require.True(t, ok)
 	sent := link.takePending()
 	require.Len(t, sent.Starts, 1)
--- a/runner/pool.go
+++ b/runner/pool.go
@@ -17,9 +17,9 @@
 const (
 	// settleTime is how long a new leader waits for links before it has runs begin
 	// by the runners that it has.
-	settleTime = 300 * time.Millisecond
+	maxSettleTime = 300 * time.Millisecond
 	// settledShare is the share of the links that it waits for no longer.
-	settledShare = 0.9
+	settledFraction = 0.9
 )
 
 // Pool is what the leader has of runners: a link to each. Its methods may be called
@@ -29,10 +29,10 @@
 	client  *http.Client
 	logger  *zerolog.Logger
 	// begun is when the pool was made, and term that of the leadership.
-	begun time.Time
-	term  uint64
+	createdAt time.Time
+	term      uint64
 	// adopt takes over the runs that links bring back.
-	adopt func(held []*Held)
+	adopt func(held []*OrphanedRun)
 
 	// superseded is set once a runner has told of a later leader.
 	superseded atomic.Bool
@@ -44,34 +44,34 @@
 // NewPool returns a pool without links, for the leadership of the term. All links end with
 // the context. The function is called with the runs that a new link brings back, by the
 // link's goroutine, and accepts those that the leader goes on with; all others are ended.
-func NewPool(ctx context.Context, term uint64, adopt func(held []*Held), logger *zerolog.Logger) *Pool {
+func NewPool(ctx context.Context, term uint64, adopt func(held []*OrphanedRun), logger *zerolog.Logger) *Pool {
 	return &Pool{
-		context: ctx, logger: logger, begun: clock.Now(), term: term, adopt: adopt,
+		context: ctx, logger: logger, createdAt: clock.Now(), term: term, adopt: adopt,
 		client: &http.Client{Transport: transport.NewInternalTransport()}, links: map[string]*Link{},
 	}
 }
 
 // Follow opens links to stores that are new, and ends those to stores that are gone
 // or have another address.
-func (p *Pool) Follow(stores []Store) {
+func (p *Pool) SetStores(stores []Store) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	wanted := make(map[string]bool, len(stores))
 	for _, store := range stores {
 		wanted[store.Name] = true
-		known := p.links[store.Name]
-		if known != nil && known.address == store.Address {
-			known.store = store
+		existing := p.links[store.Name]
+		if existing != nil && existing.address == store.Address {
+			existing.store = store
 			continue
 		}
-		if known != nil {
-			known.cancel()
+		if existing != nil {
+			existing.cancel()
 		}
 		p.links[store.Name] = newLink(p, store)
 	}
-	for name, known := range p.links {
+	for name, existing := range p.links {
 		if !wanted[name] {
-			known.cancel()
+			existing.cancel()
 			delete(p.links, name)
 		}
 	}
@@ -79,13 +79,13 @@
 
 // For returns the link to the store that is to hold the streams of the engine's runs, or
 // nil if none is open.
-func (p *Pool) For(engine directory.Backend) *Link {
+func (p *Pool) LinkFor(engine directory.Backend) *Link {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var best *Link
-	for _, one := range p.links {
-		if one.up.Load() && (best == nil || one.store.preferredTo(best.store, engine.ID, engine.Zone)) {
-			best = one
+	for _, link := range p.links {
+		if link.isOpen.Load() && (best == nil || link.store.preferredTo(best.store, engine.ID, engine.Zone)) {
+			best = link
 		}
 	}
 	return best
@@ -99,22 +99,22 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	open := p.open()
-	settled := float64(open) >= settledShare*float64(len(p.links)) || clock.Since(p.begun) > settleTime
-	return open > 0 && settled
+	open := p.openLinks()
+	isSettled := float64(open) >= settledFraction*float64(len(p.links)) || clock.Since(p.createdAt) > maxSettleTime
+	return open > 0 && isSettled
 }
 
 // Open returns the number of links that are open.
-func (p *Pool) Open() int {
+func (p *Pool) OpenLinks() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.open()
+	return p.openLinks()
 }
 
-func (p *Pool) open() int {
+func (p *Pool) openLinks() int {
 	open := 0
-	for _, one := range p.links {
-		if one.up.Load() {
+	for _, link := range p.links {
+		if link.isOpen.Load() {
 			open++
 		}
 	}
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -35,7 +35,7 @@
 	Text scheduler.Text
 	// Known and KindKnown are the numbers of crashes of the sample and of its kind that the leader
 	// knew of; see quarantine.Verdict.
-	Known, KindKnown int
+	KnownCrashes, KnownKindCrashes int
 	// DecidedAt is when the leader decided on the run.
 	DecidedAt time.Time
 }
@@ -51,7 +51,7 @@
 // Engine speaks to engines.
 type Engine interface {
 	// Run streams the sample's events to the function until the run ends.
-	Run(ctx context.Context, request Request, each func(Event)) scheduler.RunEnd
+	Run(ctx context.Context, request Request, onEvent func(Event)) scheduler.RunEnd
 }
 
 // Batch is a part of a run's text: events that follow each other.
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	soon     = 10 * time.Second
-	interval = 5 * time.Millisecond
+	waitLimit    = 10 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
 // scriptedEngine runs samples as the test says.
-type scriptedEngine func(ctx context.Context, request Request, each func(Event)) scheduler.RunEnd
+type scriptedEngine func(ctx context.Context, request Request, onEvent func(Event)) scheduler.RunEnd
 
-func (e scriptedEngine) Run(ctx context.Context, request Request, each func(Event)) scheduler.RunEnd {
-	return e(ctx, request, each)
+func (e scriptedEngine) Run(ctx context.Context, request Request, onEvent func(Event)) scheduler.RunEnd {
+	return e(ctx, request, onEvent)
 }
 
 // unreachable is the engine client of a leader that must not run anything itself.
-func unreachable(context.Context, Request, func(Event)) scheduler.RunEnd {
+func unreachableEngine(context.Context, Request, func(Event)) scheduler.RunEnd {
 	return scheduler.Unreachable
 }
 
 // linked is a pool with an open link to one runner.
-type linked struct {
+type testDeployment struct {
 	pool   *Pool
 	runner *httptest.Server
 	server *Server
@@ -44,9 +44,9 @@
 	stop       context.CancelFunc
 }
 
-func newLinked(t *testing.T, engine scriptedEngine) *linked {
+func newTestDeployment(t *testing.T, engine scriptedEngine) *testDeployment {
 	logger := zerolog.Nop()
-	l := &linked{server: NewServer(engine, &logger)}
+	l := &testDeployment{server: NewServer(engine, &logger)}
 	l.runner = httptest.NewServer(l.server)
 	ctx, stop := context.WithCancel(context.Background())
 	l.leadership, l.stop = ctx, stop
@@ -55,23 +55,23 @@
 		l.runner.CloseClientConnections()
 		l.runner.Close()
 	})
-	l.pool = l.lead(ctx, 1, acceptNone)
-	require.Eventually(t, func() bool { return l.pool.Open() == 1 }, soon, interval)
+	l.pool = l.lead(ctx, 1, acceptNoRuns)
+	require.Eventually(t, func() bool { return l.pool.OpenLinks() == 1 }, waitLimit, pollInterval)
 	return l
 }
 
 // lead returns the pool of a leader of the term with a link to the runner.
-func (l *linked) lead(ctx context.Context, term uint64, adopt func([]*Held)) *Pool {
+func (l *testDeployment) lead(ctx context.Context, term uint64, adopt func([]*OrphanedRun)) *Pool {
 	logger := zerolog.Nop()
 	pool := NewPool(ctx, term, adopt, &logger)
-	pool.Follow([]Store{{Name: "store", Address: l.runner.Listener.Addr().String()}})
+	pool.SetStores([]Store{{Name: "store", Address: l.runner.Listener.Addr().String()}})
 	return pool
 }
 
-func acceptNone([]*Held) {}
+func acceptNoRuns([]*OrphanedRun) {}
 
 // textOf returns a text of so many events, made by the version.
-func textOf(events int, version uint64) scheduler.Text {
+func newText(events int, version uint64) scheduler.Text {
 	text := scheduler.Text{Last: uint64(events)}
 	for id := range events {
 		text.Events = append(text.Events, fmt.Sprintf("early/%d", id+1))
@@ -83,9 +83,9 @@
 }
 
 // run runs a sample after a text and returns what it adds.
-func (l *linked) run(ctx context.Context, text scheduler.Text) (events []string, versions []uint64, end scheduler.RunEnd) {
+func (l *testDeployment) run(ctx context.Context, text scheduler.Text) (events []string, versions []uint64, end scheduler.RunEnd) {
 	last := text.Last
-	end = l.pool.For(directory.Backend{ID: "e"}).Run(ctx, Request{Step: "step", Sample: &ledger.Sample{ID: "s"}, Text: text, DecidedAt: time.Now()}, func(batch Batch) {
+	end = l.pool.LinkFor(directory.Backend{ID: "e"}).Run(ctx, Request{Step: "step", Sample: &ledger.Sample{ID: "s"}, Text: text, DecidedAt: time.Now()}, func(batch Batch) {
 		if batch.First != last+1 {
 			panic(fmt.Sprintf("event %d after %d", batch.First, last))
 		}
@@ -95,17 +95,17 @@
 	return events, versions, end
 }
 
-func TestRunGoesThroughARunner(t *testing.T) {
-	const many = 500
-	linked := newLinked(t, func(_ context.Context, request Request, each func(Event)) scheduler.RunEnd {
-		for id := request.Text.Last + 1; id <= many; id++ {
-			each(Event{ID: id, Data: fmt.Sprintf("%s/%d", request.Sample.ID, id), Version: 1 + id/many})
+func TestRunStreamsThroughRunner(t *testing.T) {
+	const lastEvent = 500
+	deployment := newTestDeployment(t, func(_ context.Context, request Request, onEvent func(Event)) scheduler.RunEnd {
+		for id := request.Text.Last + 1; id <= lastEvent; id++ {
+			onEvent(Event{ID: id, Data: fmt.Sprintf("%s/%d", request.Sample.ID, id), Version: 1 + id/lastEvent})
 		}
 		return scheduler.Complete
 	})
-	events, versions, end := linked.run(context.Background(), textOf(2, 9))
+	events, versions, end := deployment.run(context.Background(), newText(2, 9))
 	require.Equal(t, scheduler.Complete, end)
-	require.Len(t, events, many-2)
+	require.Len(t, events, lastEvent-2)
 	require.Equal(t, "s/3", events[0])
 	require.Equal(t, "s/500", events[len(events)-1])
 	require.Contains(t, versions, uint64(1))
@@ -114,43 +114,43 @@
 }
 
 // TestRunnerHearsWhatIsKnownOfASample: it tells of an engine's end as the leader would.
-func TestRunnerHearsWhatIsKnownOfASample(t *testing.T) {
-	linked := newLinked(t, func(_ context.Context, request Request, each func(Event)) scheduler.RunEnd {
-		each(Event{ID: 1, Data: fmt.Sprint(request.Known, " ", request.KindKnown)})
+func TestKnownCrashesReachRunner(t *testing.T) {
+	deployment := newTestDeployment(t, func(_ context.Context, request Request, onEvent func(Event)) scheduler.RunEnd {
+		onEvent(Event{ID: 1, Data: fmt.Sprint(request.KnownCrashes, " ", request.KnownKindCrashes)})
 		return scheduler.Complete
 	})
 	var data []string
-	request := Request{Step: "step", Sample: &ledger.Sample{ID: "s"}, Known: 1, KindKnown: 2, DecidedAt: time.Now()}
-	linked.pool.For(directory.Backend{ID: "e"}).Run(context.Background(), request, func(batch Batch) { data = append(data, batch.Events...) })
+	request := Request{Step: "step", Sample: &ledger.Sample{ID: "s"}, KnownCrashes: 1, KnownKindCrashes: 2, DecidedAt: time.Now()}
+	deployment.pool.LinkFor(directory.Backend{ID: "e"}).Run(context.Background(), request, func(batch Batch) { data = append(data, batch.Events...) })
 	require.Equal(t, []string{"1 2"}, data)
 }
 
-func TestRunnerTellsHowARunEnds(t *testing.T) {
+func TestRunEndReachesLeader(t *testing.T) {
 	for _, want := range []scheduler.RunEnd{scheduler.Rejected, scheduler.Failed, scheduler.Unprocessable, scheduler.Unreachable} {
-		linked := newLinked(t, func(context.Context, Request, func(Event)) scheduler.RunEnd { return want })
-		_, _, end := linked.run(context.Background(), textOf(0, 0))
+		deployment := newTestDeployment(t, func(context.Context, Request, func(Event)) scheduler.RunEnd { return want })
+		_, _, end := deployment.run(context.Background(), newText(0, 0))
 		require.Equal(t, want, end)
 	}
 }
 
 // TestGapBreaksARun: what follows a gap is never passed on, and a text with one is
 // not whole.
-func TestGapBreaksARun(t *testing.T) {
-	linked := newLinked(t, func(ctx context.Context, _ Request, each func(Event)) scheduler.RunEnd {
-		each(Event{ID: 1, Data: "a"})
-		each(Event{ID: 3, Data: "c"})
+func TestEventGapBreaksRun(t *testing.T) {
+	deployment := newTestDeployment(t, func(ctx context.Context, _ Request, onEvent func(Event)) scheduler.RunEnd {
+		onEvent(Event{ID: 1, Data: "a"})
+		onEvent(Event{ID: 3, Data: "c"})
 		<-ctx.Done()
 		return scheduler.Complete
 	})
-	events, _, end := linked.run(context.Background(), textOf(0, 0))
+	events, _, end := deployment.run(context.Background(), newText(0, 0))
 	require.Equal(t, scheduler.Broken, end)
 	require.Equal(t, []string{"a"}, events)
 }
 
 // held is an engine that gives one event and then holds the run until it is cancelled.
-func held(cancelled chan<- struct{}) scriptedEngine {
-	return func(ctx context.Context, _ Request, each func(Event)) scheduler.RunEnd {
-		each(Event{ID: 1, Data: "a"})
+func blockingEngine(cancelled chan<- struct{}) scriptedEngine {
+	return func(ctx context.Context, _ Request, onEvent func(Event)) scheduler.RunEnd {
+		onEvent(Event{ID: 1, Data: "a"})
 		<-ctx.Done()
 		cancelled <- struct{}{}
 		return scheduler.Broken
@@ -159,88 +159,88 @@
 
 func TestCancelReachesTheEngine(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	linked := newLinked(t, held(cancelled))
+	deployment := newTestDeployment(t, blockingEngine(cancelled))
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		require.Eventually(t, func() bool { return linked.server.Held() == 1 }, soon, interval)
+		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
 		cancel()
 	}()
-	_, _, end := linked.run(ctx, textOf(0, 0))
+	_, _, end := deployment.run(ctx, newText(0, 0))
 	require.Equal(t, scheduler.Broken, end)
 	<-cancelled
 }
 
 // TestCancelledRunTellsWhatItHas: what had come of a run that the leader ends is told, so
 // that it is not made again.
-func TestCancelledRunTellsWhatItHas(t *testing.T) {
+func TestCancelledRunReportsReceivedEvents(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	linked := newLinked(t, func(running context.Context, _ Request, each func(Event)) scheduler.RunEnd {
-		each(Event{ID: 1, Data: "a"})
+	deployment := newTestDeployment(t, func(running context.Context, _ Request, onEvent func(Event)) scheduler.RunEnd {
+		onEvent(Event{ID: 1, Data: "a"})
 		cancel()
 		<-running.Done()
-		each(Event{ID: 2, Data: "b"})
+		onEvent(Event{ID: 2, Data: "b"})
 		return scheduler.Broken
 	})
-	events, _, end := linked.run(ctx, textOf(0, 0))
+	events, _, end := deployment.run(ctx, newText(0, 0))
 	require.Equal(t, scheduler.Broken, end)
 	require.Equal(t, []string{"a", "b"}, events)
 }
 
 // TestLostRunnerInterruptsItsRuns: the leader learns at once that a runner is lost, and
 // that its engines are not to blame.
-func TestLostRunnerInterruptsItsRuns(t *testing.T) {
+func TestLostRunnerInterruptsRuns(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	linked := newLinked(t, held(cancelled))
+	deployment := newTestDeployment(t, blockingEngine(cancelled))
 	go func() {
-		require.Eventually(t, func() bool { return linked.server.Held() == 1 }, soon, interval)
-		linked.runner.CloseClientConnections()
+		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+		deployment.runner.CloseClientConnections()
 	}()
-	_, _, end := linked.run(context.Background(), textOf(0, 0))
+	_, _, end := deployment.run(context.Background(), newText(0, 0))
 	require.Equal(t, scheduler.Interrupted, end)
 	<-cancelled
-	require.Eventually(t, func() bool { return linked.pool.Open() == 1 }, soon, interval, "the link opens again")
+	require.Eventually(t, func() bool { return deployment.pool.OpenLinks() == 1 }, waitLimit, pollInterval, "the link opens again")
 }
 
 // TestUnclaimedRunsEnd: runs go on for a short time without a leader, and not for ever.
-func TestUnclaimedRunsEnd(t *testing.T) {
+func TestOrphanedRunsExpire(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	linked := newLinked(t, held(cancelled))
-	linked.server.orphanTime = 20 * interval
-	go linked.run(context.Background(), textOf(0, 0))
-	require.Eventually(t, func() bool { return linked.server.Held() == 1 }, soon, interval)
-	linked.stop()
+	deployment := newTestDeployment(t, blockingEngine(cancelled))
+	deployment.server.orphanTimeout = 20 * pollInterval
+	go deployment.run(context.Background(), newText(0, 0))
+	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+	deployment.stop()
 	<-cancelled
-	require.Eventually(t, func() bool { return linked.server.Held() == 0 }, soon, interval)
+	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 0 }, waitLimit, pollInterval)
 }
 
 // steppedEngine gives two events, and a third one when it is told to.
-func steppedEngine(goOn <-chan struct{}, runs *atomic.Int64) scriptedEngine {
-	return func(ctx context.Context, request Request, each func(Event)) scheduler.RunEnd {
+func steppedEngine(proceed <-chan struct{}, runs *atomic.Int64) scriptedEngine {
+	return func(ctx context.Context, request Request, onEvent func(Event)) scheduler.RunEnd {
 		runs.Add(1)
 		first := request.Text.Last + 1
-		each(Event{ID: first, Data: "a", Version: 3})
-		each(Event{ID: first + 1, Data: "b", Version: 3})
+		onEvent(Event{ID: first, Data: "a", Version: 3})
+		onEvent(Event{ID: first + 1, Data: "b", Version: 3})
 		select {
-		case <-goOn:
+		case <-proceed:
 		case <-ctx.Done():
 			return scheduler.Broken
 		}
-		each(Event{ID: first + 2, Data: "c", Version: 4})
+		onEvent(Event{ID: first + 2, Data: "c", Version: 4})
 		return scheduler.Complete
 	}
 }
 
 // acceptAll follows all runs that are brought back, and tells their texts and ends.
-func acceptAll(texts chan<- scheduler.Text, ends chan<- scheduler.RunEnd) func([]*Held) {
-	return func(brought []*Held) {
-		for _, one := range brought {
-			text := one.Text
-			one.Accept(func(batch Batch) {
+func acceptAllRuns(texts chan<- scheduler.Text, ends chan<- scheduler.RunEnd) func([]*OrphanedRun) {
+	return func(orphans []*OrphanedRun) {
+		for _, orphan := range orphans {
+			text := orphan.Text
+			orphan.Accept(func(batch Batch) {
 				text.Events = append(text.Events, batch.Events...)
 				text.Versions = append(text.Versions, batch.Versions...)
 			})
 			go func() {
-				end := one.Wait(context.Background())
+				end := orphan.Wait(context.Background())
 				texts <- text
 				ends <- end
 			}()
@@ -250,22 +250,22 @@
 
 // TestNextLeaderGoesOn: a run outlives its leader, and the next one gets the whole of its
 // text, with what came while nobody led.
-func TestNextLeaderGoesOn(t *testing.T) {
-	for _, whileNobodyLeads := range []bool{true, false} {
-		goOn, runs := make(chan struct{}), &atomic.Int64{}
-		linked := newLinked(t, steppedEngine(goOn, runs))
-		go linked.run(context.Background(), textOf(2, 3))
-		require.Eventually(t, func() bool { return linked.server.Held() == 1 }, soon, interval)
-		linked.stop()
-		if whileNobodyLeads {
-			close(goOn)
-			require.Eventually(t, func() bool { return linked.server.Held() == 0 }, soon, interval)
+func TestNextLeaderAdoptsRuns(t *testing.T) {
+	for _, withoutLeader := range []bool{true, false} {
+		proceed, runs := make(chan struct{}), &atomic.Int64{}
+		deployment := newTestDeployment(t, steppedEngine(proceed, runs))
+		go deployment.run(context.Background(), newText(2, 3))
+		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+		deployment.stop()
+		if withoutLeader {
+			close(proceed)
+			require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 0 }, waitLimit, pollInterval)
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		texts, ends := make(chan scheduler.Text, 1), make(chan scheduler.RunEnd, 1)
-		linked.lead(ctx, 2, acceptAll(texts, ends))
-		if !whileNobodyLeads {
-			close(goOn)
+		deployment.lead(ctx, 2, acceptAllRuns(texts, ends))
+		if !withoutLeader {
+			close(proceed)
 		}
 		text := <-texts
 		require.Equal(t, []string{"early/1", "early/2", "a", "b", "c"}, text.Events)
@@ -278,31 +278,31 @@
 
 // TestLostLeadershipEndsNoRuns: a leader that loses its leadership stops waiting for its
 // runs, and tells no runner to end them: they are the next leader's.
-func TestLostLeadershipEndsNoRuns(t *testing.T) {
-	const many = 50
-	cancelled := make(chan struct{}, many)
-	linked := newLinked(t, held(cancelled))
-	linked.server.orphanTime = time.Hour
+func TestLostLeadershipCancelsNoRuns(t *testing.T) {
+	const runs = 50
+	cancelled := make(chan struct{}, runs)
+	deployment := newTestDeployment(t, blockingEngine(cancelled))
+	deployment.server.orphanTimeout = time.Hour
 	var ended sync.WaitGroup
-	for range many {
-		ended.Go(func() { linked.run(linked.leadership, textOf(0, 0)) })
+	for range runs {
+		ended.Go(func() { deployment.run(deployment.leadership, newText(0, 0)) })
 	}
-	require.Eventually(t, func() bool { return linked.server.Held() == many }, soon, interval)
-	linked.stop()
+	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == runs }, waitLimit, pollInterval)
+	deployment.stop()
 	ended.Wait()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	// Once the function returns, the next leader ends the runs that it does not accept.
-	type handedOver struct{ brought, cancelled int }
-	seen := make(chan handedOver, 1)
-	linked.lead(ctx, 2, func(held []*Held) { seen <- handedOver{len(held), len(cancelled)} })
-	require.Equal(t, handedOver{brought: many}, <-seen, "no engine's run was ended")
-	linked.server.Close()
+	type handover struct{ orphans, cancelled int }
+	handovers := make(chan handover, 1)
+	deployment.lead(ctx, 2, func(orphans []*OrphanedRun) { handovers <- handover{len(orphans), len(cancelled)} })
+	require.Equal(t, handover{orphans: runs}, <-handovers, "no engine's run was ended")
+	deployment.server.Close()
 }
 
 // TestNothingIsToldForALostLeadership: the end of a leadership reaches its runs before it
 // reaches the link that could still tell the runner to end them.
-func TestNothingIsToldForALostLeadership(t *testing.T) {
+func TestLostLeadershipSendsNoCancel(t *testing.T) {
 	leadership, stop := context.WithCancel(context.Background())
 	run := &linkRun{ended: make(chan scheduler.RunEnd, 1)}
 	link := &Link{
@@ -316,74 +316,74 @@
 }
 
 // TestRunThatIsNotWantedEnds: what a new leader does not accept is ended at once.
-func TestRunThatIsNotWantedEnds(t *testing.T) {
+func TestUnacceptedRunIsCancelled(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	linked := newLinked(t, held(cancelled))
-	linked.server.orphanTime = time.Hour
-	go linked.run(context.Background(), textOf(0, 0))
-	require.Eventually(t, func() bool { return linked.server.Held() == 1 }, soon, interval)
+	deployment := newTestDeployment(t, blockingEngine(cancelled))
+	deployment.server.orphanTimeout = time.Hour
+	go deployment.run(context.Background(), newText(0, 0))
+	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	linked.lead(ctx, 2, acceptNone)
+	deployment.lead(ctx, 2, acceptNoRuns)
 	<-cancelled
 }
 
 // TestEarlierLeaderIsRefused: a leader that was deposed and does not know it yet gets no
 // link once a later one has had one, and takes no runs from it.
-func TestEarlierLeaderIsRefused(t *testing.T) {
-	goOn, runs := make(chan struct{}), &atomic.Int64{}
-	linked := newLinked(t, steppedEngine(goOn, runs))
-	go linked.run(context.Background(), textOf(0, 0))
-	require.Eventually(t, func() bool { return linked.server.Held() == 1 }, soon, interval)
+func TestDeposedLeaderIsRefused(t *testing.T) {
+	proceed, runs := make(chan struct{}), &atomic.Int64{}
+	deployment := newTestDeployment(t, steppedEngine(proceed, runs))
+	go deployment.run(context.Background(), newText(0, 0))
+	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	texts, ends := make(chan scheduler.Text, 1), make(chan scheduler.RunEnd, 1)
-	later := linked.lead(ctx, 2, acceptAll(texts, ends))
-	require.Eventually(t, func() bool { return later.Open() == 1 && linked.pool.Open() == 0 }, soon, interval)
-	require.False(t, linked.pool.Ready(), "the earlier leader begins no more")
+	later := deployment.lead(ctx, 2, acceptAllRuns(texts, ends))
+	require.Eventually(t, func() bool { return later.OpenLinks() == 1 && deployment.pool.OpenLinks() == 0 }, waitLimit, pollInterval)
+	require.False(t, deployment.pool.Ready(), "the earlier leader begins no more")
 	// The earlier leader goes on asking.
-	require.Never(t, func() bool { return linked.pool.Open() > 0 }, 3*minBackoff, interval)
-	close(goOn)
+	require.Never(t, func() bool { return deployment.pool.OpenLinks() > 0 }, 3*minBackoff, pollInterval)
+	close(proceed)
 	require.Equal(t, []string{"a", "b", "c"}, (<-texts).Events)
 	require.Equal(t, scheduler.Complete, <-ends)
 }
 
 // TestStoreThatIsGoneHoldsNothing: runs of a store that leaves the list go elsewhere,
 // and without any runner none begins.
-func TestStoreThatIsGoneHoldsNothing(t *testing.T) {
+func TestRemovedStoreRunsNothing(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	linked := newLinked(t, held(cancelled))
+	deployment := newTestDeployment(t, blockingEngine(cancelled))
 	go func() {
-		require.Eventually(t, func() bool { return linked.server.Held() == 1 }, soon, interval)
-		linked.pool.Follow(nil)
+		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+		deployment.pool.SetStores(nil)
 	}()
-	_, _, end := linked.run(context.Background(), textOf(0, 0))
+	_, _, end := deployment.run(context.Background(), newText(0, 0))
 	require.Equal(t, scheduler.Interrupted, end)
-	require.Nil(t, linked.pool.For(directory.Backend{ID: "e"}))
-	require.False(t, linked.pool.Ready())
+	require.Nil(t, deployment.pool.LinkFor(directory.Backend{ID: "e"}))
+	require.False(t, deployment.pool.Ready())
 }
 
 // TestStartThatComesLateIsNotBegun: a runner that stood still takes in no start that
 // the leader sent before, since the leader has given the run to others meanwhile.
-func TestStartThatComesLateIsNotBegun(t *testing.T) {
+func TestStaleStartIsNotRun(t *testing.T) {
 	now := time.Now()
 	logger := zerolog.Nop()
-	served := newServerLink(NewServer(scriptedEngine(unreachable), &logger), context.Background(), 1, nil)
-	served.reportedAt = []time.Time{now.Add(-3 * startValidity), now.Add(-2 * startValidity), now.Add(-startValidity / 2), now}
-	served.firstReport = 5
-	for number, recent := range map[uint64]bool{0: false, 4: false, 5: false, 6: false, 7: true, 8: true, 9: false} {
-		require.Equal(t, recent, served.isRecent(number), number)
+	link := newServerLink(NewServer(scriptedEngine(unreachableEngine), &logger), context.Background(), 1, nil)
+	link.reportedAt = []time.Time{now.Add(-3 * maxReportAge), now.Add(-2 * maxReportAge), now.Add(-maxReportAge / 2), now}
+	link.firstReportNumber = 5
+	for number, isRecent := range map[uint64]bool{0: false, 4: false, 5: false, 6: false, 7: true, 8: true, 9: false} {
+		require.Equal(t, isRecent, link.isRecentReport(number), number)
 	}
-	served.begin(start{Run: 1, Sample: &ledger.Sample{}}, 6)
-	told := served.collect()
-	require.Equal(t, uint64(9), told.Number)
-	require.Equal(t, []runReport{{Run: 1, End: scheduler.Interrupted}}, told.Runs)
-	require.Empty(t, served.collect().Runs)
+	link.startRun(start{Run: 1, Sample: &ledger.Sample{}}, 6)
+	message := link.nextReport()
+	require.Equal(t, uint64(9), message.Number)
+	require.Equal(t, []runReport{{Run: 1, End: scheduler.Interrupted}}, message.Runs)
+	require.Empty(t, link.nextReport().Runs)
 }
 
 // TestChoiceOfARunner: the zone of the engine comes first, then stores without a
 // replica of the ledger, and engines spread over what is left.
-func TestChoiceOfARunner(t *testing.T) {
+func TestRunnerPreference(t *testing.T) {
 	stores := []Store{
 		{Name: "leader", Zone: "a", Leader: true}, {Name: "far", Zone: "b"}, {Name: "member", Zone: "a", Member: true},
 		{Name: "one", Zone: "a"}, {Name: "two", Zone: "a"}, {Name: "three", Zone: "a"},
@@ -398,13 +398,13 @@
 		return best.Name
 	}
 	const engines = 300
-	chosen := map[string]int{}
+	engineCounts := map[string]int{}
 	for number := range engines {
-		chosen[choose(stores, fmt.Sprintf("engine-%d", number))]++
+		engineCounts[choose(stores, fmt.Sprintf("engine-%d", number))]++
 	}
-	require.Len(t, chosen, 3)
+	require.Len(t, engineCounts, 3)
 	for _, name := range []string{"one", "two", "three"} {
-		require.InDelta(t, engines/3, chosen[name], engines/6, name)
+		require.InDelta(t, engines/3, engineCounts[name], engines/6, name)
 	}
 	require.Equal(t, "member", choose(stores[:3], "engine-1"))
 	require.Equal(t, "far", choose(stores[:2], "engine-1"))
@@ -413,31 +413,31 @@
 
 // TestFailureIsToldOnce: a leader whose link breaks after it has heard of a failure does
 // not hear of it again, since it would count as another one; a whole text comes again.
-func TestFailureIsToldOnce(t *testing.T) {
+func TestFailureIsReportedOnce(t *testing.T) {
 	for _, end := range []scheduler.RunEnd{scheduler.Failed, scheduler.Complete} {
-		linked := newLinked(t, func(_ context.Context, _ Request, each func(Event)) scheduler.RunEnd {
-			each(Event{ID: 1, Data: "a"})
+		deployment := newTestDeployment(t, func(_ context.Context, _ Request, onEvent func(Event)) scheduler.RunEnd {
+			onEvent(Event{ID: 1, Data: "a"})
 			return end
 		})
-		_, _, told := linked.run(context.Background(), textOf(0, 0))
-		require.Equal(t, end, told)
-		brought := make(chan int, 1)
+		_, _, reported := deployment.run(context.Background(), newText(0, 0))
+		require.Equal(t, end, reported)
+		orphanCounts := make(chan int, 1)
 		ctx, stop := context.WithCancel(context.Background())
-		linked.lead(ctx, 1, func(held []*Held) { brought <- len(held) })
+		deployment.lead(ctx, 1, func(orphans []*OrphanedRun) { orphanCounts <- len(orphans) })
 		if end == scheduler.Complete {
-			require.Equal(t, 1, <-brought)
+			require.Equal(t, 1, <-orphanCounts)
 		} else {
-			require.Never(t, func() bool { return len(brought) > 0 }, 20*interval, interval)
+			require.Never(t, func() bool { return len(orphanCounts) > 0 }, 20*pollInterval, pollInterval)
 		}
 		stop()
 	}
 }
 
 // TestClosedServerTakesNoLink: a store that stops is no sign of a later leader.
-func TestClosedServerTakesNoLink(t *testing.T) {
-	linked := newLinked(t, unreachable)
-	linked.server.Close()
-	require.Eventually(t, func() bool { return linked.pool.Open() == 0 }, soon, interval)
-	require.Never(t, func() bool { return linked.pool.Open() > 0 }, 3*minBackoff, interval)
-	require.False(t, linked.pool.superseded.Load())
+func TestClosedServerRefusesLinks(t *testing.T) {
+	deployment := newTestDeployment(t, unreachableEngine)
+	deployment.server.Close()
+	require.Eventually(t, func() bool { return deployment.pool.OpenLinks() == 0 }, waitLimit, pollInterval)
+	require.Never(t, func() bool { return deployment.pool.OpenLinks() > 0 }, 3*minBackoff, pollInterval)
+	require.False(t, deployment.pool.superseded.Load())
 }
--- a/runner/server.go
+++ b/runner/server.go
@@ -20,18 +20,18 @@
 	engine Engine
 	logger *zerolog.Logger
 	// orphanTime is how long runs go on without a link.
-	orphanTime time.Duration
+	orphanTimeout time.Duration
 	// held is the number of runs that have not ended.
-	held atomic.Int64
+	activeRuns atomic.Int64
 
 	mutex sync.Mutex
 	// term is the newest that has opened a link, and current its newest link or nil.
 	term    uint64
 	current *serverLink
 	// orphans are the runs without a link.
-	orphans []*heldRun
+	orphans []*serverRun
 	// endTimer ends them.
-	endTimer *time.Timer
+	orphanTimer *time.Timer
 	// closed is set once no link is taken any more; links is for the open ones.
 	closed bool
 	links  sync.WaitGroup
@@ -39,7 +39,7 @@
 
 // NewServer returns a server that runs samples through the engine client.
 func NewServer(engine Engine, logger *zerolog.Logger) *Server {
-	return &Server{engine: engine, logger: logger, orphanTime: orphanTime}
+	return &Server{engine: engine, logger: logger, orphanTimeout: orphanTimeout}
 }
 
 // Close ends all links and runs, and waits for the links.
@@ -50,15 +50,15 @@
 		s.orphans = append(s.orphans, s.current.detach()...)
 		s.current = nil
 	}
-	s.endRuns()
+	s.cancelOrphans()
 	s.mutex.Unlock()
 	s.links.Wait()
 }
 
 // endRuns ends the runs that have no link.
-func (s *Server) endRuns() {
-	if s.endTimer != nil {
-		s.endTimer.Stop()
+func (s *Server) cancelOrphans() {
+	if s.orphanTimer != nil {
+		s.orphanTimer.Stop()
 	}
 	for _, run := range s.orphans {
 		run.cancel()
@@ -67,7 +67,7 @@
 }
 
 // Held returns the number of runs that have not ended.
-func (s *Server) Held() int64 { return s.held.Load() }
+func (s *Server) ActiveRuns() int64 { return s.activeRuns.Load() }
 
 // ServeHTTP serves a link until either side ends it.
 func (s *Server) ServeHTTP(response http.ResponseWriter, request *http.Request) {
@@ -83,7 +83,7 @@
 	}
 	link := newServerLink(s, request.Context(), term, controller)
 	defer link.cancel()
-	if status := s.adopt(link, term); status != http.StatusOK {
+	if status := s.attach(link, term); status != http.StatusOK {
 		http.Error(response, "this store takes no link of the term", status)
 		return
 	}
@@ -92,18 +92,18 @@
 	response.Header().Set("Connection", "close")
 	response.WriteHeader(http.StatusOK)
 	if controller.Flush() == nil {
-		event.RunnerLinkOpened.On(s.logger).Str("leader", request.RemoteAddr).Uint("term", term).Uint("held", uint64(link.broughtBack)).Send()
+		event.RunnerLinkOpened.On(s.logger).Str("leader", request.RemoteAddr).Uint("term", term).Uint("held", uint64(link.adoptedCount)).Send()
 		link.serve(bufio.NewReader(request.Body), response)
 	}
-	left := s.release(link)
-	event.RunnerLinkClosed.On(s.logger).Str("leader", request.RemoteAddr).Uint("term", term).Uint("runs", uint64(link.started)).
-		Uint("left", uint64(left)).Uint("late", uint64(link.late)).Send()
+	orphaned := s.release(link)
+	event.RunnerLinkClosed.On(s.logger).Str("leader", request.RemoteAddr).Uint("term", term).Uint("runs", uint64(link.startedCount)).
+		Uint("left", uint64(orphaned)).Uint("late", uint64(link.staleCount)).Send()
 }
 
 // adopt makes the link the current one, with all runs that are held. It returns the status
 // of the answer: a conflict for a link of an earlier term than the newest, and unavailable
 // once the server is closed.
-func (s *Server) adopt(link *serverLink, term uint64) int {
+func (s *Server) attach(link *serverLink, term uint64) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
@@ -116,11 +116,11 @@
 	if s.current != nil {
 		s.orphans = append(s.orphans, s.current.supersede(term)...)
 	}
-	if s.endTimer != nil {
-		s.endTimer.Stop()
+	if s.orphanTimer != nil {
+		s.orphanTimer.Stop()
 	}
 	s.term, s.current = term, link
-	link.bringBack(s.orphans)
+	link.adoptRuns(s.orphans)
 	s.orphans = nil
 	return http.StatusOK
 }
@@ -136,41 +136,41 @@
 	s.current = nil
 	s.orphans = link.detach()
 	if len(s.orphans) > 0 {
-		s.endTimer = time.AfterFunc(s.orphanTime, s.endOrphans)
+		s.orphanTimer = time.AfterFunc(s.orphanTimeout, s.expireOrphans)
 	}
 	return len(s.orphans)
 }
 
 // endOrphans ends the runs that still have no link.
-func (s *Server) endOrphans() {
+func (s *Server) expireOrphans() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.orphans) == 0 {
 		return
 	}
 	event.OrphanedRunsEnded.On(s.logger).Uint("runs", uint64(len(s.orphans))).Send()
-	s.endRuns()
+	s.cancelOrphans()
 }
 
 // run runs a sample until its end, whatever becomes of the link that has asked for it.
-func (s *Server) run(ctx context.Context, run *heldRun, request Request) {
-	s.held.Add(1)
-	defer s.held.Add(-1)
+func (s *Server) run(ctx context.Context, run *serverRun, request Request) {
+	s.activeRuns.Add(1)
+	defer s.activeRuns.Add(-1)
 	defer run.cancel()
-	run.finish(s.engine.Run(ctx, request, run.add))
+	run.recordEnd(s.engine.Run(ctx, request, run.addEvent))
 }
 
 // begin starts the run that was asked for.
-func (s *Server) begin(asked start, owner *serverLink) *heldRun {
+func (s *Server) startRun(command start, owner *serverLink) *serverRun {
 	ctx, cancel := context.WithCancel(context.Background())
-	text := scheduler.Text{Events: asked.Text.Events, Last: uint64(len(asked.Text.Events)), Versions: asked.Text.Versions}
-	run := &heldRun{
-		step: asked.Step, sample: asked.Sample.ID, engine: asked.Backend.ID,
-		cancel: cancel, owner: owner, text: text, reported: len(text.Events),
+	text := scheduler.Text{Events: command.Text.Events, Last: uint64(len(command.Text.Events)), Versions: command.Text.Versions}
+	run := &serverRun{
+		step: command.Step, sample: command.Sample.ID, engine: command.Backend.ID,
+		cancel: cancel, owner: owner, text: text, reportedEvents: len(text.Events),
 	}
 	request := Request{
-		Backend: asked.Backend, Step: asked.Step, Host: asked.Host, Tenant: asked.Tenant, Sample: asked.Sample, Text: text,
-		Known: asked.Known, KindKnown: asked.KindKnown,
+		Backend: command.Backend, Step: command.Step, Host: command.Host, Tenant: command.Tenant, Sample: command.Sample, Text: text,
+		KnownCrashes: command.Known, KnownKindCrashes: command.KindKnown,
 	}
 	go s.run(ctx, run, request)
 	return run
--- a/runner/serverlink.go
+++ b/runner/serverlink.go
@@ -23,13 +23,13 @@
 	// lost may not have heard of it, or not have recorded its result yet. Scoring and
 	// recording take some tenths of a second, and a silent leader is noticed after
 	// leaderSilence. Other ends are told once: a failure must not count twice.
-	endedTime = 2 * time.Second
+	completedRetention = 2 * time.Second
 )
 
 // endedRun is a run whose whole text was reported.
-type endedRun struct {
-	run *heldRun
-	at  time.Time
+type completedRun struct {
+	run        *serverRun
+	reportedAt time.Time
 }
 
 // serverLink is a link as its runner sees it.
@@ -41,7 +41,7 @@
 	term       uint64
 	// broughtBack counts the runs of earlier links, started those that were asked for on
 	// this one, and late those that were asked for too long ago.
-	broughtBack, started, late int
+	adoptedCount, startedCount, staleCount int
 	// changed tells that there is something to report, and ended that a run has ended.
 	changed, ended chan struct{}
 
@@ -49,43 +49,43 @@
 	// closed is set once the runs have been taken from the link, and superseded if
 	// another link has them.
 	closed, superseded bool
-	runs               map[uint64]*heldRun
+	runs               map[uint64]*serverRun
 	// told are the runs whose whole texts were reported lately, the earliest first.
-	told []endedRun
+	completed []completedRun
 	// held are the numbers of the runs that the first report brings back.
-	held []uint64
+	adopted []uint64
 	// refused are starts that were asked for too long ago.
-	refused []uint64
+	staleStarts []uint64
 	// reportedAt holds when the newest reports were sent, the oldest first, of which
 	// the first has the number firstReport. The link's begin counts as report 0.
-	reportedAt  []time.Time
-	firstReport uint64
+	reportedAt        []time.Time
+	firstReportNumber uint64
 }
 
 func newServerLink(server *Server, parent context.Context, term uint64, controller *http.ResponseController) *serverLink {
 	ctx, cancel := context.WithCancel(parent)
 	return &serverLink{
 		server: server, context: ctx, cancel: cancel, term: term, controller: controller,
-		runs: map[uint64]*heldRun{}, reportedAt: []time.Time{clock.Now()},
+		runs: map[uint64]*serverRun{}, reportedAt: []time.Time{clock.Now()},
 		changed: make(chan struct{}, 1), ended: make(chan struct{}, 1),
 	}
 }
 
 // bringBack has the link go on with runs of earlier ones.
-func (l *serverLink) bringBack(runs []*heldRun) {
+func (l *serverLink) adoptRuns(runs []*serverRun) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.broughtBack = len(runs)
-	for position, run := range runs {
-		number := uint64(firstHeldRun + position)
-		run.own(l)
+	l.adoptedCount = len(runs)
+	for i, run := range runs {
+		number := uint64(firstOrphanNumber + i)
+		run.setOwner(l)
 		l.runs[number] = run
-		l.held = append(l.held, number)
+		l.adopted = append(l.adopted, number)
 	}
 }
 
 // detach takes the runs from the link, and ends it.
-func (l *serverLink) detach() []*heldRun {
+func (l *serverLink) detach() []*serverRun {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.cancel()
@@ -94,7 +94,7 @@
 
 // supersede takes the runs from the link for one of the term. The link ends once it has
 // told its leader of a later one; its own leader may have opened another link instead.
-func (l *serverLink) supersede(term uint64) []*heldRun {
+func (l *serverLink) supersede(term uint64) []*serverRun {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if term > l.term {
@@ -106,26 +106,26 @@
 	return l.takeRuns()
 }
 
-func (l *serverLink) takeRuns() []*heldRun {
+func (l *serverLink) takeRuns() []*serverRun {
 	l.closed = true
-	runs := make([]*heldRun, 0, len(l.runs))
+	runs := make([]*serverRun, 0, len(l.runs))
 	for _, run := range l.runs {
-		run.own(nil)
+		run.setOwner(nil)
 		runs = append(runs, run)
 	}
 	clear(l.runs)
-	l.forgetTold()
-	for _, one := range l.told {
-		runs = append(runs, one.run)
+	l.expireCompleted()
+	for _, ended := range l.completed {
+		runs = append(runs, ended.run)
 	}
-	l.told = nil
+	l.completed = nil
 	return runs
 }
 
 // forgetTold forgets the runs whose ends were reported some time ago.
-func (l *serverLink) forgetTold() {
-	oldest := clock.Now().Add(-endedTime)
-	l.told = slices.DeleteFunc(l.told, func(one endedRun) bool { return one.at.Before(oldest) })
+func (l *serverLink) expireCompleted() {
+	oldest := clock.Now().Add(-completedRetention)
+	l.completed = slices.DeleteFunc(l.completed, func(run completedRun) bool { return run.reportedAt.Before(oldest) })
 }
 
 // serve carries the link on until its connection ends or the leader is silent for too
@@ -138,7 +138,7 @@
 		defer l.cancel()
 		l.sendReports(writer)
 	})
-	l.takeCommands(reader)
+	l.receiveCommands(reader)
 	l.cancel()
 	reporting.Wait()
 }
@@ -152,48 +152,48 @@
 }
 
 // takeCommands carries out the leader's messages.
-func (l *serverLink) takeCommands(reader *bufio.Reader) {
-	silence := time.AfterFunc(leaderSilence, l.cancel)
-	defer silence.Stop()
+func (l *serverLink) receiveCommands(reader *bufio.Reader) {
+	watchdog := time.AfterFunc(leaderTimeout, l.cancel)
+	defer watchdog.Stop()
 	for {
 		var message commands
 		if readMessage(reader, &message) != nil || l.context.Err() != nil {
 			return
 		}
-		silence.Reset(leaderSilence)
+		watchdog.Reset(leaderTimeout)
 		for _, number := range message.Cancels {
 			l.cancelRun(number)
 		}
 		for _, start := range message.Starts {
-			l.begin(start, message.Heard)
+			l.startRun(start, message.Heard)
 		}
 	}
 }
 
 // begin starts a run, or reports it as interrupted where it was asked for too long ago.
-func (l *serverLink) begin(asked start, heard uint64) {
+func (l *serverLink) startRun(request start, lastReport uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
 	case l.closed:
-	case !l.isRecent(heard):
-		l.late++
-		l.refused = append(l.refused, asked.Run)
+	case !l.isRecentReport(lastReport):
+		l.staleCount++
+		l.staleStarts = append(l.staleStarts, request.Run)
 		wake(l.ended)
 	default:
-		l.started++
-		l.runs[asked.Run] = l.server.begin(asked, l)
+		l.startedCount++
+		l.runs[request.Run] = l.server.startRun(request, l)
 	}
 }
 
 // isRecent tells whether the report was sent, or the link opened, a short time ago.
-func (l *serverLink) isRecent(number uint64) bool {
-	oldest := clock.Now().Add(-startValidity)
+func (l *serverLink) isRecentReport(number uint64) bool {
+	oldest := clock.Now().Add(-maxReportAge)
 	for len(l.reportedAt) > 1 && l.reportedAt[0].Before(oldest) {
 		l.reportedAt = l.reportedAt[1:]
-		l.firstReport++
+		l.firstReportNumber++
 	}
-	position := int(number) - int(l.firstReport)
+	position := int(number) - int(l.firstReportNumber)
 	return position >= 0 && position < len(l.reportedAt) && l.reportedAt[position].After(oldest)
 }
 
@@ -211,31 +211,31 @@
 func (l *serverLink) sendReports(writer io.Writer) {
 	buffered := bufio.NewWriter(writer)
 	for {
-		next := l.collect()
+		next := l.nextReport()
 		if writeMessage(buffered, next) != nil || buffered.Flush() != nil || l.controller.Flush() != nil {
 			return
 		}
-		if next.Superseded || !l.awaitReport(time.Now()) {
+		if next.Superseded || !l.waitForNextReport(time.Now()) {
 			return
 		}
 	}
 }
 
 // awaitReport waits until the next report is due, and tells whether the link goes on.
-func (l *serverLink) awaitReport(sentAt time.Time) bool {
-	due := time.NewTimer(time.Until(sentAt.Add(keepaliveInterval)))
-	defer due.Stop()
+func (l *serverLink) waitForNextReport(sentAt time.Time) bool {
+	timer := time.NewTimer(time.Until(sentAt.Add(keepaliveInterval)))
+	defer timer.Stop()
 	changed := l.changed
 	for {
 		select {
 		case <-l.context.Done():
 			return false
-		case <-due.C:
+		case <-timer.C:
 			return true
 		case <-changed:
 			// What is new is told with the next report; further news change nothing.
 			changed = nil
-			due.Reset(time.Until(sentAt.Add(reportInterval)))
+			timer.Reset(time.Until(sentAt.Add(reportInterval)))
 		case <-l.ended:
 			sleep(l.context, endDelay)
 			return true
@@ -245,34 +245,34 @@
 
 // collect returns the next report, after which the runs whose ends it tells are kept for
 // a short time only. The first one brings back the runs of earlier links.
-func (l *serverLink) collect() report {
+func (l *serverLink) nextReport() report {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.reportedAt = append(l.reportedAt, clock.Now())
-	next := report{Number: l.firstReport + uint64(len(l.reportedAt)) - 1, Superseded: l.superseded}
+	next := report{Number: l.firstReportNumber + uint64(len(l.reportedAt)) - 1, Superseded: l.superseded}
 	if next.Number == 1 {
-		for _, number := range l.held {
+		for _, number := range l.adopted {
 			if run := l.runs[number]; run != nil {
-				next.Held = append(next.Held, run.takeHeld(number))
+				next.Held = append(next.Held, run.takeOrphanReport(number))
 			}
 		}
 		return next
 	}
-	for _, number := range l.refused {
+	for _, number := range l.staleStarts {
 		next.Runs = append(next.Runs, runReport{Run: number, End: scheduler.Interrupted})
 	}
-	l.refused = nil
-	l.forgetTold()
+	l.staleStarts = nil
+	l.expireCompleted()
 	for number, run := range l.runs {
-		news, any := run.takeReport(number)
-		if any {
-			next.Runs = append(next.Runs, news)
+		update, hasUpdate := run.takeReport(number)
+		if hasUpdate {
+			next.Runs = append(next.Runs, update)
 		}
-		if news.End != 0 {
+		if update.End != 0 {
 			delete(l.runs, number)
 		}
-		if news.End == scheduler.Complete {
-			l.told = append(l.told, endedRun{run: run, at: clock.Now()})
+		if update.End == scheduler.Complete {
+			l.completed = append(l.completed, completedRun{run: run, reportedAt: clock.Now()})
 		}
 	}
 	return next
--- a/runner/suspension_test.go
+++ b/runner/suspension_test.go
@@ -15,24 +15,24 @@
 
 // TestStartFromBeforeASuspensionIsNotBegun: neither does a leader that was suspended send what
 // it had decided before, nor a runner begin what it was asked for before.
-func TestStartFromBeforeASuspensionIsNotBegun(t *testing.T) {
+func TestStartBeforeSuspensionIsNotRun(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
 
 	link := &Link{runs: map[uint64]*linkRun{}, changed: make(chan struct{}, 1)}
-	link.up.Store(true)
+	link.isOpen.Store(true)
 	run := &linkRun{ended: make(chan scheduler.RunEnd, 1)}
-	_, ok := link.ask(run, Request{Step: "s", Sample: &ledger.Sample{ID: "x"}, DecidedAt: clock.Now()})
+	_, ok := link.queueStart(run, Request{Step: "s", Sample: &ledger.Sample{ID: "x"}, DecidedAt: clock.Now()})
 	require.True(t, ok)
 	source.Suspend(time.Hour)
 	require.Empty(t, link.takePending().Starts)
 	require.Equal(t, scheduler.Interrupted, <-run.ended)
 
 	logger := zerolog.Nop()
-	served := newServerLink(NewServer(scriptedEngine(unreachable), &logger), context.Background(), 1, nil)
-	require.True(t, served.isRecent(0))
+	served := newServerLink(NewServer(scriptedEngine(unreachableEngine), &logger), context.Background(), 1, nil)
+	require.True(t, served.isRecentReport(0))
 	source.Suspend(time.Hour)
-	require.False(t, served.isRecent(0))
-	served.begin(start{Run: 1, Sample: &ledger.Sample{}}, 0)
-	require.Equal(t, []runReport{{Run: 1, End: scheduler.Interrupted}}, append(served.collect().Runs, served.collect().Runs...))
+	require.False(t, served.isRecentReport(0))
+	served.startRun(start{Run: 1, Sample: &ledger.Sample{}}, 0)
+	require.Equal(t, []runReport{{Run: 1, End: scheduler.Interrupted}}, append(served.nextReport().Runs, served.nextReport().Runs...))
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -152,7 +152,7 @@
 	var complete []*Task
 	for position := range step.Samples {
 		sample := &step.Samples[position]
-		if entry.Listed(sample.ID) {
+		if entry.HasResult(sample.ID) {
 			continue
 		}
 		task := s.promote(step, sample)
--- a/server/held_sample.go
+++ b/server/held_sample.go
@@ -74,13 +74,13 @@
 // than the runner, and the other way round.
 func (g *guardedEngine) judge(request runner.Request, subject quarantine.Subject) quarantine.Verdict {
 	verdict := g.guard.CheckSubject(subject)
-	verdict.KnownCrashes, verdict.KnownKindCrashes = max(verdict.KnownCrashes, request.Known), max(verdict.KnownKindCrashes, request.KindKnown)
+	verdict.KnownCrashes, verdict.KnownKindCrashes = max(verdict.KnownCrashes, request.KnownCrashes), max(verdict.KnownKindCrashes, request.KnownKindCrashes)
 	return verdict
 }
 
 // Run implements runner.Engine. A run that breaks off by the engine's end has crashed.
 func (g *guardedEngine) Run(ctx context.Context, request runner.Request, each func(runner.Event)) scheduler.RunEnd {
-	verdict := quarantine.Verdict{KnownCrashes: request.Known, KnownKindCrashes: request.KindKnown}
+	verdict := quarantine.Verdict{KnownCrashes: request.KnownCrashes, KnownKindCrashes: request.KnownKindCrashes}
 	if !g.guard.IsIdle() {
 		verdict = g.judge(request, scheduler.SubjectOf(request.Host, request.Tenant, request.Sample))
 	}
--- a/server/held_sample_test.go
+++ b/server/held_sample_test.go
@@ -35,7 +35,7 @@
 		follower.RecordCrash(quarantine.Subject{Content: "other", Kind: "other"}, "third", quarantine.Verdict{})
 		told := leader.TakeReport().Crashes
 		verdict := leader.CheckSubject(subject)
-		request.Known, request.KindKnown = verdict.KnownCrashes, verdict.KnownKindCrashes
+		request.KnownCrashes, request.KnownKindCrashes = verdict.KnownCrashes, verdict.KnownKindCrashes
 		hasEnded := func(context.Context, directory.Backend) bool { return true }
 		engine := guardedEngine{engine: brokenEngine{}, guard: follower, hasEnded: hasEnded}
 		require.Equal(t, scheduler.Crashed, engine.Run(context.Background(), request, func(runner.Event) {}))
--- a/server/ledger_call.go
+++ b/server/ledger_call.go
@@ -139,7 +139,7 @@
 func (l *Ledger) stepFor(id, tenant string) (known, open bool) {
 	l.replica.Do(func() {
 		if entry := l.machine.Step(id); entry != nil {
-			known, open = true, entry.OpenTo(tenant)
+			known, open = true, entry.AllowsTenant(tenant)
 		}
 	})
 	return known, open
@@ -189,7 +189,7 @@
 	var answer ledgerAnswer
 	l.replica.Do(func() {
 		entry := l.machine.Step(call.Step)
-		if entry == nil || !entry.OpenTo(call.Tenant) {
+		if entry == nil || !entry.AllowsTenant(call.Tenant) {
 			return
 		}
 		answer.Found, answer.Total = true, len(entry.Step.Samples)
@@ -215,7 +215,7 @@
 	var answer ledgerAnswer
 	l.replica.Do(func() {
 		entry := l.machine.Step(call.Step)
-		if entry == nil || !entry.OpenTo(call.Tenant) {
+		if entry == nil || !entry.AllowsTenant(call.Tenant) {
 			return
 		}
 		if sample := entry.Sample(call.ID); sample != nil {
@@ -231,7 +231,7 @@
 func (l *Ledger) end(ctx context.Context, end *endCall) ledgerAnswer {
 	known, ended := false, false
 	l.replica.Do(func() {
-		if entry := l.machine.Step(end.Step); entry != nil && entry.OpenTo(end.Tenant) {
+		if entry := l.machine.Step(end.Step); entry != nil && entry.AllowsTenant(end.Tenant) {
 			known, ended = true, entry.Ended
 		}
 	})
--- a/server/quarantine_bound_test.go
+++ b/server/quarantine_bound_test.go
@@ -160,7 +160,7 @@
 	run := &boundRun{sample: sample, leaderKnew: verdict, suspected: verdict.KnownKindCrashes > 0}
 	run.runner = rapid.SampledFrom(w.runners).Draw(w.t, "runner")
 	engine := guardedEngine{guard: run.runner}
-	run.runnerKnew = engine.judge(runner.Request{Known: verdict.KnownCrashes, KindKnown: verdict.KnownKindCrashes}, sample.subject)
+	run.runnerKnew = engine.judge(runner.Request{KnownCrashes: verdict.KnownCrashes, KnownKindCrashes: verdict.KnownKindCrashes}, sample.subject)
 	run.engine = rapid.SampledFrom(w.engines).Draw(w.t, "engine")
 	run.engine.runs = append(run.engine.runs, run)
 	sample.run = run
--- a/server/quarantine_trace_test.go
+++ b/server/quarantine_trace_test.go
@@ -61,7 +61,7 @@
 	guarded := guardedEngine{guard: s.runners[by]}
 	sample.run = &boundRun{
 		sample: sample, engine: engine, runner: s.runners[by], leaderKnew: verdict, suspected: verdict.KnownKindCrashes > 0,
-		runnerKnew: guarded.judge(runner.Request{Known: verdict.KnownCrashes, KindKnown: verdict.KnownKindCrashes}, sample.subject),
+		runnerKnew: guarded.judge(runner.Request{KnownCrashes: verdict.KnownCrashes, KnownKindCrashes: verdict.KnownKindCrashes}, sample.subject),
 	}
 	engine.runs = append(engine.runs, sample.run)
 	return true
--- a/server/record.go
+++ b/server/record.go
@@ -101,7 +101,7 @@
 			return
 		}
 		for _, one := range recorded {
-			if one.whole != nil && !entry.Listed(one.result.Sample) {
+			if one.whole != nil && !entry.HasResult(one.result.Sample) {
 				missing = append(missing, pendingResult{task: one.task, result: *one.whole})
 			}
 		}
--- a/server/record_test.go
+++ b/server/record_test.go
@@ -24,6 +24,6 @@
 	for _, kept := range []uint64{0, 3, 4} {
 		require.Equal(t, pendingResult{task: task, result: result}, newPendingResult(task, result, kept))
 	}
-	dead := ledger.Result{Sample: "x", State: ledger.Dead}
+	dead := ledger.Result{Sample: "x", State: ledger.FailedPermanently}
 	require.Equal(t, pendingResult{task: task, result: dead}, newPendingResult(task, dead, 2))
 }
--- a/server/renewal_test.go
+++ b/server/renewal_test.go
@@ -279,7 +279,7 @@
 	executor := &Executor{watcher: w, guard: newGuard(w), metrics: newLedgerMetrics(), logger: &logger}
 	tenured := &tenure{
 		Executor: executor, context: ctx, loop: eventloop.New(), scheduler: scheduler.New(), catalog: w.Catalog(),
-		runners: runner.NewPool(ctx, 1, func([]*runner.Held) {}, &logger),
+		runners: runner.NewPool(ctx, 1, func([]*runner.OrphanedRun) {}, &logger),
 		cancels: map[*scheduler.Task]context.CancelFunc{}, progress: map[*scheduler.Task]*runProgress{},
 		checkpointed: map[*scheduler.Task]uint64{}, workingSets: map[string]*scheduler.WorkingSet{},
 	}
@@ -288,7 +288,7 @@
 		held.CloseClientConnections()
 		held.Close()
 	})
-	tenured.runners.Follow([]runner.Store{{Name: "store", Address: strings.TrimPrefix(held.URL, "http://")}})
+	tenured.runners.SetStores([]runner.Store{{Name: "store", Address: strings.TrimPrefix(held.URL, "http://")}})
 	require.Eventually(t, tenured.runners.Ready, watchSoon, watchInterval)
 	tenured.scheduler.SyncEngines(nowMillis(), []directory.Backend{leaving("a")}, map[string]uint64{"m": 1})
 	tenured.scheduler.AddStep(&ledger.Entry{Step: &ledger.Step{
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -152,7 +152,7 @@
 	}
 	gauge(emit, "ledger_runners_open", "On a leader, stores that can hold streams of runs for it.", float64(l.executor.runnersOpen.Load()))
 	l.executor.collectPlan(emit)
-	gauge(emit, "runner_runs", "Runs whose streams this store holds for the leader.", float64(l.runs.Held()))
+	gauge(emit, "runner_runs", "Runs whose streams this store holds for the leader.", float64(l.runs.ActiveRuns()))
 }
 
 func (g *Gateway) collect(emit chan<- prometheus.Metric) {
--- a/server/run.go
+++ b/server/run.go
@@ -31,7 +31,7 @@
 // start runs a task on its engine.
 func (t *tenure) start(assignment scheduler.Assignment) {
 	task := assignment.Task
-	link := t.runners.For(assignment.Backend)
+	link := t.runners.LinkFor(assignment.Backend)
 	event.SampleStarted.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).
 		Str("engine", assignment.Backend.ID).Str("runner", link.Name()).Uint("attempt", uint64(task.Attempts)).Uint("after", task.Text.Last).
 		Uint("expected", uint64(assignment.ExpectedEvents)).Uint("pace", micros(assignment.Pace)).Uint("ahead", boolToUint(task.IsSpeculative())).
@@ -40,14 +40,14 @@
 	request := runner.Request{
 		Backend: assignment.Backend, Step: task.Step.ID, Host: task.Step.Host, Tenant: task.Step.Tenant,
 		Sample: task.Sample, Text: task.Text, DecidedAt: clock.Now(),
-		Known: followed.verdict.KnownCrashes, KindKnown: followed.verdict.KnownKindCrashes,
+		KnownCrashes: followed.verdict.KnownCrashes, KnownKindCrashes: followed.verdict.KnownKindCrashes,
 	}
 	go followed.run(func(ctx context.Context) scheduler.RunEnd { return link.Run(ctx, request, followed.take) })
 }
 
 // adopt goes on with runs of an earlier leader, where their samples wait and their texts
 // will do. It is called by a runner's link and waits for the loop.
-func (t *tenure) adopt(held []*runner.Held) {
+func (t *tenure) adopt(held []*runner.OrphanedRun) {
 	eventloop.Call(t.loop, func() struct{} {
 		t.engageHeld(held)
 		for _, one := range held {
@@ -66,7 +66,7 @@
 }
 
 // engageHeld has the engines used that the runs are on.
-func (t *tenure) engageHeld(held []*runner.Held) {
+func (t *tenure) engageHeld(held []*runner.OrphanedRun) {
 	ids := make([]string, 0, len(held))
 	for _, one := range held {
 		ids = append(ids, one.Engine)
@@ -108,9 +108,9 @@
 	switch {
 	case ahead:
 	case end == scheduler.Unprocessable:
-		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.Dead}, "impossible")
+		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "impossible")
 	case end == scheduler.Failed && task.Failures.Runs >= max(task.Step.Attempts, 1):
-		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.Dead}, "failed")
+		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "failed")
 	case task.State == scheduler.Scoring:
 		t.score(task)
 	}
@@ -143,7 +143,7 @@
 	}
 	t.metrics.samples.WithLabelValues(strconv.Itoa(int(result.State))).Inc()
 	t.results = append(t.results, newPendingResult(task, result, kept))
-	if result.State == ledger.Dead {
+	if result.State == ledger.FailedPermanently {
 		event.SampleFailed.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("reason", why).Send()
 	}
 }
--- a/server/score.go
+++ b/server/score.go
@@ -59,7 +59,7 @@
 	}
 	delete(t.cancels, task)
 	if end == rewardFailed {
-		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.Dead}, "no score")
+		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "no score")
 		return
 	}
 	t.finish(task, wholeResult(task, score), "")
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -119,14 +119,14 @@
 
 func (t *tenure) tick() {
 	for _, task := range t.scheduler.OverdueTasks(nowMillis()) {
-		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.Dead}, "overdue")
+		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "overdue")
 	}
 	t.moveSlow()
 	t.runAhead()
 	t.checkpoint()
 	t.recordPaces()
 	t.tellDemand()
-	t.runnersOpen.Store(int64(t.runners.Open()))
+	t.runnersOpen.Store(int64(t.runners.OpenLinks()))
 	t.notePlan()
 	if time.Since(t.prunedAt) > pruneInterval {
 		t.prunedAt = time.Now()
@@ -157,7 +157,7 @@
 		first := t.catalog == nil
 		t.catalog = catalog
 		t.forwarder.Forget(catalog)
-		t.runners.Follow(runnersOf(catalog, t.settings.Name))
+		t.runners.SetStores(runnersOf(catalog, t.settings.Name))
 		t.syncEngines()
 		if first {
 			t.inspect(t.engaged)
