--- a/bench/standin/caller.go
+++ b/bench/standin/caller.go
@@ -102,7 +102,7 @@
 		c.recorder.Record(oracle.Event{Sent: &sent})
 		ended, retry := c.send(sent, issued, unresolved, random)
 		c.recorder.Record(oracle.Event{Ended: &ended})
-		again := ended.Outcome == protocol.OutcomeNotRun || (notRepeatable && ended.Reason != protocol.ReasonOutcomeLost)
+		again := ended.Outcome == protocol.OutcomeNotRun || (notRepeatable && ended.Reason != protocol.ReasonEarlierOutcomeUnknown)
 		if ended.Outcome == protocol.OutcomeAnswered || !again {
 			return
 		}
--- a/ledger/machine_test.go
+++ b/ledger/machine_test.go
@@ -160,7 +160,7 @@
 	shortened.ShortenText(events, 3)
 	require.Equal(t, "4", shortened.Text)
 	for name, kept := range map[string][]string{
-		"as it was": {"1", "2", "3"}, "longer": {"1", "2", "3", "x"}, "another text": {"1", "x", "3"}, "shorter": {"1", "2"}, "nothing": nil,
+		"identical": {"1", "2", "3"}, "longer": {"1", "2", "3", "x"}, "different": {"1", "x", "3"}, "shorter": {"1", "2"}, "missing": nil,
 	} {
 		m := NewMachine()
 		m.Apply(Command{Submit: newStep("a", 1)}.Encode())
@@ -168,7 +168,7 @@
 			m.Apply(Command{Checkpoint: &Checkpoint{Step: "a", Texts: []Continuation{{Sample: "a-0", Events: kept}}}}.Encode())
 		}
 		m.Apply(Command{Record: &Record{Step: "a", Results: []Result{shortened}}}.Encode())
-		if name != "as it was" && name != "longer" {
+		if name != "identical" && name != "longer" {
 			require.Empty(t, m.Step("a").Results, name)
 			m.Apply(Command{Record: &Record{Step: "a", Results: []Result{complete}}}.Encode())
 		}
--- a/node/claim.go
+++ b/node/claim.go
@@ -64,7 +64,7 @@
 	case result.State == state.ClaimRunning:
 		c.end(request, protocol.OutcomeUnknown, protocol.ReasonDuplicate)
 	default:
-		c.end(request, protocol.OutcomeUnknown, protocol.ReasonOutcomeLost)
+		c.end(request, protocol.OutcomeUnknown, protocol.ReasonEarlierOutcomeUnknown)
 	}
 }
 
@@ -72,7 +72,7 @@
 func (c *Core) replayAnswer(request *request, data []byte) {
 	var answer recordedAnswer
 	if err := cbor.Unmarshal(data, &answer); err != nil {
-		c.end(request, protocol.OutcomeUnknown, protocol.ReasonOutcomeLost)
+		c.end(request, protocol.OutcomeUnknown, protocol.ReasonEarlierOutcomeUnknown)
 		return
 	}
 	for _, segment := range answer.Segments {
--- a/node/request.go
+++ b/node/request.go
@@ -336,7 +336,7 @@
 // retryDelay estimates when a resend is likely to be served.
 func (c *Core) retryDelay(request *request, reason protocol.Reason) int64 {
 	switch reason {
-	case protocol.ReasonNoLease, protocol.ReasonControlUnknown, protocol.ReasonDraining:
+	case protocol.ReasonNoLease, protocol.ReasonControlUnavailable, protocol.ReasonDraining:
 		return heartbeatMillis
 	case protocol.ReasonQueueFull:
 		slots := 0
--- a/protocol/engine.go
+++ b/protocol/engine.go
@@ -1,7 +1,7 @@
 package protocol
 
-// EngineMessage is what a node and an engine it owns say to each other. The
-// runtime carries it over the engine's own HTTP interface. Exactly one pointer is set.
+// EngineMessage is a message between a node and an engine that it owns. The runtime translates it to
+// and from the engine's HTTP API. Exactly one pointer is set.
 type EngineMessage struct {
 	Start       *EngineStart
 	Cancel      *EngineCancel
@@ -14,11 +14,11 @@
 	Report      *EngineReport
 }
 
-// EngineStart asks an engine to run one attempt.
+// EngineStart starts an attempt of a request on an engine.
 type EngineStart struct {
 	// Attempt is unique among all attempts of all nodes.
 	Attempt string `json:"attempt"`
-	// Request names the request in the engine's records.
+	// Request identifies the request in the engine's logs.
 	Request   string   `json:"request"`
 	Epoch     uint64   `json:"epoch"`
 	Model     string   `json:"model"`
@@ -28,79 +28,79 @@
 	Priority  uint8    `json:"priority"`
 }
 
-// EngineCancel asks an engine to end an attempt.
+// EngineCancel cancels an attempt.
 type EngineCancel struct {
 	Attempt string `json:"attempt"`
 }
 
-// EngineOrder is a fenced order. The engine refuses an epoch below the highest
-// it has seen and, within an epoch, a sequence that is not above the last.
+// EngineOrder tells an engine to load a version of a model. The engine refuses an epoch below the
+// highest that it has seen and, within an epoch, a sequence that does not increase.
 type EngineOrder struct {
 	Epoch    uint64 `json:"epoch"`
 	Sequence uint64 `json:"sequence"`
-	// Model and Version are what to load; version 0 only raises the fence.
+	// Model and Version are what to load. Version 0 loads nothing and only raises the engine's epoch.
 	Model   string `json:"model,omitempty"`
 	Version uint64 `json:"version,omitempty"`
 }
 
-// EngineProbe asks an engine for a report.
+// EngineProbe requests an EngineReport.
 type EngineProbe struct{}
 
-// EngineChunk is a part of an attempt's tokens.
+// EngineChunk carries consecutive tokens of an attempt.
 type EngineChunk struct {
 	Attempt string `json:"attempt"`
-	// Index counts the attempt's chunks from 0.
+	// Index is the position of the chunk in the attempt, from 0.
 	Index uint32 `json:"index"`
 	Epoch uint64 `json:"epoch"`
-	// Version is the one that generated the tokens; 0 is no stamp.
+	// Version is the version of the weights that generated the tokens, 0 if unknown.
 	Version uint64   `json:"version"`
 	Tokens  []uint32 `json:"tokens"`
 	Done    bool     `json:"done,omitempty"`
 }
 
-// EngineRefused tells that the engine did not run the attempt.
+// EngineRefused reports that the engine did not run the attempt.
 type EngineRefused struct {
 	Attempt string `json:"attempt"`
 	Reason  string `json:"reason"`
 }
 
-// The reasons for which an engine refuses an attempt or an order.
+// Reasons for refusing an attempt or an order.
 const (
 	RefusedFenced   = "fenced"
 	RefusedFull     = "full"
 	RefusedLeaving  = "leaving"
 	RefusedUnloaded = "unloaded"
-	// RefusedConnect is the runtime's own: no connection came about, so no
-	// byte of the request reached the engine.
+	// RefusedConnect is set by the runtime if it could not connect to the engine, so that no byte of the
+	// request was sent.
 	RefusedConnect = "connect"
 )
 
-// EngineLost tells that the attempt's stream ended without its last chunk.
+// EngineLost reports that the attempt's stream ended before its last chunk.
 type EngineLost struct {
 	Attempt string
 }
 
-// EngineOrderResult tells how an order ended.
+// EngineOrderResult is the result of an order.
 type EngineOrderResult struct {
 	Epoch    uint64 `json:"epoch"`
 	Sequence uint64 `json:"sequence"`
-	// Done is false if the order was refused or failed partway: the engine's
-	// version is then unknown until its next report.
+	// Done is false if the order was refused or failed. The engine's version is then unknown until its
+	// next report.
 	Done   bool   `json:"done"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// EngineReport is an engine's word about itself, somewhat out of date.
+// EngineReport is the state of an engine, as reported by the engine. It may be out of date.
 type EngineReport struct {
 	Engine string `json:"engine"`
 	// Incarnation changes when the engine restarts.
 	Incarnation uint64 `json:"incarnation"`
-	// Epoch is the highest the engine has seen; Sequence the last order it
-	// took up under it.
+	// Epoch is the highest epoch that the engine has seen, Sequence that of the last order it accepted in
+	// this epoch.
 	Epoch    uint64 `json:"epoch"`
 	Sequence uint64 `json:"sequence"`
 	Model    string `json:"model"`
-	// Version is 0 while none is wholly loaded.
+	// Version is 0 while no version is completely loaded.
 	Version uint64 `json:"version"`
 	Slots   int    `json:"slots"`
 	Running int    `json:"running"`
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -11,8 +11,7 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// TestGoldenMessages reads the messages of replicas and nodes of earlier builds, and the records
-// of the log that they hold.
+// TestGoldenMessages decodes the messages and log records that replicas and nodes of earlier builds wrote.
 func TestGoldenMessages(t *testing.T) {
 	kinds := []golden.Kind{
 		{Name: "Message", Zero: protocol.Message{}, IsUnion: true},
--- a/protocol/message.go
+++ b/protocol/message.go
@@ -1,6 +1,5 @@
-// Package protocol defines the messages between dillchute's own processes and
-// between a node and the engines it owns. They are values: the cores that
-// exchange them tolerate their loss, repetition and reordering.
+// Package protocol defines the messages between dillchute's processes and between a node and the
+// engines it owns. Messages may be lost, duplicated and reordered; receivers must tolerate this.
 package protocol
 
 import (
@@ -8,8 +7,7 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// Message is the one type that the transport carries between control replicas
-// and nodes. Exactly one pointer is set.
+// Message is the envelope of all messages between control replicas and nodes. Exactly one pointer is set.
 type Message struct {
 	// From is the address of the sending process.
 	From           string             `cbor:"1,keyasint"`
@@ -25,19 +23,17 @@
 	Notify         *Notify            `cbor:"11,keyasint,omitempty"`
 }
 
-// Notify tells a node that its leader has news for it: a change of the catalog
-// or samples that wait. The node asks for them by a heartbeat at once, so that a
-// lost Notify costs no more than the time to the next heartbeat.
+// Notify tells a node that the catalog has changed or samples are waiting. The node responds with an
+// immediate heartbeat, so that a lost Notify only delays it until the next regular heartbeat.
 type Notify struct{}
 
-// Join asks the leader to take a replica into the group as a learner.
+// Join asks the leader to add a replica to the group as a learner.
 type Join struct {
 	ID      consensus.ReplicaID `cbor:"1,keyasint"`
 	Address string              `cbor:"2,keyasint"`
-	// PassedOn is set once a replica that does not lead has passed the question to the leader.
+	// PassedOn is set once a follower has forwarded the request to the leader.
 	PassedOn bool `cbor:"3,keyasint,omitempty"`
-	// Knows is the newest version of the group's commands that the replica knows, 0 for a build that
-	// does not say it.
+	// Knows is the newest command version that the replica supports, 0 if its build does not report it.
 	Knows uint64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -46,50 +42,49 @@
 	_     struct{} `cbor:",toarray"`
 	Group string
 	Free  int
-	// Queued is the number of requests that wait.
+	// Queued is the number of waiting requests.
 	Queued int
 }
 
-// Summary is what a node tells its peers, through the leader, about itself.
+// Summary is the load of a node, which the leader distributes to the node's peers.
 type Summary struct {
 	Running int           `cbor:"1,keyasint"`
 	Queued  int           `cbor:"2,keyasint"`
 	Groups  []PoolSummary `cbor:"3,keyasint"`
 }
 
-// Heartbeat renews a node's lease and asks for what changed.
+// Heartbeat renews a node's lease and requests catalog changes.
 type Heartbeat struct {
 	Node        string `cbor:"1,keyasint"`
 	Zone        string `cbor:"2,keyasint"`
 	Region      string `cbor:"3,keyasint"`
 	Incarnation uint64 `cbor:"4,keyasint"`
-	// Epoch is the registration's; 0 before the first.
+	// Epoch is the epoch of the node's registration, 0 before the first one.
 	Epoch uint64 `cbor:"5,keyasint"`
-	// Sequence grows with each heartbeat; the reply repeats it.
+	// Sequence increases with each heartbeat and is returned in the reply.
 	Sequence uint64 `cbor:"6,keyasint"`
-	// Revision is the newest catalog revision that the node acts on.
+	// Revision is the newest catalog revision that the node has applied.
 	Revision uint64  `cbor:"7,keyasint"`
 	Summary  Summary `cbor:"8,keyasint"`
-	// Draining tells that the node takes no new work.
+	// Draining is set if the node accepts no new work.
 	Draining bool `cbor:"9,keyasint"`
-	// Leaving tells that the node has ended all its work and goes.
+	// Leaving is set once the node has finished all work and is about to exit.
 	Leaving bool `cbor:"10,keyasint"`
 }
 
-// HeartbeatReply answers a Heartbeat. A reply with Leader set and Epoch 0 comes
-// from a replica that does not lead.
+// HeartbeatReply answers a Heartbeat. If Leader is set and Epoch is 0, the sender is not the leader.
 type HeartbeatReply struct {
 	Sequence uint64 `cbor:"1,keyasint"`
-	// Leader is the address of the leader, as far as the replica knows.
+	// Leader is the address of the leader that the replica knows of.
 	Leader string `cbor:"2,keyasint"`
-	// Epoch is that of the node's registration.
+	// Epoch is the epoch of the node's registration.
 	Epoch uint64 `cbor:"3,keyasint"`
-	// LeaseMillis is the lease's length, counted from when the node sent the heartbeat.
+	// LeaseMillis is the duration of the lease from the time at which the node sent the heartbeat.
 	LeaseMillis int64       `cbor:"4,keyasint"`
 	Delta       state.Delta `cbor:"5,keyasint"`
-	// Peers are the summaries of the region's nodes.
+	// Peers holds the summaries of the nodes in the region.
 	Peers map[string]Summary `cbor:"6,keyasint"`
-	// Pending is the number of samples that wait for a node, by pool.
+	// Pending is the number of samples waiting for a node, by pool.
 	Pending map[string]int `cbor:"7,keyasint"`
 }
 
@@ -99,16 +94,16 @@
 	Command state.Command `cbor:"2,keyasint"`
 }
 
-// ProposeOutcome is what became of a Propose.
+// ProposeOutcome is the outcome of a Propose.
 type ProposeOutcome uint8
 
 // The outcomes of a Propose.
 const (
-	// ProposeDone: the command is applied; Result holds what came of it.
+	// ProposeDone means that the command was applied and Result is set.
 	ProposeDone ProposeOutcome = iota + 1
-	// ProposeNotLeader: the command was not taken in; Leader may know better.
+	// ProposeNotLeader means that the command was not accepted and should be sent to Leader.
 	ProposeNotLeader
-	// ProposeUnknown: leadership was lost; the command may yet be applied.
+	// ProposeUnknown means that leadership was lost and the command may still be applied.
 	ProposeUnknown
 )
 
@@ -125,96 +120,94 @@
 
 // The outcomes of a live request.
 const (
-	// OutcomeAnswered: the whole answer was delivered.
+	// OutcomeAnswered means that the complete response was delivered.
 	OutcomeAnswered Outcome = iota + 1
-	// OutcomeNotRun: the request provably ran nowhere.
+	// OutcomeNotRun means that the request was certainly not run.
 	OutcomeNotRun
-	// OutcomeUnknown: the request may have run, wholly or in part.
+	// OutcomeUnknown means that the request may have been run, completely or partly.
 	OutcomeUnknown
 )
 
-// String returns the outcome as it stands in answers and metrics.
+// String returns the name of the outcome used in responses and metrics.
 func (o Outcome) String() string {
 	return [...]string{"", "answered", "not_run", "unknown"}[o]
 }
 
-// Reason says why a request was not answered.
+// Reason is the reason why a request was not answered.
 type Reason string
 
 // The reasons.
 const (
-	ReasonNone            Reason = ""
-	ReasonQueueFull       Reason = "queue_full"
-	ReasonDeadline        Reason = "deadline_exceeded"
-	ReasonDraining        Reason = "draining"
-	ReasonNoLease         Reason = "no_lease"
-	ReasonUnknownPool     Reason = "unknown_pool"
-	ReasonNoEngine        Reason = "no_engine"
-	ReasonEngineLost      Reason = "engine_lost"
-	ReasonPeerLost        Reason = "peer_lost"
-	ReasonRetryBudget     Reason = "retry_budget_exhausted"
-	ReasonDuplicate       Reason = "duplicate_in_progress"
-	ReasonOutcomeLost     Reason = "earlier_outcome_unknown"
-	ReasonWindowExpired   Reason = "window_expired"
-	ReasonIdentityReused  Reason = "identity_reused"
-	ReasonSuperseded      Reason = "superseded_by_refusal"
-	ReasonCancelled       Reason = "cancelled"
-	ReasonControlUnknown  Reason = "control_unavailable"
-	ReasonProtocolFailure Reason = "protocol_failure"
+	ReasonNone                  Reason = ""
+	ReasonQueueFull             Reason = "queue_full"
+	ReasonDeadline              Reason = "deadline_exceeded"
+	ReasonDraining              Reason = "draining"
+	ReasonNoLease               Reason = "no_lease"
+	ReasonUnknownPool           Reason = "unknown_pool"
+	ReasonNoEngine              Reason = "no_engine"
+	ReasonEngineLost            Reason = "engine_lost"
+	ReasonPeerLost              Reason = "peer_lost"
+	ReasonRetryBudget           Reason = "retry_budget_exhausted"
+	ReasonDuplicate             Reason = "duplicate_in_progress"
+	ReasonEarlierOutcomeUnknown Reason = "earlier_outcome_unknown"
+	ReasonWindowExpired         Reason = "window_expired"
+	ReasonIdentityReused        Reason = "identity_reused"
+	ReasonSuperseded            Reason = "superseded_by_refusal"
+	ReasonCancelled             Reason = "cancelled"
+	ReasonControlUnavailable    Reason = "control_unavailable"
+	ReasonProtocolFailure       Reason = "protocol_failure"
 )
 
-// LiveRequest is a caller's request as it arrives at a node.
+// LiveRequest is a caller's request as received by a node.
 type LiveRequest struct {
-	// Key is the caller's identity of the request; it may be empty for one
-	// that may repeat.
+	// Key is the caller's idempotency key. It may be empty if the request may be repeated.
 	Key           string `cbor:"1,keyasint"`
 	Pool          string `cbor:"2,keyasint"`
 	Prompt        string `cbor:"3,keyasint"`
 	MaxTokens     uint32 `cbor:"4,keyasint"`
 	NotRepeatable bool   `cbor:"5,keyasint"`
-	// TimeoutMillis is what is left of the caller's patience.
+	// TimeoutMillis is the remaining time until the caller's deadline.
 	TimeoutMillis int64 `cbor:"6,keyasint"`
-	// IssuedAt (milliseconds since 1970) and WindowMillis bound resends of a
-	// request that must not repeat.
+	// IssuedAt (Unix milliseconds) and WindowMillis bound the time in which a request that must not be
+	// repeated may be resent.
 	IssuedAt     int64 `cbor:"7,keyasint"`
 	WindowMillis int64 `cbor:"8,keyasint"`
-	// Attempt counts the caller's sends of the request from 1.
+	// Attempt is the number of times the caller has sent the request, from 1.
 	Attempt uint32 `cbor:"9,keyasint"`
-	// Unresolved says that the caller does not know what became of an earlier
-	// send, so that a refusal of this one proves nothing about the request
-	// unless control has decided.
+	// Unresolved is set if the caller does not know the outcome of an earlier attempt. A refusal of this
+	// attempt then does not prove that the request was not run, unless the control replicas decided it.
 	Unresolved bool `cbor:"11,keyasint"`
-	// PriorityCap lowers the pool's live priority for this request.
+	// PriorityCap limits the pool's live priority for this request.
 	PriorityCap uint8 `cbor:"10,keyasint"`
 }
 
-// Forward hands a request to the node that owns a free engine.
+// Forward sends a request to a node that owns a free engine.
 type Forward struct {
-	// ID is the sender's own number of this forwarding.
+	// ID is assigned by the sender.
 	ID uint64 `cbor:"1,keyasint"`
-	// OwnerEpoch is the registration of the receiver that the sender knows; a
-	// later one must not run the request, since an earlier one may have.
+	// OwnerEpoch is the receiver's registration epoch that the sender knows. A receiver with a later epoch
+	// must not run the request, since it may have run it in the earlier one.
 	OwnerEpoch uint64      `cbor:"5,keyasint"`
 	Request    LiveRequest `cbor:"2,keyasint"`
-	// Resume are tokens that an earlier attempt delivered, with their segments.
+	// Resume holds the tokens that an earlier attempt delivered, Segments their versions.
 	Resume   []uint32        `cbor:"3,keyasint"`
 	Segments []state.Segment `cbor:"4,keyasint"`
 }
 
-// ForwardChunk carries a part of the answer, or its end, back.
+// ForwardChunk returns a part of the response or its end.
 type ForwardChunk struct {
 	ID    uint64 `cbor:"1,keyasint"`
 	Index uint32 `cbor:"2,keyasint"`
-	// Tokens follow those of the previous index, under Version.
+	// Tokens follow those of the previous chunk. Version is the version of the weights that generated them.
 	Version uint64   `cbor:"3,keyasint"`
 	Tokens  []uint32 `cbor:"4,keyasint"`
-	// Outcome is not 0 in the last chunk.
+	// Outcome is set in the last chunk only.
 	Outcome     Outcome `cbor:"5,keyasint"`
 	Reason      Reason  `cbor:"6,keyasint"`
 	RetryMillis int64   `cbor:"7,keyasint"`
 }
 
-// ForwardCancel tells the owner that nobody waits for the answer any more.
+// ForwardCancel cancels a forwarded request whose caller no longer waits.
 type ForwardCancel struct {
 	ID uint64 `cbor:"1,keyasint"`
 }
--- a/runner/choose.go
+++ b/runner/choose.go
@@ -2,20 +2,19 @@
 
 import "github.com/dillchute/dillchute/internal/rendezvous"
 
-// Store is a process that can hold the streams of runs.
+// Store is a process that can act as a runner.
 type Store struct {
 	Name    string
 	Address string
 	Zone    string
-	// Member is set on stores that keep a replica of the ledger, and Leader on the one
-	// that leads: it holds streams only for lack of others.
+	// Member is set if the store has a replica of the ledger, Leader if it leads. The leader is chosen
+	// only if there is no other store.
 	Member, Leader bool
 }
 
-// preferredTo tells whether the store is a better runner than the other one for an
-// engine. Streams stay in the engine's zone, since bytes between zones are dear;
-// replicas of the ledger have work of their own; and the rest is left to the names,
-// so that each leader chooses alike and connections to engines are used again.
+// preferredTo reports whether the store is a better runner for the engine than the other one. Stores in
+// the engine's zone come first, to avoid traffic between zones, then stores without a replica. Rendezvous
+// hashing decides among equals, so that all leaders choose alike and connections to engines are reused.
 func (s Store) preferredTo(other Store, engine, zone string) bool {
 	if s.Leader != other.Leader {
 		return !s.Leader
--- a/runner/golden_test.go
+++ b/runner/golden_test.go
@@ -7,7 +7,7 @@
 	"github.com/dillchute/dillchute/internal/golden"
 )
 
-// TestGoldenMessages reads the messages of links with earlier builds, in their frames.
+// TestGoldenMessages decodes the framed messages that earlier builds wrote.
 func TestGoldenMessages(t *testing.T) {
 	kinds := []golden.Kind{
 		{Name: "start", Zero: start{}},
@@ -28,7 +28,7 @@
 	golden.Check(t, kinds)
 }
 
-// frameHead is the number of bytes of a frame's length.
+// frameHeaderBytes is the size of the length prefix of a frame.
 const frameHeaderBytes = 4
 
 func encodeFrameLength(length int) []byte {
--- a/runner/link.go
+++ b/runner/link.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	// minBackoff and maxBackoff are the times between two attempts to open a link.
+	// minBackoff and maxBackoff bound the delay between attempts to open a link.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// cancelWait is how long the end of a run is waited for that the leader has ended:
-	// several times the way there and back and the runner's endDelay.
+	// cancelTimeout bounds the wait for the final report of a cancelled run. It is several round trips
+	// plus the runner's endDelay.
 	cancelTimeout = 100 * time.Millisecond
 )
 
 var errRefused = errorx.NewNamespace("runner").NewType("link_refused")
 
-// Link is a link as the leader sees it. It is opened again whenever it has ended.
+// Link is the leader's side of a link. It reconnects until its context ends.
 type Link struct {
 	pool    *Pool
 	address string
-	// store belongs to the pool's mutex.
+	// store is guarded by the pool's mutex.
 	store   Store
 	name    string
 	context context.Context
 	cancel  context.CancelFunc
 	isOpen  atomic.Bool
-	// changed tells that there are commands to send.
+	// changed signals that there are commands to send.
 	changed chan struct{}
 
 	mutex   sync.Mutex
@@ -48,13 +48,13 @@
 	pending commands
 }
 
-// linkRun is a run that the link's runner holds.
+// linkRun is a run that the leader has started or accepted on the link.
 type linkRun struct {
 	onBatch func(Batch)
 	ended   chan scheduler.RunEnd
 }
 
-// Held is a run that was begun over an earlier link, as a new link brings it back.
+// OrphanedRun is a run that was started over an earlier link and is offered by a new one.
 type OrphanedRun struct {
 	// Step, Sample and Engine are IDs.
 	Step, Sample, Engine string
@@ -65,17 +65,17 @@
 	run    *linkRun
 }
 
-// Accept has what follows the text handed to the function. It must be called before the
-// pool's function for runs that are brought back returns.
-func (h *OrphanedRun) Accept(each func(Batch)) { h.run.onBatch = each }
+// Accept keeps the run and sets the function that receives the events after Text. It must be called
+// before the pool's adopt function returns.
+func (o *OrphanedRun) Accept(onBatch func(Batch)) { o.run.onBatch = onBatch }
 
-// Wait waits for the end of a run that was accepted.
-func (h *OrphanedRun) Wait(ctx context.Context) scheduler.RunEnd {
-	return h.link.wait(ctx, h.number, h.run)
+// Wait waits for the end of an accepted run. It cancels the run if the context ends.
+func (o *OrphanedRun) Wait(ctx context.Context) scheduler.RunEnd {
+	return o.link.wait(ctx, o.number, o.run)
 }
 
-// Name is that of the store that holds the stream.
-func (h *OrphanedRun) Name() string { return h.link.name }
+// Name returns the name of the store that reads the stream.
+func (o *OrphanedRun) Name() string { return o.link.name }
 
 func newLink(pool *Pool, store Store) *Link {
 	ctx, cancel := context.WithCancel(pool.context)
@@ -87,7 +87,7 @@
 	return link
 }
 
-// Name is that of the store that holds the streams, "" for a nil link.
+// Name returns the name of the runner's store, or "" for a nil link.
 func (l *Link) Name() string {
 	if l == nil {
 		return ""
@@ -95,8 +95,8 @@
 	return l.name
 }
 
-// Run hands the run's text to the function, part by part and in order, until the run ends.
-// It is Interrupted if the link ends, or is nil.
+// Run starts a run, passes its events to onBatch in order and returns how it ended. The result is
+// Interrupted if the link is nil, closed or ends before the run.
 func (l *Link) Run(ctx context.Context, request Request, onBatch func(Batch)) scheduler.RunEnd {
 	if l == nil {
 		return scheduler.Interrupted
@@ -109,8 +109,7 @@
 	return l.wait(ctx, number, run)
 }
 
-// wait waits for the end of a run, and ends it with the context. The runner tells what
-// had come by then, so that it is not made again.
+// wait waits for the end of a run and cancels it when the context ends.
 func (l *Link) wait(ctx context.Context, number uint64, run *linkRun) scheduler.RunEnd {
 	select {
 	case end := <-run.ended:
@@ -120,9 +119,9 @@
 	}
 }
 
-// end has the runner end a run, and waits for a moment for what it tells of it. A text
-// that was whole by then is whole. Where the leadership or the link has ended, nothing is
-// told to the runner: the run is the next link's.
+// cancelAndWait cancels a run and waits up to cancelTimeout for its last events, so that they need not
+// be generated again. A run that completes meanwhile counts as complete. If the leadership or the link
+// has ended, the run is not cancelled, since it is offered on the next link.
 func (l *Link) cancelAndWait(number uint64, run *linkRun) scheduler.RunEnd {
 	defer l.forget(number)
 	if l.context.Err() != nil || l.pool.context.Err() != nil {
@@ -141,7 +140,7 @@
 	return scheduler.Broken
 }
 
-// ask queues the start of a run. It fails on a link that has ended.
+// queueStart queues the start of a run. It returns false if the link is not open.
 func (l *Link) queueStart(run *linkRun, request Request) (number uint64, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -151,7 +150,7 @@
 	l.nextRun++
 	l.runs[l.nextRun] = run
 	sample := *request.Sample
-	// The leader has samples scored itself.
+	// The leader makes the reward call itself.
 	sample.Reward = nil
 	l.pending.Starts = append(l.pending.Starts, start{
 		Run: l.nextRun, Backend: request.Backend, Step: request.Step, Host: request.Host, Tenant: request.Tenant, Sample: &sample,
@@ -162,7 +161,7 @@
 	return l.nextRun, true
 }
 
-// cancelRun asks the runner to end a run.
+// cancelRun queues the cancellation of a run.
 func (l *Link) cancelRun(number uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -172,14 +171,14 @@
 	}
 }
 
-// forget has no more news of a run handed on.
+// forget drops all further updates of a run.
 func (l *Link) forget(number uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.runs, number)
 }
 
-// keepOpen opens the link again and again.
+// keepOpen connects with exponential backoff until the context ends.
 func (l *Link) keepOpen() {
 	backoff := minBackoff
 	for l.context.Err() == nil {
@@ -193,7 +192,7 @@
 	}
 }
 
-// carry opens the link and carries it on until it ends.
+// connectAndServe opens the link and serves it until it ends.
 func (l *Link) connectAndServe() (opened bool, err error) {
 	ctx, cancel := context.WithCancel(l.context)
 	defer cancel()
@@ -216,7 +215,7 @@
 		l.pool.superseded.Store(true)
 	}
 	if response.StatusCode != http.StatusOK {
-		return false, errRefused.New("status %d", response.StatusCode)
+		return false, errRefused.New("runner returned status %d", response.StatusCode)
 	}
 	reader := bufio.NewReader(response.Body)
 	var firstReport report
@@ -235,8 +234,8 @@
 	return true, l.receiveReports(reader, watchdog, &lastReport)
 }
 
-// open has runs begin on the link, after those that it brings back. It returns how many
-// of them were accepted; the runner ends the others.
+// activate offers the orphaned runs of the first report to the leader, cancels those that it does not
+// accept and opens the link for new runs. It returns the number of accepted runs.
 func (l *Link) activate(firstReport report) (accepted int) {
 	orphans := make([]*OrphanedRun, 0, len(firstReport.Held))
 	for _, orphan := range firstReport.Held {
@@ -244,7 +243,7 @@
 		run := &linkRun{ended: make(chan scheduler.RunEnd, 1)}
 		orphans = append(orphans, &OrphanedRun{Step: orphan.Step, Sample: orphan.Sample, Engine: orphan.Engine, Text: text, link: l, number: orphan.Run, run: run})
 	}
-	// They are known before they are accepted, so that an end of the link interrupts them.
+	// The runs are registered before they are accepted, so that the end of the link interrupts them.
 	l.mutex.Lock()
 	l.pending = commands{}
 	for _, orphan := range orphans {
@@ -266,7 +265,7 @@
 	return accepted
 }
 
-// interruptRuns ends the runs of a link that has ended, and returns their number.
+// interruptRuns closes the link, reports its runs as interrupted and returns their number.
 func (l *Link) interruptRuns() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -279,8 +278,7 @@
 	return interrupted
 }
 
-// sendCommands writes the commands that gather, and a message now and then if there
-// are none.
+// sendCommands writes pending commands, or an empty message each keepaliveInterval.
 func (l *Link) sendCommands(ctx context.Context, writer io.Writer, lastReport *atomic.Uint64) {
 	buffered := bufio.NewWriter(writer)
 	keepalive := time.NewTimer(0)
@@ -301,8 +299,8 @@
 	}
 }
 
-// takePending returns what is to be sent. Starts that have waited for too long are not sent:
-// their runs are interrupted, since what they were decided by may have passed.
+// takePending returns the commands to send. It interrupts the runs whose start has been pending for
+// longer than maxPendingTime, since the decision may be out of date.
 func (l *Link) takePending() commands {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -319,7 +317,7 @@
 	return pending
 }
 
-// takeReports takes in reports until the link ends.
+// receiveReports processes reports until the link ends.
 func (l *Link) receiveReports(reader *bufio.Reader, watchdog *time.Timer, lastReport *atomic.Uint64) error {
 	for {
 		var message report
@@ -330,7 +328,7 @@
 		lastReport.Store(message.Number)
 		if message.Superseded {
 			l.pool.superseded.Store(true)
-			return errRefused.New("a later link has taken over")
+			return errRefused.New("link superseded by a later leader")
 		}
 		for _, update := range message.Runs {
 			l.deliverUpdate(update)
@@ -338,7 +336,7 @@
 	}
 }
 
-// takeNews hands a run's news on, unless the run has been forgotten.
+// deliverUpdate passes on the events and the end of a run, unless the run was forgotten.
 func (l *Link) deliverUpdate(update runReport) {
 	l.mutex.Lock()
 	run := l.runs[update.Run]
--- a/runner/message.go
+++ b/runner/message.go
@@ -12,57 +12,54 @@
 )
 
 const (
-	// Path is where a runner takes in links.
+	// Path is the HTTP path on which a runner accepts links.
 	Path = "/internal/runs"
-	// maxFrameBytes bounds one message of a link; a message holds what has gathered
-	// since the one before.
+	// maxFrameBytes limits the size of one message.
 	maxFrameBytes = 64 << 20
-	// keepaliveInterval is the longest time between two messages in each direction.
+	// keepaliveInterval is the maximum time between two messages in each direction.
 	keepaliveInterval = 250 * time.Millisecond
-	// runnerSilence is how long a runner says nothing before the leader gives its
-	// runs to others: four messages, and under the time after which a run stalls.
+	// runnerTimeout is how long a runner may be silent before the leader closes the link and restarts its
+	// runs elsewhere: four keepalive intervals, and less than the time after which a run counts as stalled.
 	runnerTimeout = time.Second
-	// leaderSilence is how long the leader says nothing before a runner ends its
-	// link. It is longer than the leader's, which alone decides whether a run goes on.
+	// leaderTimeout is how long a leader may be silent before the runner closes the link. It is longer
+	// than runnerTimeout, since the leader decides whether a run continues.
 	leaderTimeout = 1200 * time.Millisecond
-	// orphanTime is how long runs go on without a link. A new leader is elected within
-	// two election timeouts, 0.8 s, as a rule, and opens its links at once.
+	// orphanTimeout is how long runs continue without a link. It leaves time for an election, which
+	// usually takes at most two election timeouts (0.8 s).
 	orphanTimeout = 2500 * time.Millisecond
 	// termHeader carries the term of the leader that opens a link.
 	termHeader = "Leader-Term"
-	// pendingLimit is how long after it was decided a start may be sent.
+	// maxPendingTime is how long after the leader's decision a start may be sent.
 	maxPendingTime = 300 * time.Millisecond
-	// startValidity is how old the newest report that the leader had heard may be when
-	// a start is taken in. A runner that stood still must not begin what the leader
-	// asked for long ago.
+	// maxReportAge is the maximum age of the leader's last received report when a runner accepts a start.
+	// It keeps a runner that stalled from executing outdated starts.
 	maxReportAge = time.Second
 )
 
-// start asks for a run. Its number is unique on the link.
+// start requests a run. Its number is unique on the link.
 type start struct {
 	Run     uint64            `cbor:"1,keyasint"`
 	Backend directory.Backend `cbor:"2,keyasint"`
 	Step    string            `cbor:"3,keyasint"`
 	Host    string            `cbor:"4,keyasint"`
 	Sample  *ledger.Sample    `cbor:"5,keyasint"`
-	// Text is what the run continues.
-	Text Batch `cbor:"6,keyasint"`
-	// Tenant is as in Request.
+	// Text is the text that the run continues.
+	Text   Batch  `cbor:"6,keyasint"`
 	Tenant string `cbor:"7,keyasint,omitempty"`
-	// Known and KindKnown are as in Request.
+	// Known and KindKnown are KnownCrashes and KnownKindCrashes of Request.
 	Known     int `cbor:"8,keyasint,omitempty"`
 	KindKnown int `cbor:"9,keyasint,omitempty"`
-	// decidedAt is as in Request; it stays with the leader.
+	// decidedAt is not sent to the runner.
 	decidedAt time.Time
 }
 
-// firstHeldRun is the number that a link gives to the first run that it brings back.
-// Those that the leader starts count from 1.
+// firstOrphanNumber is the number of the first orphaned run on a link. Runs that the leader starts are
+// numbered from 1.
 const firstOrphanNumber = 1 << 32
 
 // commands is a message from the leader.
 type commands struct {
-	// Heard is the number of the newest report that the leader has had, 0 for none.
+	// Heard is the number of the newest report that the leader has received, 0 for none.
 	Heard   uint64   `cbor:"1,keyasint"`
 	Starts  []start  `cbor:"2,keyasint,omitempty"`
 	Cancels []uint64 `cbor:"3,keyasint,omitempty"`
@@ -72,14 +69,14 @@
 type report struct {
 	Number uint64      `cbor:"1,keyasint"`
 	Runs   []runReport `cbor:"2,keyasint,omitempty"`
-	// Held are the runs that the link brings back; in the first report only.
+	// Held lists the orphaned runs. It is set in the first report only.
 	Held []orphanReport `cbor:"3,keyasint,omitempty"`
-	// Superseded is set in the last report of a link that another one has taken over.
+	// Superseded is set in the last report of a link that was replaced by one of a later term.
 	Superseded bool `cbor:"4,keyasint,omitempty"`
 }
 
-// heldReport tells of a run that was begun over an earlier link. Its news follow as
-// those of any run, after the text that stands here.
+// orphanReport describes a run that was started over an earlier link. Events after Text and the end of
+// the run follow in runReports.
 type orphanReport struct {
 	Run    uint64 `cbor:"1,keyasint"`
 	Step   string `cbor:"2,keyasint"`
@@ -88,11 +85,11 @@
 	Text   Batch  `cbor:"5,keyasint"`
 }
 
-// runReport is what is new of one run.
+// runReport holds the new events of a run and its end.
 type runReport struct {
 	Run   uint64 `cbor:"1,keyasint"`
 	Batch Batch  `cbor:"2,keyasint"`
-	// End is how the run ended, or 0 while it goes on.
+	// End is 0 while the run continues.
 	End scheduler.RunEnd `cbor:"3,keyasint,omitempty"`
 }
 
--- a/runner/pending_test.go
+++ b/runner/pending_test.go
@@ -11,8 +11,8 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// TestStartThatWaitedIsNotSent: a leader that is short of time sends no start that was
-// decided long ago; its run has not begun and is waited for no longer.
+// TestExpiredStartIsNotSent checks that a start pending for longer than maxPendingTime is dropped and its
+// run interrupted.
 func TestExpiredStartIsNotSent(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
--- a/runner/pool.go
+++ b/runner/pool.go
@@ -15,44 +15,41 @@
 )
 
 const (
-	// settleTime is how long a new leader waits for links before it has runs begin
-	// by the runners that it has.
+	// maxSettleTime is how long a new leader waits for links before it starts runs on the open ones.
 	maxSettleTime = 300 * time.Millisecond
-	// settledShare is the share of the links that it waits for no longer.
+	// settledFraction is the fraction of open links at which the leader stops waiting.
 	settledFraction = 0.9
 )
 
-// Pool is what the leader has of runners: a link to each. Its methods may be called
-// from several goroutines.
+// Pool holds the leader's links to all runners. It is safe for concurrent use.
 type Pool struct {
-	context context.Context
-	client  *http.Client
-	logger  *zerolog.Logger
-	// begun is when the pool was made, and term that of the leadership.
+	context   context.Context
+	client    *http.Client
+	logger    *zerolog.Logger
 	createdAt time.Time
 	term      uint64
-	// adopt takes over the runs that links bring back.
-	adopt func(held []*OrphanedRun)
+	// adopt accepts orphaned runs that the leader continues.
+	adopt func(orphans []*OrphanedRun)
 
-	// superseded is set once a runner has told of a later leader.
+	// superseded is set once a runner has reported a later leader.
 	superseded atomic.Bool
 
 	mutex sync.Mutex
 	links map[string]*Link
 }
 
-// NewPool returns a pool without links, for the leadership of the term. All links end with
-// the context. The function is called with the runs that a new link brings back, by the
-// link's goroutine, and accepts those that the leader goes on with; all others are ended.
-func NewPool(ctx context.Context, term uint64, adopt func(held []*OrphanedRun), logger *zerolog.Logger) *Pool {
+// NewPool returns a pool without links for the leader of the term. The context ends all links. Each new
+// link calls adopt from its goroutine with the orphaned runs of its runner. Runs that adopt does not
+// accept are cancelled.
+func NewPool(ctx context.Context, term uint64, adopt func(orphans []*OrphanedRun), logger *zerolog.Logger) *Pool {
 	return &Pool{
 		context: ctx, logger: logger, createdAt: clock.Now(), term: term, adopt: adopt,
 		client: &http.Client{Transport: transport.NewInternalTransport()}, links: map[string]*Link{},
 	}
 }
 
-// Follow opens links to stores that are new, and ends those to stores that are gone
-// or have another address.
+// SetStores opens links to new stores, closes those to removed stores and replaces those to stores whose
+// address changed.
 func (p *Pool) SetStores(stores []Store) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -77,8 +74,7 @@
 	}
 }
 
-// For returns the link to the store that is to hold the streams of the engine's runs, or
-// nil if none is open.
+// LinkFor returns the open link to the preferred runner for the engine, or nil if no link is open.
 func (p *Pool) LinkFor(engine directory.Backend) *Link {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -91,8 +87,8 @@
 	return best
 }
 
-// Ready tells whether runs may begin: most links are open, or they were waited for long
-// enough and there is one. A leader that a later one has taken links from begins no more.
+// Ready reports whether runs may be started: most links are open, or at least one is after maxSettleTime.
+// It returns false once a later leader is known.
 func (p *Pool) Ready() bool {
 	if p.superseded.Load() {
 		return false
@@ -104,7 +100,7 @@
 	return open > 0 && isSettled
 }
 
-// Open returns the number of links that are open.
+// OpenLinks returns the number of open links.
 func (p *Pool) OpenLinks() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/runner/server.go
+++ b/runner/server.go
@@ -15,34 +15,33 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// Server holds the streams of runs for the leader of the ledger.
+// Server executes runs for the leader of the ledger.
 type Server struct {
 	engine Engine
 	logger *zerolog.Logger
-	// orphanTime is how long runs go on without a link.
+	// orphanTimeout is how long runs continue without a link.
 	orphanTimeout time.Duration
-	// held is the number of runs that have not ended.
+	// activeRuns counts the runs that have not ended.
 	activeRuns atomic.Int64
 
 	mutex sync.Mutex
-	// term is the newest that has opened a link, and current its newest link or nil.
+	// term is the newest term of any link, current the open link of that term or nil.
 	term    uint64
 	current *serverLink
-	// orphans are the runs without a link.
-	orphans []*serverRun
-	// endTimer ends them.
+	// orphans holds the runs without a link. orphanTimer cancels them.
+	orphans     []*serverRun
 	orphanTimer *time.Timer
-	// closed is set once no link is taken any more; links is for the open ones.
+	// closed is set once links are refused; links tracks the open ones.
 	closed bool
 	links  sync.WaitGroup
 }
 
-// NewServer returns a server that runs samples through the engine client.
+// NewServer returns a server that runs samples on the engine.
 func NewServer(engine Engine, logger *zerolog.Logger) *Server {
 	return &Server{engine: engine, logger: logger, orphanTimeout: orphanTimeout}
 }
 
-// Close ends all links and runs, and waits for the links.
+// Close closes all links, cancels all runs and waits until the links have closed.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -55,7 +54,7 @@
 	s.links.Wait()
 }
 
-// endRuns ends the runs that have no link.
+// cancelOrphans cancels the runs without a link.
 func (s *Server) cancelOrphans() {
 	if s.orphanTimer != nil {
 		s.orphanTimer.Stop()
@@ -66,7 +65,7 @@
 	s.orphans = nil
 }
 
-// Held returns the number of runs that have not ended.
+// ActiveRuns returns the number of runs that have not ended.
 func (s *Server) ActiveRuns() int64 { return s.activeRuns.Load() }
 
 // ServeHTTP serves a link until either side ends it.
@@ -88,7 +87,7 @@
 		return
 	}
 	defer s.links.Done()
-	// The deadlines by which a link is ended would hold for a next request, too.
+	// The connection is not reused, since the deadlines that end a link would remain set.
 	response.Header().Set("Connection", "close")
 	response.WriteHeader(http.StatusOK)
 	if controller.Flush() == nil {
@@ -100,9 +99,8 @@
 		Uint("left", uint64(orphaned)).Uint("late", uint64(link.staleCount)).Send()
 }
 
-// adopt makes the link the current one, with all runs that are held. It returns the status
-// of the answer: a conflict for a link of an earlier term than the newest, and unavailable
-// once the server is closed.
+// attach makes the link the current one and transfers all runs to it. It returns the status of the
+// response: StatusConflict if the term is outdated, StatusServiceUnavailable once the server is closed.
 func (s *Server) attach(link *serverLink, term uint64) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -125,8 +123,8 @@
 	return http.StatusOK
 }
 
-// release takes the runs of a link that has ended, and ends them if no other link
-// comes in time. It returns their number.
+// release orphans the runs of a link that has ended and returns their number. The runs are cancelled
+// if no other link opens within orphanTimeout.
 func (s *Server) release(link *serverLink) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -141,7 +139,7 @@
 	return len(s.orphans)
 }
 
-// endOrphans ends the runs that still have no link.
+// expireOrphans cancels the runs that still have no link.
 func (s *Server) expireOrphans() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -152,7 +150,7 @@
 	s.cancelOrphans()
 }
 
-// run runs a sample until its end, whatever becomes of the link that has asked for it.
+// run executes a run to its end, independently of the link that started it.
 func (s *Server) run(ctx context.Context, run *serverRun, request Request) {
 	s.activeRuns.Add(1)
 	defer s.activeRuns.Add(-1)
@@ -160,7 +158,7 @@
 	run.recordEnd(s.engine.Run(ctx, request, run.addEvent))
 }
 
-// begin starts the run that was asked for.
+// startRun starts a run in a new goroutine.
 func (s *Server) startRun(command start, owner *serverLink) *serverRun {
 	ctx, cancel := context.WithCancel(context.Background())
 	text := scheduler.Text{Events: command.Text.Events, Last: uint64(len(command.Text.Events)), Versions: command.Text.Versions}
--- a/runner/serverlink.go
+++ b/runner/serverlink.go
@@ -14,50 +14,49 @@
 )
 
 const (
-	// reportInterval is the time between two reports of runs that go on. Checkpoints
-	// and paces look at texts each 100 ms at the most.
+	// reportInterval is the time between two reports of new events. The leader evaluates texts at most
+	// every 100 ms.
 	reportInterval = 100 * time.Millisecond
-	// endDelay is how long the end of a run waits for others before it is reported.
+	// endDelay is how long the end of a run is delayed to batch it with others.
 	endDelay = 10 * time.Millisecond
-	// endedTime is how long a whole text is kept whose end was reported: a leader that is
-	// lost may not have heard of it, or not have recorded its result yet. Scoring and
-	// recording take some tenths of a second, and a silent leader is noticed after
-	// leaderSilence. Other ends are told once: a failure must not count twice.
+	// completedRetention is how long a completed run is kept after its end was reported, in case the
+	// leader fails before it has recorded the result. It covers leaderTimeout plus the time to score and
+	// record the text. Other ends are reported only once, so that a failure is not counted twice.
 	completedRetention = 2 * time.Second
 )
 
-// endedRun is a run whose whole text was reported.
+// completedRun is a completed run whose end was reported.
 type completedRun struct {
 	run        *serverRun
 	reportedAt time.Time
 }
 
-// serverLink is a link as its runner sees it.
+// serverLink is the runner's side of a link.
 type serverLink struct {
 	server     *Server
 	context    context.Context
 	cancel     context.CancelFunc
 	controller *http.ResponseController
 	term       uint64
-	// broughtBack counts the runs of earlier links, started those that were asked for on
-	// this one, and late those that were asked for too long ago.
+	// adoptedCount counts the runs of earlier links, startedCount those started on this link and
+	// staleCount the refused stale starts.
 	adoptedCount, startedCount, staleCount int
-	// changed tells that there is something to report, and ended that a run has ended.
+	// changed signals new events, ended the end of a run.
 	changed, ended chan struct{}
 
 	mutex sync.Mutex
-	// closed is set once the runs have been taken from the link, and superseded if
-	// another link has them.
+	// closed is set once the runs were removed from the link, superseded if a link of a later term
+	// replaced it.
 	closed, superseded bool
 	runs               map[uint64]*serverRun
-	// told are the runs whose whole texts were reported lately, the earliest first.
+	// completed holds the recently reported completed runs, oldest first.
 	completed []completedRun
-	// held are the numbers of the runs that the first report brings back.
+	// adopted holds the numbers of the orphaned runs for the first report.
 	adopted []uint64
-	// refused are starts that were asked for too long ago.
+	// staleStarts holds the numbers of stale starts that are to be reported as interrupted.
 	staleStarts []uint64
-	// reportedAt holds when the newest reports were sent, the oldest first, of which
-	// the first has the number firstReport. The link's begin counts as report 0.
+	// reportedAt holds the times of the newest reports, oldest first; firstReportNumber is the number of
+	// the first of them. The opening of the link counts as report 0.
 	reportedAt        []time.Time
 	firstReportNumber uint64
 }
@@ -71,7 +70,7 @@
 	}
 }
 
-// bringBack has the link go on with runs of earlier ones.
+// adoptRuns transfers runs of earlier links to the link.
 func (l *serverLink) adoptRuns(runs []*serverRun) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -84,7 +83,7 @@
 	}
 }
 
-// detach takes the runs from the link, and ends it.
+// detach closes the link and returns its runs.
 func (l *serverLink) detach() []*serverRun {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -92,8 +91,9 @@
 	return l.takeRuns()
 }
 
-// supersede takes the runs from the link for one of the term. The link ends once it has
-// told its leader of a later one; its own leader may have opened another link instead.
+// supersede returns the runs of the link for a new link of the given term. If the term is later, the
+// link closes after a last report that says so; otherwise the same leader has reconnected and the link
+// closes at once.
 func (l *serverLink) supersede(term uint64) []*serverRun {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -122,14 +122,13 @@
 	return runs
 }
 
-// forgetTold forgets the runs whose ends were reported some time ago.
+// expireCompleted drops the completed runs whose end was reported more than completedRetention ago.
 func (l *serverLink) expireCompleted() {
 	oldest := clock.Now().Add(-completedRetention)
 	l.completed = slices.DeleteFunc(l.completed, func(run completedRun) bool { return run.reportedAt.Before(oldest) })
 }
 
-// serve carries the link on until its connection ends or the leader is silent for too
-// long.
+// serve exchanges messages until the connection ends or the leader is silent for too long.
 func (l *serverLink) serve(reader *bufio.Reader, writer io.Writer) {
 	stop := context.AfterFunc(l.context, l.interrupt)
 	defer stop()
@@ -143,15 +142,15 @@
 	reporting.Wait()
 }
 
-// interrupt ends reads and writes that wait.
+// interrupt unblocks pending reads and writes.
 func (l *serverLink) interrupt() {
 	now := time.Now()
-	// Where a connection has no deadlines, its end is waited for.
+	// Errors are ignored: without deadlines, serve returns when the connection ends.
 	_ = l.controller.SetReadDeadline(now)
 	_ = l.controller.SetWriteDeadline(now)
 }
 
-// takeCommands carries out the leader's messages.
+// receiveCommands applies the leader's commands.
 func (l *serverLink) receiveCommands(reader *bufio.Reader) {
 	watchdog := time.AfterFunc(leaderTimeout, l.cancel)
 	defer watchdog.Stop()
@@ -170,7 +169,7 @@
 	}
 }
 
-// begin starts a run, or reports it as interrupted where it was asked for too long ago.
+// startRun starts a run, or reports it as interrupted if the start is stale.
 func (l *serverLink) startRun(request start, lastReport uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -186,7 +185,7 @@
 	}
 }
 
-// isRecent tells whether the report was sent, or the link opened, a short time ago.
+// isRecentReport reports whether the report was sent within maxReportAge.
 func (l *serverLink) isRecentReport(number uint64) bool {
 	oldest := clock.Now().Add(-maxReportAge)
 	for len(l.reportedAt) > 1 && l.reportedAt[0].Before(oldest) {
@@ -197,7 +196,7 @@
 	return position >= 0 && position < len(l.reportedAt) && l.reportedAt[position].After(oldest)
 }
 
-// cancelRun ends a run. What had come of it is told with its end.
+// cancelRun cancels a run. Events received until then are reported with its end.
 func (l *serverLink) cancelRun(number uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -206,8 +205,8 @@
 	}
 }
 
-// sendReports writes reports until the link ends: the ends of runs soon, events that
-// have gathered each reportInterval, and one now and then if there is nothing new.
+// sendReports writes reports until the link ends: the ends of runs after endDelay, events each
+// reportInterval, and an empty report each keepaliveInterval.
 func (l *serverLink) sendReports(writer io.Writer) {
 	buffered := bufio.NewWriter(writer)
 	for {
@@ -221,7 +220,7 @@
 	}
 }
 
-// awaitReport waits until the next report is due, and tells whether the link goes on.
+// waitForNextReport waits until the next report is due. It returns false if the link ends.
 func (l *serverLink) waitForNextReport(sentAt time.Time) bool {
 	timer := time.NewTimer(time.Until(sentAt.Add(keepaliveInterval)))
 	defer timer.Stop()
@@ -233,7 +232,7 @@
 		case <-timer.C:
 			return true
 		case <-changed:
-			// What is new is told with the next report; further news change nothing.
+			// Further changes do not affect the time of the next report.
 			changed = nil
 			timer.Reset(time.Until(sentAt.Add(reportInterval)))
 		case <-l.ended:
@@ -243,8 +242,8 @@
 	}
 }
 
-// collect returns the next report, after which the runs whose ends it tells are kept for
-// a short time only. The first one brings back the runs of earlier links.
+// nextReport returns the next report and removes the runs whose end it contains. The first report lists
+// the orphaned runs instead.
 func (l *serverLink) nextReport() report {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -278,7 +277,7 @@
 	return next
 }
 
-// wake makes the channel ready once.
+// wake sends a signal unless one is pending already.
 func wake(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
--- a/runner/held.go
+++ b/runner/serverrun.go
@@ -8,27 +8,27 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// heldRun is a run whose stream this process holds for a leader.
+// serverRun is a run whose engine stream this process reads for the leader.
 type serverRun struct {
 	// step, sample and engine are IDs.
 	step, sample, engine string
 	cancel               context.CancelFunc
 
 	mutex sync.Mutex
-	// owner is the link that the run is reported on, or nil.
+	// owner is the link on which the run is reported, nil while it is orphaned.
 	owner *serverLink
-	// text is all that there is of the sample's text.
+	// text is the sample's text so far, including the text that the run continues.
 	text scheduler.Text
-	// reported is the number of events of it that the owner has told, and newVersions are
-	// those of the weights that made the others.
+	// reportedEvents is the number of events that were reported on the owner. unreportedVersions lists
+	// the versions of the weights that generated the others.
 	reportedEvents     int
 	unreportedVersions []uint64
 	end                scheduler.RunEnd
-	// gap is set once an event did not follow the one before.
+	// hasGap is set once an event's ID does not follow that of the previous event.
 	hasGap bool
 }
 
-// add takes in an event. A stream with a gap is ended: its rest is of no use.
+// addEvent appends an event to the text. It cancels the run if events are missing before it.
 func (r *serverRun) addEvent(event Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// finish takes in how the run has ended.
+// recordEnd records how the run ended.
 func (r *serverRun) recordEnd(end scheduler.RunEnd) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -60,14 +60,14 @@
 	}
 }
 
-// own has the run reported on the link, after what the link has told of it before.
+// setOwner sets the link on which the run is reported and marks its whole text as unreported.
 func (r *serverRun) setOwner(link *serverLink) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.owner, r.reportedEvents, r.unreportedVersions = link, 0, slices.Clone(r.text.Versions)
 }
 
-// takeReport returns what is new, and whether there is anything.
+// takeReport returns the changes since the last report and whether there are any.
 func (r *serverRun) takeReport(number uint64) (runReport, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -75,7 +75,8 @@
 	return update, len(update.Batch.Events) > 0 || update.End != 0
 }
 
-// takeHeld returns the run as a link that brings it back tells it. Its end is news.
+// takeOrphanReport returns the run's entry in the first report of a link. If the run has ended, it
+// requests another report, since this entry does not contain the end.
 func (r *serverRun) takeOrphanReport(number uint64) orphanReport {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -85,7 +86,7 @@
 	return orphanReport{Run: number, Step: r.step, Sample: r.sample, Engine: r.engine, Text: r.takeBatch()}
 }
 
-// takeBatch returns the events that were not reported.
+// takeBatch returns the unreported events and marks them as reported.
 func (r *serverRun) takeBatch() Batch {
 	batch := Batch{First: uint64(r.reportedEvents) + 1, Events: slices.Clone(r.text.Events[r.reportedEvents:]), Versions: r.unreportedVersions}
 	r.reportedEvents, r.unreportedVersions = len(r.text.Events), nil
--- a/runner/suspension_test.go
+++ b/runner/suspension_test.go
@@ -13,8 +13,8 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// TestStartFromBeforeASuspensionIsNotBegun: neither does a leader that was suspended send what
-// it had decided before, nor a runner begin what it was asked for before.
+// TestStartBeforeSuspensionIsNotRun checks that, after a suspension, a leader does not send starts decided
+// before it and a runner refuses starts sent before it.
 func TestStartBeforeSuspensionIsNotRun(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
@@ -29,10 +29,10 @@
 	require.Equal(t, scheduler.Interrupted, <-run.ended)
 
 	logger := zerolog.Nop()
-	served := newServerLink(NewServer(scriptedEngine(unreachableEngine), &logger), context.Background(), 1, nil)
-	require.True(t, served.isRecentReport(0))
+	runnerLink := newServerLink(NewServer(scriptedEngine(unreachableEngine), &logger), context.Background(), 1, nil)
+	require.True(t, runnerLink.isRecentReport(0))
 	source.Suspend(time.Hour)
-	require.False(t, served.isRecentReport(0))
-	served.startRun(start{Run: 1, Sample: &ledger.Sample{}}, 0)
-	require.Equal(t, []runReport{{Run: 1, End: scheduler.Interrupted}}, append(served.nextReport().Runs, served.nextReport().Runs...))
+	require.False(t, runnerLink.isRecentReport(0))
+	runnerLink.startRun(start{Run: 1, Sample: &ledger.Sample{}}, 0)
+	require.Equal(t, []runReport{{Run: 1, End: scheduler.Interrupted}}, append(runnerLink.nextReport().Runs, runnerLink.nextReport().Runs...))
 }
--- a/server/freshness.go
+++ b/server/freshness.go
@@ -12,7 +12,7 @@
 	// staleLimit is how long a change may wait for its turn in the loop before nothing more is
 	// begun until it is taken in: a step may have ended meanwhile, and none of it may reach an
 	// engine for long after that. Of the 3 s that the users allow, a start may spend
-	// pendingLimit and startValidity of package runner on its way, and up to 0.7 s on a
+	// maxPendingTime and maxReportAge of package runner on its way, and up to 0.7 s on a
 	// connection.
 	staleLimit = 300 * time.Millisecond
 	// confirmInterval is the time between two questions whether this replica still leads, and
