--- a/node/claim.go
+++ b/node/claim.go
@@ -64,7 +64,7 @@
 	case result.State == state.ClaimRunning:
 		c.endRequest(request, protocol.OutcomeUnknown, protocol.ReasonDuplicate)
 	default:
-		c.endRequest(request, protocol.OutcomeUnknown, protocol.ReasonOutcomeLost)
+		c.endRequest(request, protocol.OutcomeUnknown, protocol.ReasonEarlierOutcomeUnknown)
 	}
 }
 
@@ -72,7 +72,7 @@
 func (c *Core) replayAnswer(request *request, data []byte) {
 	var answer recordedAnswer
 	if err := cbor.Unmarshal(data, &answer); err != nil {
-		c.endRequest(request, protocol.OutcomeUnknown, protocol.ReasonOutcomeLost)
+		c.endRequest(request, protocol.OutcomeUnknown, protocol.ReasonEarlierOutcomeUnknown)
 		return
 	}
 	for _, segment := range answer.Segments {
--- a/node/request.go
+++ b/node/request.go
@@ -338,7 +338,7 @@
 // retryDelay estimates after how many milliseconds a retry is likely to succeed.
 func (c *Core) retryDelay(request *request, reason protocol.Reason) int64 {
 	switch reason {
-	case protocol.ReasonNoLease, protocol.ReasonControlUnknown, protocol.ReasonDraining:
+	case protocol.ReasonNoLease, protocol.ReasonControlUnavailable, protocol.ReasonDraining:
 		return heartbeatIntervalMillis
 	case protocol.ReasonQueueFull:
 		slots := 0
--- a/runner/link.go
+++ b/runner/link.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	// minBackoff and maxBackoff are the times between two attempts to open a link.
+	// minBackoff and maxBackoff bound the delay between attempts to open a link.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// cancelWait is how long the end of a run is waited for that the leader has ended:
-	// several times the way there and back and the runner's endDelay.
-	cancelWait = 100 * time.Millisecond
+	// cancelTimeout bounds the wait for the final report of a cancelled run. It is several round trips
+	// plus the runner's endDelay.
+	cancelTimeout = 100 * time.Millisecond
 )
 
 var errRefused = errorx.NewNamespace("runner").NewType("link_refused")
 
-// Link is a link as the leader sees it. It is opened again whenever it has ended.
+// Link is the leader's side of a link. It reconnects until its context ends.
 type Link struct {
 	pool    *Pool
 	address string
-	// store belongs to the pool's mutex.
+	// store is guarded by the pool's mutex.
 	store   Store
 	name    string
 	context context.Context
 	cancel  context.CancelFunc
-	up      atomic.Bool
-	// changed tells that there are commands to send.
+	isOpen  atomic.Bool
+	// changed signals that there are commands to send.
 	changed chan struct{}
 
 	mutex   sync.Mutex
@@ -48,14 +48,14 @@
 	pending commands
 }
 
-// linkRun is a run that the link's runner holds.
+// linkRun is a run that the leader has started or accepted on the link.
 type linkRun struct {
-	each  func(Batch)
-	ended chan scheduler.RunEnd
+	onBatch func(Batch)
+	ended   chan scheduler.RunEnd
 }
 
-// Held is a run that was begun over an earlier link, as a new link brings it back.
-type Held struct {
+// OrphanedRun is a run that was started over an earlier link and is offered by a new one.
+type OrphanedRun struct {
 	// Step, Sample and Engine are IDs.
 	Step, Sample, Engine string
 	// Text is the sample's text so far.
@@ -65,27 +65,29 @@
 	run    *linkRun
 }
 
-// Accept has what follows the text handed to the function. It must be called before the
-// pool's function for runs that are brought back returns.
-func (h *Held) Accept(each func(Batch)) { h.run.each = each }
+// Accept keeps the run and sets the function that receives the events after Text. It must be called
+// before the pool's adopt function returns.
+func (o *OrphanedRun) Accept(onBatch func(Batch)) { o.run.onBatch = onBatch }
 
-// Wait waits for the end of a run that was accepted.
-func (h *Held) Wait(ctx context.Context) scheduler.RunEnd { return h.link.wait(ctx, h.number, h.run) }
+// Wait waits for the end of an accepted run. It cancels the run if the context ends.
+func (o *OrphanedRun) Wait(ctx context.Context) scheduler.RunEnd {
+	return o.link.wait(ctx, o.number, o.run)
+}
 
-// Name is that of the store that holds the stream.
-func (h *Held) Name() string { return h.link.name }
+// Name returns the name of the store that reads the stream.
+func (o *OrphanedRun) Name() string { return o.link.name }
 
 func newLink(pool *Pool, store Store) *Link {
 	ctx, cancel := context.WithCancel(pool.context)
-	opened := &Link{
+	link := &Link{
 		pool: pool, address: store.Address, store: store, name: store.Name, context: ctx, cancel: cancel,
 		changed: make(chan struct{}, 1), runs: map[uint64]*linkRun{},
 	}
-	go opened.keepOpen()
-	return opened
+	go link.keepOpen()
+	return link
 }
 
-// Name is that of the store that holds the streams, "" for a nil link.
+// Name returns the name of the runner's store, or "" for a nil link.
 func (l *Link) Name() string {
 	if l == nil {
 		return ""
@@ -93,74 +95,73 @@
 	return l.name
 }
 
-// Run hands the run's text to the function, part by part and in order, until the run ends.
-// It is Interrupted if the link ends, or is nil.
-func (l *Link) Run(ctx context.Context, request Request, each func(Batch)) scheduler.RunEnd {
+// Run starts a run, passes its events to onBatch in order and returns how it ended. The result is
+// Interrupted if the link is nil, closed or ends before the run.
+func (l *Link) Run(ctx context.Context, request Request, onBatch func(Batch)) scheduler.RunEnd {
 	if l == nil {
 		return scheduler.Interrupted
 	}
-	run := &linkRun{each: each, ended: make(chan scheduler.RunEnd, 1)}
-	number, ok := l.ask(run, request)
+	run := &linkRun{onBatch: onBatch, ended: make(chan scheduler.RunEnd, 1)}
+	number, ok := l.queueStart(run, request)
 	if !ok {
 		return scheduler.Interrupted
 	}
 	return l.wait(ctx, number, run)
 }
 
-// wait waits for the end of a run, and ends it with the context. The runner tells what
-// had come by then, so that it is not made again.
+// wait waits for the end of a run and cancels it when the context ends.
 func (l *Link) wait(ctx context.Context, number uint64, run *linkRun) scheduler.RunEnd {
 	select {
 	case end := <-run.ended:
 		return end
 	case <-ctx.Done():
-		return l.end(number, run)
+		return l.cancelAndWait(number, run)
 	}
 }
 
-// end has the runner end a run, and waits for a moment for what it tells of it. A text
-// that was whole by then is whole. Where the leadership or the link has ended, nothing is
-// told to the runner: the run is the next link's.
-func (l *Link) end(number uint64, run *linkRun) scheduler.RunEnd {
+// cancelAndWait cancels a run and waits up to cancelTimeout for its last events, so that they need not
+// be generated again. A run that completes meanwhile counts as complete. If the leadership or the link
+// has ended, the run is not cancelled, since it is offered on the next link.
+func (l *Link) cancelAndWait(number uint64, run *linkRun) scheduler.RunEnd {
 	defer l.forget(number)
 	if l.context.Err() != nil || l.pool.context.Err() != nil {
 		return scheduler.Broken
 	}
 	l.cancelRun(number)
-	limit := time.NewTimer(cancelWait)
-	defer limit.Stop()
+	timeout := time.NewTimer(cancelTimeout)
+	defer timeout.Stop()
 	select {
 	case end := <-run.ended:
 		if end == scheduler.Complete {
 			return end
 		}
-	case <-limit.C:
+	case <-timeout.C:
 	}
 	return scheduler.Broken
 }
 
-// ask queues the start of a run. It fails on a link that has ended.
-func (l *Link) ask(run *linkRun, request Request) (number uint64, ok bool) {
+// queueStart queues the start of a run. It returns false if the link is not open.
+func (l *Link) queueStart(run *linkRun, request Request) (number uint64, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.up.Load() {
+	if !l.isOpen.Load() {
 		return 0, false
 	}
 	l.nextRun++
 	l.runs[l.nextRun] = run
 	sample := *request.Sample
-	// The leader has samples scored itself.
+	// The leader makes the reward call itself.
 	sample.Reward = nil
 	l.pending.Starts = append(l.pending.Starts, start{
 		Run: l.nextRun, Backend: request.Backend, Step: request.Step, Host: request.Host, Tenant: request.Tenant, Sample: &sample,
 		Text: Batch{First: 1, Events: request.Text.Events, Versions: request.Text.Versions}, decidedAt: request.DecidedAt,
-		Known: request.Known, KindKnown: request.KindKnown,
+		Known: request.KnownCrashes, KindKnown: request.KnownKindCrashes,
 	})
 	wake(l.changed)
 	return l.nextRun, true
 }
 
-// cancelRun asks the runner to end a run.
+// cancelRun queues the cancellation of a run.
 func (l *Link) cancelRun(number uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -170,18 +171,18 @@
 	}
 }
 
-// forget has no more news of a run handed on.
+// forget drops all further updates of a run.
 func (l *Link) forget(number uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.runs, number)
 }
 
-// keepOpen opens the link again and again.
+// keepOpen connects with exponential backoff until the context ends.
 func (l *Link) keepOpen() {
 	backoff := minBackoff
 	for l.context.Err() == nil {
-		opened, err := l.carry()
+		opened, err := l.connectAndServe()
 		if opened {
 			backoff = minBackoff
 			event.RunnerDisconnected.On(l.pool.logger).Str("runner", l.name).Uint("runs", uint64(l.interruptRuns())).Err(err).Send()
@@ -191,15 +192,15 @@
 	}
 }
 
-// carry opens the link and carries it on until it ends.
-func (l *Link) carry() (opened bool, err error) {
+// connectAndServe opens the link and serves it until it ends.
+func (l *Link) connectAndServe() (opened bool, err error) {
 	ctx, cancel := context.WithCancel(l.context)
 	defer cancel()
 	body, commandWriter := io.Pipe()
 	defer body.Close()
 	defer commandWriter.Close()
-	silence := time.AfterFunc(runnerSilence, cancel)
-	defer silence.Stop()
+	watchdog := time.AfterFunc(runnerTimeout, cancel)
+	defer watchdog.Stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.address+Path, body)
 	if err != nil {
 		return false, err
@@ -214,61 +215,61 @@
 		l.pool.superseded.Store(true)
 	}
 	if response.StatusCode != http.StatusOK {
-		return false, errRefused.New("status %d", response.StatusCode)
+		return false, errRefused.New("runner returned status %d", response.StatusCode)
 	}
 	reader := bufio.NewReader(response.Body)
-	var first report
-	if err := readMessage(reader, &first); err != nil {
+	var firstReport report
+	if err := readMessage(reader, &firstReport); err != nil {
 		return false, err
 	}
-	accepted := l.open(first)
-	event.RunnerConnected.On(l.pool.logger).Str("runner", l.name).Int("ms", clock.Since(l.pool.begun).Milliseconds()).
-		Uint("held", uint64(len(first.Held))).Uint("accepted", uint64(accepted)).Send()
-	heard := atomic.Uint64{}
-	heard.Store(first.Number)
+	accepted := l.activate(firstReport)
+	event.RunnerConnected.On(l.pool.logger).Str("runner", l.name).Int("ms", clock.Since(l.pool.createdAt).Milliseconds()).
+		Uint("held", uint64(len(firstReport.Held))).Uint("accepted", uint64(accepted)).Send()
+	lastReport := atomic.Uint64{}
+	lastReport.Store(firstReport.Number)
 	go func() {
 		defer cancel()
-		l.sendCommands(ctx, commandWriter, &heard)
+		l.sendCommands(ctx, commandWriter, &lastReport)
 	}()
-	return true, l.takeReports(reader, silence, &heard)
+	return true, l.receiveReports(reader, watchdog, &lastReport)
 }
 
-// open has runs begin on the link, after those that it brings back. It returns how many
-// of them were accepted; the runner ends the others.
-func (l *Link) open(first report) (accepted int) {
-	held := make([]*Held, 0, len(first.Held))
-	for _, one := range first.Held {
-		text := scheduler.Text{Events: one.Text.Events, Last: uint64(len(one.Text.Events)), Versions: one.Text.Versions}
+// activate offers the orphaned runs of the first report to the leader, cancels those that it does not
+// accept and opens the link for new runs. It returns the number of accepted runs.
+func (l *Link) activate(firstReport report) (accepted int) {
+	orphans := make([]*OrphanedRun, 0, len(firstReport.Held))
+	for _, orphan := range firstReport.Held {
+		text := scheduler.Text{Events: orphan.Text.Events, Last: uint64(len(orphan.Text.Events)), Versions: orphan.Text.Versions}
 		run := &linkRun{ended: make(chan scheduler.RunEnd, 1)}
-		held = append(held, &Held{Step: one.Step, Sample: one.Sample, Engine: one.Engine, Text: text, link: l, number: one.Run, run: run})
+		orphans = append(orphans, &OrphanedRun{Step: orphan.Step, Sample: orphan.Sample, Engine: orphan.Engine, Text: text, link: l, number: orphan.Run, run: run})
 	}
-	// They are known before they are accepted, so that an end of the link interrupts them.
+	// The runs are registered before they are accepted, so that the end of the link interrupts them.
 	l.mutex.Lock()
 	l.pending = commands{}
-	for _, one := range held {
-		l.runs[one.number] = one.run
+	for _, orphan := range orphans {
+		l.runs[orphan.number] = orphan.run
 	}
 	l.mutex.Unlock()
-	if len(held) > 0 {
-		l.pool.adopt(held)
+	if len(orphans) > 0 {
+		l.pool.adopt(orphans)
 	}
-	for _, one := range held {
-		if one.run.each == nil {
-			l.cancelRun(one.number)
-			l.forget(one.number)
+	for _, orphan := range orphans {
+		if orphan.run.onBatch == nil {
+			l.cancelRun(orphan.number)
+			l.forget(orphan.number)
 		} else {
 			accepted++
 		}
 	}
-	l.up.Store(true)
+	l.isOpen.Store(true)
 	return accepted
 }
 
-// interruptRuns ends the runs of a link that has ended, and returns their number.
+// interruptRuns closes the link, reports its runs as interrupted and returns their number.
 func (l *Link) interruptRuns() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.up.Store(false)
+	l.isOpen.Store(false)
 	interrupted := len(l.runs)
 	for _, run := range l.runs {
 		run.ended <- scheduler.Interrupted
@@ -277,9 +278,8 @@
 	return interrupted
 }
 
-// sendCommands writes the commands that gather, and a message now and then if there
-// are none.
-func (l *Link) sendCommands(ctx context.Context, writer io.Writer, heard *atomic.Uint64) {
+// sendCommands writes pending commands, or an empty message each keepaliveInterval.
+func (l *Link) sendCommands(ctx context.Context, writer io.Writer, lastReport *atomic.Uint64) {
 	buffered := bufio.NewWriter(writer)
 	keepalive := time.NewTimer(0)
 	defer keepalive.Stop()
@@ -291,7 +291,7 @@
 		case <-keepalive.C:
 		}
 		message := l.takePending()
-		message.Heard = heard.Load()
+		message.Heard = lastReport.Load()
 		if writeMessage(buffered, message) != nil || buffered.Flush() != nil {
 			return
 		}
@@ -299,58 +299,58 @@
 	}
 }
 
-// takePending returns what is to be sent. Starts that have waited for too long are not sent:
-// their runs are interrupted, since what they were decided by may have passed.
+// takePending returns the commands to send. It interrupts the runs whose start has been pending for
+// longer than maxPendingTime, since the decision may be out of date.
 func (l *Link) takePending() commands {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	pending := l.pending
 	l.pending = commands{}
-	pending.Starts = slices.DeleteFunc(pending.Starts, func(asked start) bool {
-		late := clock.Since(asked.decidedAt) > pendingLimit
-		if run := l.runs[asked.Run]; late && run != nil {
-			delete(l.runs, asked.Run)
+	pending.Starts = slices.DeleteFunc(pending.Starts, func(request start) bool {
+		isExpired := clock.Since(request.decidedAt) > maxPendingTime
+		if run := l.runs[request.Run]; isExpired && run != nil {
+			delete(l.runs, request.Run)
 			run.ended <- scheduler.Interrupted
 		}
-		return late
+		return isExpired
 	})
 	return pending
 }
 
-// takeReports takes in reports until the link ends.
-func (l *Link) takeReports(reader *bufio.Reader, silence *time.Timer, heard *atomic.Uint64) error {
+// receiveReports processes reports until the link ends.
+func (l *Link) receiveReports(reader *bufio.Reader, watchdog *time.Timer, lastReport *atomic.Uint64) error {
 	for {
 		var message report
 		if err := readMessage(reader, &message); err != nil {
 			return err
 		}
-		silence.Reset(runnerSilence)
-		heard.Store(message.Number)
+		watchdog.Reset(runnerTimeout)
+		lastReport.Store(message.Number)
 		if message.Superseded {
 			l.pool.superseded.Store(true)
-			return errRefused.New("a later link has taken over")
+			return errRefused.New("link superseded by a later leader")
 		}
-		for _, news := range message.Runs {
-			l.takeNews(news)
+		for _, update := range message.Runs {
+			l.deliverUpdate(update)
 		}
 	}
 }
 
-// takeNews hands a run's news on, unless the run has been forgotten.
-func (l *Link) takeNews(news runReport) {
+// deliverUpdate passes on the events and the end of a run, unless the run was forgotten.
+func (l *Link) deliverUpdate(update runReport) {
 	l.mutex.Lock()
-	run := l.runs[news.Run]
-	if news.End != 0 {
-		delete(l.runs, news.Run)
+	run := l.runs[update.Run]
+	if update.End != 0 {
+		delete(l.runs, update.Run)
 	}
 	l.mutex.Unlock()
 	if run == nil {
 		return
 	}
-	if len(news.Batch.Events) > 0 {
-		run.each(news.Batch)
+	if len(update.Batch.Events) > 0 {
+		run.onBatch(update.Batch)
 	}
-	if news.End != 0 {
-		run.ended <- news.End
+	if update.End != 0 {
+		run.ended <- update.End
 	}
 }
