--- a/ledger/machine.go
+++ b/ledger/machine.go
@@ -11,7 +11,7 @@
 	"github.com/dillchute/dillchute/duty"
 )
 
-// Entry is a step with its results and unfinished samples.
+// Entry is a step and its progress.
 type Entry struct {
 	Step    *Step    `cbor:"1,keyasint"`
 	Results []Result `cbor:"2,keyasint"`
