--- a/forward/choose.go
+++ b/forward/choose.go
@@ -13,40 +13,39 @@
 // backendState is what this process knows of a backend.
 type backendState struct {
 	inFlight int
-	// suspects counts those of the requests in flight under which a backend has ended.
+	// suspects counts the requests in flight that are suspects.
 	suspects int
 	latency  time.Duration
-	// measuredAt is when the latency last took a request in.
+	// measuredAt is when latency was last updated.
 	measuredAt   time.Time
 	avoidedUntil time.Time
-	// told is the backend's newest report of its load, and paces what its requests took apart from
-	// what it told.
-	told  report
-	paces paces
-	// service is what is known of the backend's service if it has told its load.
-	service *telling
+	// report is the backend's latest load report.
+	report    loadReport
+	baselines baselineLatencies
+	// service is the load state of the backend's service, nil until the backend has reported its load.
+	service *serviceLoadState
 }
 
-// latencyLife is how long a latency counts after its last request. A backend that was slow gets
-// none while others are quicker, so that nothing would ever show that it is well again.
-const latencyLife = time.Minute
+// latencyLifetime is how long a latency is used after the backend's last request. A slow backend gets
+// no requests while others are faster, so its latency must expire for it to be tried again.
+const latencyLifetime = time.Minute
 
-// take takes a request's time in.
-func (s *backendState) take(took time.Duration, now time.Time) {
-	if now.Sub(s.measuredAt) > latencyLife {
+// recordLatency updates the backend's average latency.
+func (s *backendState) recordLatency(latency time.Duration, now time.Time) {
+	if now.Sub(s.measuredAt) > latencyLifetime {
 		s.latency = 0
 	}
-	s.latency = smoothed(s.latency, took, smoothing)
+	s.latency = smoothed(s.latency, latency, latencySmoothing)
 	s.measuredAt = now
 }
 
-// order returns the route's services, the one whose turn it is first.
-func (f *Forwarder) order(route routing.Route) []string {
+// orderServices returns the route's services, starting with the one that the round robin picked.
+func (f *Forwarder) orderServices(route routing.Route) []string {
 	services := make([]string, 0, len(route.Shares))
 	if len(route.Shares) == 1 {
 		return append(services, route.Shares[0].Service)
 	}
-	chosen := f.turn(route)
+	chosen := f.pickShare(route)
 	services = append(services, route.Shares[chosen].Service)
 	for position, share := range route.Shares {
 		if position != chosen && share.Weight > 0 {
@@ -56,29 +55,27 @@
 	return services
 }
 
-// maxFirstTurns bounds the random number of turns that a split route's round
-// robin has made before its first request.
-const maxFirstTurns = 1000
+// maxInitialTurns bounds the random number of turns by which the round robin of a split route is
+// advanced before its first request.
+const maxInitialTurns = 1000
 
-// turn chooses a share by smooth weighted round robin. Each process starts at
-// a random place of the round, so that processes which see few requests each
-// keep the shares together.
-func (f *Forwarder) turn(route routing.Route) int {
+// pickShare picks a share by smooth weighted round robin. Each process starts at a random point of the
+// cycle, so that many processes with few requests each still follow the weights together.
+func (f *Forwarder) pickShare(route routing.Route) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	credits := f.credits[route.Key()]
 	if len(credits) != len(route.Shares) {
 		credits = make([]float64, len(route.Shares))
 		f.credits[route.Key()] = credits
-		for range f.random.IntN(maxFirstTurns) {
+		for range f.random.IntN(maxInitialTurns) {
 			nextShare(credits, route.Shares)
 		}
 	}
 	return nextShare(credits, route.Shares)
 }
 
-// nextShare advances the round by one turn and returns the position of the
-// share whose turn it is.
+// nextShare advances the round robin by one turn and returns the position of the picked share.
 func nextShare(credits []float64, shares []routing.Share) int {
 	best, total := 0, 0.0
 	for position, share := range shares {
@@ -92,8 +89,8 @@
 	return best
 }
 
-// choose takes a backend of the first service that has one, and counts the
-// request there.
+// choose returns a backend of the first service that has an eligible one, and counts the request as in
+// flight there.
 func (f *Forwarder) choose(catalog *directory.Catalog, services []string, tried map[string]bool) (directory.Backend, bool) {
 	return f.chooseAt(catalog, services, tried, time.Now())
 }
@@ -101,52 +98,51 @@
 func (f *Forwarder) chooseAt(catalog *directory.Catalog, services []string, tried map[string]bool, now time.Time) (directory.Backend, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	look := look{now: now, ends: EndsKnown(catalog, f.guard), tried: tried}
+	selection := selection{now: now, crashed: KnownCrashedBackends(catalog, f.guard), tried: tried}
 	for _, service := range services {
-		if best := f.cheapest(catalog, service, look); best != nil {
+		if best := f.cheapest(catalog, service, selection); best != nil {
 			state := f.state(best.ID)
 			state.inFlight++
-			state.told.sent++
+			state.report.sent++
 			return *best, true
 		}
 	}
 	return directory.Backend{}, false
 }
 
-// look is what backends are rated by for one attempt.
-type look struct {
-	now   time.Time
-	ends  Ends
-	tried map[string]bool
+// selection holds the inputs by which backends are rated for one attempt.
+type selection struct {
+	now     time.Time
+	crashed CrashedBackends
+	tried   map[string]bool
 }
 
 const (
-	// fewBackends is the number of a service's backends up to which all are rated for each
-	// attempt. Of more, those that this process uses are, and drawnBackends others: the time of
-	// a look does not grow with the service, and each process keeps connections to as many
-	// backends as it has requests under way.
-	fewBackends = 32
-	// drawnBackends are enough that one is near and sound while a good part of the service is
-	// away.
-	drawnBackends = 8
+	// maxFullScan is the largest number of a service's backends that are all rated for each attempt.
+	// In larger services, the backends that this process uses and sampledBackends others are rated.
+	// This bounds the cost of a choice and the number of connections of each process.
+	maxFullScan = 32
+	// sampledBackends is large enough that the sample probably contains a healthy backend in the same
+	// zone even while a large part of the service is down.
+	sampledBackends = 8
 )
 
-// cheapest returns the service's backend with the lowest cost, or nil if none can be asked.
-func (f *Forwarder) cheapest(catalog *directory.Catalog, service string, look look) *directory.Backend {
+// cheapest returns the service's backend with the lowest cost, or nil if none is eligible.
+func (f *Forwarder) cheapest(catalog *directory.Catalog, service string, selection selection) *directory.Backend {
 	all := catalog.Backends(service)
-	if len(all) <= fewBackends {
-		best, _ := f.cheapestOf(slices.Values(all), look)
+	if len(all) <= maxFullScan {
+		best, _ := f.cheapestOf(slices.Values(all), selection)
 		return best
 	}
-	best, cost := f.cheapestOf(f.candidates(catalog, service, all), look)
+	best, cost := f.cheapestOf(f.candidates(catalog, service, all), selection)
 	if best == nil || cost >= silentCost {
-		// None that is sound is among them: one of all the others may be.
-		best, _ = f.cheapestOf(slices.Values(all), look)
+		// The sample contains no healthy backend: rate all of them.
+		best, _ = f.cheapestOf(slices.Values(all), selection)
 	}
 	return best
 }
 
-// candidates returns the service's backends that this process uses, and some others.
+// candidates yields the service's backends that this process uses and a random sample of all.
 func (f *Forwarder) candidates(catalog *directory.Catalog, service string, all []*directory.Backend) iter.Seq[*directory.Backend] {
 	return func(yield func(*directory.Backend) bool) {
 		for id := range f.backends {
@@ -154,7 +150,7 @@
 				return
 			}
 		}
-		for range drawnBackends {
+		for range sampledBackends {
 			if !yield(all[f.random.IntN(len(all))]) {
 				return
 			}
@@ -163,14 +159,14 @@
 }
 
 // cheapestOf returns the candidate with the lowest cost and that cost, or nil.
-func (f *Forwarder) cheapestOf(candidates iter.Seq[*directory.Backend], look look) (best *directory.Backend, bestCost float64) {
+func (f *Forwarder) cheapestOf(candidates iter.Seq[*directory.Backend], selection selection) (best *directory.Backend, bestCost float64) {
 	for backend := range candidates {
-		if backend.Draining || look.tried[backend.ID] {
+		if backend.Draining || selection.tried[backend.ID] {
 			continue
 		}
-		cost := f.cost(*backend, look.now)
-		if look.ends.Has(backend.ID) {
-			cost += awayCost
+		cost := f.cost(*backend, selection.now)
+		if selection.crashed.Has(backend.ID) {
+			cost += crashedCost
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost = backend, cost
@@ -182,43 +178,43 @@
 const (
 	avoidedCost = 1e6
 	silentCost  = 1e5
-	// awayCost is that of a backend which has ended under a request: nobody listens there.
-	awayCost   = 1e6
-	remoteCost = 0.3
-	// spreadCost is the random part of a cost, which spreads equal backends.
-	spreadCost = 0.2
-	// leastMillis is the least latency that is told apart from others.
-	leastMillis = 10.0
-	// firstCost is what a backend costs more that this process has not had an answer
-	// from: a connection must be opened to it, and it is probably like the others. It
-	// is above the usual noise of a known backend's latency and below a slowdown that
-	// callers would notice.
-	firstCost = 0.5
-	// usualSmoothing is the weight of the newest answer in a service's usual latency,
-	// which must lag behind the latency of a backend that turns slow.
-	usualSmoothing = 0.05
+	// crashedCost is added for a backend that has crashed: its process is down.
+	crashedCost     = 1e6
+	remoteSurcharge = 0.3
+	// randomSurcharge is the random part of a cost, which spreads requests over equal backends.
+	randomSurcharge = 0.2
+	// minLatencyMillis is the lower bound of latencies: below it, differences are ignored.
+	minLatencyMillis = 10.0
+	// unmeasuredSurcharge is added for a backend whose latency this process has not measured: it needs
+	// a new connection and is probably like the others. It exceeds the usual noise of a known
+	// backend's latency, and is less than a slowdown that callers would notice.
+	unmeasuredSurcharge = 0.5
+	// averageSmoothing is the weight of the newest latency in a service's average, which must change
+	// more slowly than the latency of a single backend.
+	averageSmoothing = 0.05
 )
 
-// cost rates a backend: the expected wait, with much more for those that fail.
+// cost returns the backend's expected latency in milliseconds, with large surcharges for backends that
+// fail or are silent.
 func (f *Forwarder) cost(backend directory.Backend, now time.Time) float64 {
 	state := f.backends[backend.ID]
 	if state == nil {
 		state = &unusedBackend
 	}
-	latency := max(float64(state.latency.Milliseconds()), leastMillis)
-	if state.latency == 0 || now.Sub(state.measuredAt) > latencyLife {
-		latency = max(float64(f.usualOf(backend.Service, now).Milliseconds()), leastMillis) * (1 + firstCost)
+	latency := max(float64(state.latency.Milliseconds()), minLatencyMillis)
+	if state.latency == 0 || now.Sub(state.measuredAt) > latencyLifetime {
+		latency = max(float64(f.assumedLatency(backend.Service, now).Milliseconds()), minLatencyMillis) * (1 + unmeasuredSurcharge)
 	}
 	cost := latency * float64(state.inFlight+1)
-	age := now.Sub(state.told.at)
-	if news := state.told.weight(age); news > 0 {
-		told := state.expected(age)
-		cost += news * (float64(told)/float64(time.Millisecond) - cost)
+	age := now.Sub(state.report.at)
+	if reportWeight := state.report.weight(age); reportWeight > 0 {
+		expected := state.expectedLatency(age)
+		cost += reportWeight * (float64(expected)/float64(time.Millisecond) - cost)
 	}
 	if backend.Zone != f.zone {
-		cost *= 1 + remoteCost
+		cost *= 1 + remoteSurcharge
 	}
-	cost *= 1 + spreadCost*f.random.Float64()
+	cost *= 1 + randomSurcharge*f.random.Float64()
 	if now.Before(state.avoidedUntil) {
 		cost += avoidedCost
 	}
@@ -228,18 +224,18 @@
 	return cost
 }
 
-// usualOf returns the usual latency of a service's backends. Where they tell their load it is one
-// without a wait: one that this process has not asked may be idle while those that it asks are full.
-func (f *Forwarder) usualOf(service string, now time.Time) time.Duration {
-	usual := f.usual[service]
-	if told := f.telling[service]; told.counts(now) && told.pace > 0 {
-		return min(usual, told.pace)
+// assumedLatency returns the latency assumed for a backend of the service that this process has not
+// measured. If the service's backends report their load, it excludes the wait for a slot: the backend
+// may be idle while those in use are full.
+func (f *Forwarder) assumedLatency(service string, now time.Time) time.Duration {
+	average := f.averageLatency[service]
+	if load := f.serviceLoads[service]; load.isFresh(now) && load.baseline > 0 {
+		return min(average, load.baseline)
 	}
-	return usual
+	return average
 }
 
-// unusedBackend is what is known of a backend that this process does not use. It must not be
-// changed.
+// unusedBackend is the state of a backend that this process does not use. It must not be modified.
 var unusedBackend backendState
 
 func (f *Forwarder) state(id string) *backendState {
@@ -251,59 +247,59 @@
 	return state
 }
 
-// note takes in what an attempt tells of its backend.
-func (f *Forwarder) note(backend directory.Backend, attempt Attempt, took time.Duration, cancelled bool) {
-	f.noteAt(backend, attempt, took, cancelled, time.Now())
+// recordAttempt updates the backend's state with the result of an attempt.
+func (f *Forwarder) recordAttempt(backend directory.Backend, attempt Attempt, latency time.Duration, cancelled bool) {
+	f.recordAttemptAt(backend, attempt, latency, cancelled, time.Now())
 }
 
-func (f *Forwarder) noteAt(backend directory.Backend, attempt Attempt, took time.Duration, cancelled bool, now time.Time) {
+func (f *Forwarder) recordAttemptAt(backend directory.Backend, attempt Attempt, latency time.Duration, cancelled bool, now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	state := f.state(backend.ID)
 	state.inFlight--
-	f.noteLoad(state, backend.Service, attempt, now)
-	f.budget = min(f.budget+budgetShare, budgetBurst)
+	f.recordLoad(state, backend.Service, attempt, now)
+	f.hedgeBudget = min(f.hedgeBudget+hedgeBudgetFraction, hedgeBudgetBurst)
 	if cancelled && attempt.Outcome != Answered {
-		// It was slower than another backend, or than its caller's patience.
-		if took > slowFactor*state.latency && took > minHedge {
+		// The attempt lost to a hedge, or its caller gave up.
+		if latency > slowFactor*state.latency && latency > minHedgeDelay {
 			state.avoidedUntil = now.Add(slowPenalty)
 		}
-		state.takeLeast(took, now)
-		state.take(took, now)
+		state.recordLowerBound(latency, now)
+		state.recordLatency(latency, now)
 		return
 	}
 	switch attempt.Outcome {
 	case Answered:
-		state.takePace(took, now)
-		state.take(state.told.lasting(took, now), now)
-		f.usual[backend.Service] = smoothed(f.usual[backend.Service], took, usualSmoothing)
+		state.recordBaseline(latency, now)
+		state.recordLatency(state.report.withoutSlowdown(latency, now), now)
+		f.averageLatency[backend.Service] = smoothed(f.averageLatency[backend.Service], latency, averageSmoothing)
 		state.avoidedUntil = time.Time{}
 	case Refused:
-		state.avoidedUntil = now.Add(fullPenalty)
+		state.avoidedUntil = now.Add(refusalPenalty)
 	default:
-		state.avoidedUntil = now.Add(penalty)
+		state.avoidedUntil = now.Add(failurePenalty)
 	}
 }
 
-// noteLoad takes in what the backend told of its load.
-func (f *Forwarder) noteLoad(state *backendState, name string, attempt Attempt, now time.Time) {
+// recordLoad records the load that the backend reported with its answer.
+func (f *Forwarder) recordLoad(state *backendState, service string, attempt Attempt, now time.Time) {
 	if attempt.Load == nil {
 		return
 	}
 	load := *attempt.Load
 	if attempt.Outcome == Answered {
-		// It counts the request that it answers.
+		// The report includes the answered request.
 		load.Running = max(load.Running-1, 0)
 	}
-	service := f.telling[name]
-	if service == nil {
-		service = &telling{}
-		f.telling[name] = service
+	serviceLoad := f.serviceLoads[service]
+	if serviceLoad == nil {
+		serviceLoad = &serviceLoadState{}
+		f.serviceLoads[service] = serviceLoad
 	}
-	service.take(state, load, now)
+	serviceLoad.recordReport(state, load, now)
 }
 
-// smoothed returns the latency with the newest one taken in at the weight; 0 stands for
+// smoothed returns the exponential moving average after the newest latency; an average of 0 means
 // none.
 func smoothed(latency, newest time.Duration, weight float64) time.Duration {
 	if latency == 0 {
@@ -312,20 +308,19 @@
 	return latency + time.Duration(weight*float64(newest-latency))
 }
 
-func (f *Forwarder) spend() bool {
+func (f *Forwarder) spendHedgeBudget() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.budget < 1 {
+	if f.hedgeBudget < 1 {
 		return false
 	}
-	f.budget--
+	f.hedgeBudget--
 	return true
 }
 
-// Forget drops what is known of backends that the catalog does not hold, and of those that have
-// not been used for so long that it counts no more.
+// Forget removes the state of backends that are not in the catalog, and state that has expired.
 func (f *Forwarder) Forget(catalog *directory.Catalog) {
-	f.limits.first.forget(clock.Now())
+	f.admissionControl.retries.removeStale(clock.Now())
 	f.forgetAt(catalog, time.Now())
 }
 
@@ -334,14 +329,14 @@
 	defer f.mutex.Unlock()
 	for id, state := range f.backends {
 		_, ok := catalog.Backend(id)
-		unused := now.Sub(state.measuredAt) > latencyLife && now.After(state.avoidedUntil)
+		unused := now.Sub(state.measuredAt) > latencyLifetime && now.After(state.avoidedUntil)
 		if (!ok || unused) && state.inFlight == 0 {
 			delete(f.backends, id)
 		}
 	}
-	for name, service := range f.telling {
-		if !service.counts(now) {
-			delete(f.telling, name)
+	for service, load := range f.serviceLoads {
+		if !load.isFresh(now) {
+			delete(f.serviceLoads, service)
 		}
 	}
 }
--- a/forward/clearance.go
+++ b/forward/clearance.go
@@ -9,79 +9,83 @@
 	"github.com/dillchute/dillchute/quarantine"
 )
 
-// EndChecker is a Client that can tell whether a backend's process has ended.
-type EndChecker interface {
-	// HasEnded tells whether nobody listens at the backend's address, as far as it can be found
-	// out until the context ends.
-	HasEnded(ctx context.Context, backend directory.Backend) bool
+// CrashChecker is a Client that can check whether a backend's process has crashed.
+type CrashChecker interface {
+	// HasCrashed reports whether nothing listens at the backend's address. It returns false if that
+	// cannot be determined before the context ends.
+	HasCrashed(ctx context.Context, backend directory.Backend) bool
 }
 
-// endCheckTimeout bounds the question whether a backend has ended. Who asks has just had a
-// connection broken by its machine, so an answer takes one round trip; a request that is to be
-// repeated waits for it, so that the repetition knows of the crash.
-const endCheckTimeout = 100 * time.Millisecond
+// crashCheckTimeout bounds the check whether a backend has crashed. Its machine has just reset a
+// connection, so the check takes one round trip; a retry waits for it, so that the crash is known
+// before the request is sent again.
+const crashCheckTimeout = 100 * time.Millisecond
 
-// clearance tells whether a request may be sent to one more backend, as far as backends that
-// ended under it are concerned.
-type clearance struct {
+// quarantineCheck decides whether a request may be sent to another backend, given the crashes that it
+// is suspected of.
+type quarantineCheck struct {
 	guard   *quarantine.Guard
 	content quarantine.Content
-	// verdict is the newest.
+	// verdict is the result of the latest check.
 	verdict quarantine.Verdict
-	// trial is set on a request that is held back and may be sent once, and sent once it was.
-	trial, sent bool
-	// refused is set once the request was held back, and postponed once too many backends were
-	// away for a suspect to be sent.
-	refused, postponed bool
+	// hasTrial is set if the request is quarantined and this process was granted its trial; trialSent
+	// is set once the trial was sent.
+	hasTrial, trialSent bool
+	// quarantined is set once the request was rejected as quarantined, and postponed once it was a
+	// suspect and too many backends were unavailable to send it.
+	quarantined, postponed bool
 }
 
-// clear judges a request that has come. The trial of one that is held back is asked for.
-func (f *Forwarder) clear(ctx context.Context, catalog *directory.Catalog, services []string, request *Request) clearance {
-	c := clearance{guard: f.guard, content: request.Content()}
+// checkQuarantine checks a new request, and requests its trial if it is quarantined and a trial is
+// offered.
+func (f *Forwarder) checkQuarantine(ctx context.Context, catalog *directory.Catalog, services []string, request *Request) quarantineCheck {
+	c := quarantineCheck{guard: f.guard, content: request.Content()}
 	c.verdict = c.guard.CheckContent(c.content)
-	if c.verdict.Quarantined && c.verdict.TrialOffered && !f.Spares(catalog, services) {
-		c.trial = c.guard.TakeTrial(ctx, c.verdict.Fingerprint)
+	if c.verdict.Quarantined && c.verdict.TrialOffered && !f.PostponesSuspects(catalog, services) {
+		c.hasTrial = c.guard.TakeTrial(ctx, c.verdict.Fingerprint)
 	}
 	return c
 }
 
-// isSuspect tells whether the request may run at few backends only, as it was judged last.
-func (c *clearance) isSuspect() bool { return c.verdict.IsSuspect() }
+// isSuspect reports whether the latest check found the request to be a suspect.
+func (c *quarantineCheck) isSuspect() bool { return c.verdict.IsSuspect() }
 
-// hasLeft tells whether a suspect has met a backend that cannot be reached: it may have ended
-// under another suspect that nobody has told of yet, so that no other one is asked at once.
-func hasLeft(c *clearance, outcome Outcome) bool { return outcome == NotSent && c.isSuspect() }
+// isUnreachedSuspect reports whether a suspect could not be sent to a backend. The backend may have
+// crashed under another suspect without a report yet, so the request is not retried at once.
+func isUnreachedSuspect(c *quarantineCheck, outcome Outcome) bool {
+	return outcome == NotSent && c.isSuspect()
+}
 
-// mayStart judges the request anew, and tells whether it may be sent to one more backend.
-func (c *clearance) mayStart() bool {
+// mayStart checks the request again and reports whether it may be sent to another backend.
+func (c *quarantineCheck) mayStart() bool {
 	c.verdict = c.guard.CheckContent(c.content)
 	mayStart := !c.verdict.Quarantined
-	if c.trial {
-		mayStart = !c.sent
-		c.sent = true
+	if c.hasTrial {
+		mayStart = !c.trialSent
+		c.trialSent = true
 	}
-	c.refused = c.refused || !mayStart
+	c.quarantined = c.quarantined || !mayStart
 	return mayStart
 }
 
-// noteEnd takes in the end of an attempt: the trial of a request that did not run goes on.
-func (c *clearance) noteEnd(outcome Outcome) {
+// recordOutcome records the outcome of an attempt: a trial that did not run may be sent again.
+func (c *quarantineCheck) recordOutcome(outcome Outcome) {
 	if outcome == NotSent || outcome == Refused || outcome == Misdirected {
-		c.sent = false
+		c.trialSent = false
 	}
 }
 
-// mayHedge tells whether the request may run at two backends side by side: one under which a
-// backend has ended could end both.
-func (c *clearance) mayHedge() bool {
+// mayHedge reports whether the request may run at two backends at a time. A request that has crashed a
+// backend must not be hedged, since it could crash both.
+func (c *quarantineCheck) mayHedge() bool {
 	verdict := c.guard.CheckContent(c.content)
-	return !c.trial && verdict.KnownCrashes == 0 && verdict.KnownKindCrashes == 0
+	return !c.hasTrial && verdict.KnownCrashes == 0 && verdict.KnownKindCrashes == 0
 }
 
-// unsent returns why a request was not sent at all.
-func (c *clearance) unsent() Reason {
+// unsentReason returns why a request was not sent at all.
+func (c *quarantineCheck) unsentReason() Reason {
 	switch {
-	case c.refused:
+	case c.quarantined:
 		return Quarantined
 	case c.postponed:
 		return Postponed
@@ -89,25 +93,26 @@
 	return NoBackend
 }
 
-// learn takes in what an attempt tells of its request, which was judged so before it.
-func (f *Forwarder) learn(ctx context.Context, verdict quarantine.Verdict, backend directory.Backend, request *Request, attempt Attempt) {
+// updateGuard records a response or a crash with the quarantine guard. The verdict is that of the
+// check before the attempt.
+func (f *Forwarder) updateGuard(ctx context.Context, verdict quarantine.Verdict, backend directory.Backend, request *Request, attempt Attempt) {
 	switch {
 	case attempt.Outcome == Answered && attempt.Response.Status < http.StatusInternalServerError:
 		if !f.guard.IsIdle() {
 			f.guard.RecordResponse(request.Content().Subject())
 		}
-	case attempt.Outcome == Lost && attempt.Broken && f.HasEnded(ctx, backend):
+	case attempt.Outcome == Lost && attempt.Broken && f.HasCrashed(ctx, backend):
 		f.guard.RecordCrash(request.Content().Subject(), backend.ID, verdict)
 	}
 }
 
-// HasEnded tells whether the backend, which has broken a connection, has ended.
-func (f *Forwarder) HasEnded(ctx context.Context, backend directory.Backend) bool {
-	checker, ok := f.client.(EndChecker)
+// HasCrashed reports whether the backend, which has reset a connection, has crashed.
+func (f *Forwarder) HasCrashed(ctx context.Context, backend directory.Backend) bool {
+	checker, ok := f.client.(CrashChecker)
 	if !ok {
 		return false
 	}
-	limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), endCheckTimeout)
+	limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashCheckTimeout)
 	defer cancel()
-	return checker.HasEnded(limited, backend)
+	return checker.HasCrashed(limited, backend)
 }
--- a/forward/clearance_test.go
+++ b/forward/clearance_test.go
@@ -14,124 +14,123 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// mortal is a client of backends that end under each request, as far as ended says.
-type mortal struct {
-	scripted
-	ended map[string]bool
+// crashingClient is a client of backends that reset connections. HasCrashed returns the entry in
+// crashed.
+type crashingClient struct {
+	fakeClient
+	crashed map[string]bool
 }
 
-func (m *mortal) HasEnded(_ context.Context, backend directory.Backend) bool {
-	return m.ended[backend.ID]
+func (c *crashingClient) HasCrashed(_ context.Context, backend directory.Backend) bool {
+	return c.crashed[backend.ID]
 }
 
-func broken(context.Context) Attempt { return Attempt{Outcome: Lost, Broken: true} }
+func brokenConnection(context.Context) Attempt { return Attempt{Outcome: Lost, Broken: true} }
 
-func mortalOf(ends bool) *mortal {
-	return &mortal{
-		scripted: scripted{answers: map[string]func(context.Context) Attempt{"a": broken, "b": broken, "c": broken, "d": broken, "e": broken}},
-		ended:    map[string]bool{"a": ends, "b": ends, "c": ends, "d": ends, "e": ends},
+func newCrashingClient(crashes bool) *crashingClient {
+	return &crashingClient{
+		fakeClient: fakeClient{answers: map[string]func(context.Context) Attempt{"a": brokenConnection, "b": brokenConnection, "c": brokenConnection, "d": brokenConnection, "e": brokenConnection}},
+		crashed:    map[string]bool{"a": crashes, "b": crashes, "c": crashes, "d": crashes, "e": crashes},
 	}
 }
 
-func deadlyRequest() *Request {
+func crashingRequest() *Request {
 	return &Request{ID: "1", Target: "/deadly", Deadline: time.Now().Add(time.Minute)}
 }
 
-// TestRequestIsHeldBackAfterThreeCrashes: also within its own attempts; others go on. There are
-// so many backends that three may be away.
-func TestRequestIsHeldBackAfterThreeCrashes(t *testing.T) {
-	client := mortalOf(true)
-	forwarder := New(client, "z", noSuspects())
-	backends := []directory.Backend{backend("a"), backend("b"), backend("c"), backend("d"), backend("e")}
+// A request must be quarantined once it has reached the crash threshold, also by attempts of the same
+// call, without effect on others. There are enough backends that three may be unavailable.
+func TestRequestIsQuarantinedAfterThreeCrashes(t *testing.T) {
+	client := newCrashingClient(true)
+	forwarder := New(client, "z", newGuard())
+	backends := []directory.Backend{newBackend("a"), newBackend("b"), newBackend("c"), newBackend("d"), newBackend("e")}
 	for number := range 3*quarantine.CrashThreshold - len(backends) {
 		id := fmt.Sprint("more-", number)
-		client.answers[id], client.ended[id] = broken, true
-		backends = append(backends, backend(id))
+		client.answers[id], client.crashed[id] = brokenConnection, true
+		backends = append(backends, newBackend(id))
 	}
-	catalog := catalogOf(backends...)
-	result := forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 5), deadlyRequest())
+	catalog := newCatalog(backends...)
+	result := forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 5), crashingRequest())
 	require.Equal(t, NoAnswer, result.Reason)
 	require.True(t, result.MayHaveRun)
-	require.Len(t, client.asked, quarantine.CrashThreshold)
-	result = forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 5), deadlyRequest())
+	require.Len(t, client.calls, quarantine.CrashThreshold)
+	result = forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 5), crashingRequest())
 	require.Equal(t, Quarantined, result.Reason)
-	require.False(t, result.MayHaveRun, "it was sent nowhere")
+	require.False(t, result.MayHaveRun, "it was not sent")
 	require.Empty(t, result.History)
 	for id := range client.answers {
-		client.answers[id] = status(200)
+		client.answers[id] = respondStatus(200)
 	}
-	other := deadlyRequest()
+	other := crashingRequest()
 	other.Target = "/other"
-	require.NotNil(t, forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 5), other).Response)
+	require.NotNil(t, forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 5), other).Response)
 }
 
-// TestResetsAreNoCrashes: backends that break connections and go on serving are not held
-// against a request.
-func TestResetsAreNoCrashes(t *testing.T) {
-	client := mortalOf(false)
-	forwarder := New(client, "z", noSuspects())
-	catalog := catalogOf(backend("a"), backend("b"), backend("c"), backend("d"), backend("e"))
+// A backend that resets connections but still listens must not count as crashed.
+func TestResetsAreNotCrashes(t *testing.T) {
+	client := newCrashingClient(false)
+	forwarder := New(client, "z", newGuard())
+	catalog := newCatalog(newBackend("a"), newBackend("b"), newBackend("c"), newBackend("d"), newBackend("e"))
 	for range 3 {
-		forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 5), deadlyRequest())
+		forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 5), crashingRequest())
 	}
-	require.Len(t, client.asked, 15)
+	require.Len(t, client.calls, 15)
 }
 
-// TestSuspectsAreNotHedged: a request under which a backend has ended runs at one backend at a
-// time.
+// A request that has crashed a backend must run at one backend at a time.
 func TestSuspectsAreNotHedged(t *testing.T) {
-	guard := noSuspects()
-	guard.RecordFingerprintCrash(deadlyRequest().Content().Fingerprint(), "gone", 0)
-	asked := make(chan string, 5)
-	client := &scripted{answers: map[string]func(context.Context) Attempt{}}
+	guard := newGuard()
+	guard.RecordFingerprintCrash(crashingRequest().Content().Fingerprint(), "gone", 0)
+	started := make(chan string, 5)
+	client := &fakeClient{answers: map[string]func(context.Context) Attempt{}}
 	for _, id := range []string{"a", "b"} {
 		client.answers[id] = func(ctx context.Context) Attempt {
-			asked <- id
-			return hang(ctx)
+			started <- id
+			return blockUntilCancelled(ctx)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	forwarder := New(client, "z", guard)
 	done := make(chan Result)
 	go func() {
-		done <- forwarder.Do(ctx, catalogOf(backend("a"), backend("b")), route(routing.Repeatable, 2), deadlyRequest())
+		done <- forwarder.Do(ctx, newCatalog(newBackend("a"), newBackend("b")), newRoute(routing.Repeatable, 2), crashingRequest())
 	}()
-	<-asked
-	// The first hedge would come after minHedge; another request's shows that it has passed.
-	other := deadlyRequest()
+	<-started
+	// The first hedge would be sent after minHedgeDelay; the hedge of another request shows that this
+	// time has passed.
+	other := crashingRequest()
 	other.Target = "/other"
 	hedged, stop := context.WithCancel(context.Background())
 	go func() {
 		for range 2 {
-			<-asked
+			<-started
 		}
 		stop()
 	}()
-	forwarder.Do(hedged, catalogOf(backend("a"), backend("b")), route(routing.Repeatable, 2), other)
+	forwarder.Do(hedged, newCatalog(newBackend("a"), newBackend("b")), newRoute(routing.Repeatable, 2), other)
 	cancel()
 	require.Len(t, (<-done).History, 1)
 }
 
-// TestTrialIsSentOnce: a request that is held back and whose trial this process has got is sent
-// to one backend, and the next one to none.
+// A trial must be sent to one backend only. Refused attempts do not use it up.
 func TestTrialIsSentOnce(t *testing.T) {
-	fingerprint := deadlyRequest().Content().Fingerprint()
-	held := map[quarantine.Fingerprint]quarantine.Suspect{fingerprint: {Fingerprint: fingerprint, Crashes: quarantine.CrashThreshold, Offered: true}}
+	fingerprint := crashingRequest().Content().Fingerprint()
+	suspects := map[quarantine.Fingerprint]quarantine.Suspect{fingerprint: {Fingerprint: fingerprint, Crashes: quarantine.CrashThreshold, Offered: true}}
 	trials := 1
 	guard := quarantine.NewGuard(quarantine.SharedRecord{
-		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return held },
+		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return suspects },
 		TakeTrial: func(context.Context, quarantine.Fingerprint) bool {
 			trials--
 			return trials == 0
 		},
 	}, time.Now)
-	client := mortalOf(true)
-	client.answers["a"] = outcome(Refused)
+	client := newCrashingClient(true)
+	client.answers["a"] = respondOutcome(Refused)
 	forwarder := New(client, "z", guard)
-	catalog := catalogOf(backend("a"), backend("b"), backend("c"))
+	catalog := newCatalog(newBackend("a"), newBackend("b"), newBackend("c"))
 	for range 3 {
-		forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 3), deadlyRequest())
+		forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 3), crashingRequest())
 	}
-	ran := slices.DeleteFunc(slices.Clone(client.asked), func(id string) bool { return id == "a" })
-	require.Len(t, ran, 1, "what a backend refuses has not run and uses up no trial")
+	ran := slices.DeleteFunc(slices.Clone(client.calls), func(id string) bool { return id == "a" })
+	require.Len(t, ran, 1, "a refused attempt did not run and does not use up the trial")
 }
--- a/forward/events.go
+++ b/forward/events.go
@@ -7,14 +7,14 @@
 	"io"
 )
 
-// MaxEventBytes bounds one event of a stream.
+// MaxEventBytes is the maximum size of one event of a stream.
 const MaxEventBytes = 1 << 20
 
-// ErrCut: a stream ended in the middle of an event, or broke off.
-var ErrCut = errors.New("the stream was cut")
+// ErrTruncated is returned for a stream that ended within an event or failed.
+var ErrTruncated = errors.New("stream truncated")
 
-// Event is one server-sent event: its bytes as they came, with the blank line
-// that ends it, and its fields in order.
+// Event is a server-sent event. Raw holds its bytes as received, including the terminating blank line;
+// Fields are in order.
 type Event struct {
 	Raw    []byte
 	Fields []EventField
@@ -25,7 +25,7 @@
 	Name, Value string
 }
 
-// ID returns the event's id, or "".
+// ID returns the value of the event's id field, or "".
 func (e Event) ID() string {
 	for _, field := range e.Fields {
 		if field.Name == "id" {
@@ -35,20 +35,20 @@
 	return ""
 }
 
-// EventReader reads a stream event by event.
+// EventReader splits a stream into events.
 type EventReader struct {
 	reader *bufio.Reader
 }
 
 const eventBufferBytes = 4 << 10
 
-// NewEventReader returns a reader of the stream.
+// NewEventReader returns an EventReader for the stream.
 func NewEventReader(stream io.Reader) *EventReader {
 	return &EventReader{reader: bufio.NewReaderSize(stream, eventBufferBytes)}
 }
 
-// Next returns the next whole event. It returns io.EOF if the stream ended
-// between events, and ErrCut if it ended anywhere else.
+// Next returns the next complete event. It returns io.EOF if the stream ended between events, and
+// ErrTruncated if it ended anywhere else.
 func (r *EventReader) Next() (Event, error) {
 	var event Event
 	for {
@@ -57,7 +57,7 @@
 			return event, io.EOF
 		}
 		if err != nil || len(event.Raw)+len(line) > MaxEventBytes {
-			return event, ErrCut
+			return event, ErrTruncated
 		}
 		event.Raw = append(event.Raw, line...)
 		text := bytes.TrimRight(line, "\r\n")
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,5 +1,5 @@
-// Package forward passes requests to the backends of services: it chooses a
-// backend, retries where that is allowed, and tells what became of the request.
+// Package forward sends requests to the backends of services: it chooses a backend, retries and hedges
+// where that is allowed, and returns the response or the reason why there is none.
 package forward
 
 import (
@@ -19,37 +19,36 @@
 // Request is a caller's request.
 type Request struct {
 	ID string
-	// StableID is set on a request that has the same ID each time it comes. Callers give each
-	// of their tries another one.
+	// StableID is set on a request whose retries by the caller have the same ID.
 	StableID bool
 
 	Method string
 	Host   string
-	// Target is the path and query as they were received.
+	// Target is the path and query as received.
 	Target string
 	Header http.Header
 	Body   []byte
-	// Tenant is the name of the caller's tenant, "" for none, and Priority the request's rank, 0 for
-	// the most urgent.
+	// Tenant is the name of the caller's tenant, "" for none. Priority is the request's priority, 0
+	// for the most urgent.
 	Tenant   string
 	Priority int
-	// Deadline is when the caller gives up, by package clock.
+	// Deadline is when the caller gives up, on the clock of package clock.
 	Deadline time.Time
 }
 
-// remaining returns how long the caller still waits. A timer may say otherwise: it stands still
+// remaining returns the time left until the deadline. Timers do not replace it: they do not advance
 // while the machine is suspended.
 func (r *Request) remaining() time.Duration {
 	if r.Deadline.IsZero() {
-		return longestWait
+		return noDeadlineTimeout
 	}
 	return clock.Until(r.Deadline)
 }
 
-// longestWait bounds a request without a deadline of its own.
-const longestWait = time.Hour
+// noDeadlineTimeout is the timeout of a request without a deadline.
+const noDeadlineTimeout = time.Hour
 
-// Content returns what tells whether another request is the same.
+// Content returns what identifies the request to the quarantine guard.
 func (r *Request) Content() quarantine.Content {
 	content := quarantine.Content{Tenant: r.Tenant, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body}
 	if r.StableID {
@@ -58,33 +57,33 @@
 	return content
 }
 
-// Response is a backend's whole answer.
+// Response is a complete response of a backend.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Signature is the backend's mark on its answer.
+	// Signature is the backend's signature of the response.
 	Signature string
 }
 
-// Outcome tells what became of one attempt.
+// Outcome is the outcome of one attempt.
 type Outcome uint8
 
 // The outcomes of an attempt.
 const (
-	// Answered: the backend's whole answer is there.
+	// Answered: the backend returned a complete response.
 	Answered Outcome = iota + 1
 	// NotSent: no byte of the request can have reached the backend.
 	NotSent
-	// Refused: the backend says that it did not run the request.
+	// Refused: the backend reported that it did not run the request.
 	Refused
-	// Misdirected: another backend has the address, and did not run the request.
+	// Misdirected: another backend has this address now, and did not run the request.
 	Misdirected
-	// Lost: the request may have run, and there is no whole answer.
+	// Lost: the request may have run, but there is no complete response.
 	Lost
 )
 
-// String returns the outcome's name in logs.
+// String returns the outcome's name for logs.
 func (o Outcome) String() string {
 	return [...]string{"pending", "answered", "not_sent", "refused", "misdirected", "lost"}[o]
 }
@@ -95,164 +94,165 @@
 	Response Response
 	// Broken is set on a lost attempt whose connection the other side ended.
 	Broken bool
-	// Load is what the backend told of its load with its answer or refusal, or nil.
+	// Load is the load that the backend reported with its response or refusal, or nil.
 	Load *Load
 }
 
-// Client sends a request to one backend and returns its whole answer. The
-// backend is given until the context's deadline.
+// Client sends a request to one backend and returns its complete response. The backend has until the
+// context's deadline.
 type Client interface {
 	Send(ctx context.Context, backend directory.Backend, request *Request) Attempt
 }
 
-// Reason says why a request ended without a backend's answer.
+// Reason is why a request ended without a backend's response.
 type Reason string
 
-// The reasons.
+// The reasons for the lack of a response.
 const (
-	// NoBackend: no backend of the services can take requests.
+	// NoBackend: no backend of the services accepts requests.
 	NoBackend Reason = "no_backend"
-	// Full: every backend that was asked refused.
+	// Full: every backend that was tried refused the request.
 	Full Reason = "full"
-	// Overloaded: the service has more requests than it can serve in time, and this one was not
-	// admitted.
+	// Overloaded: the request was not admitted, since the service has more requests than it can serve
+	// in time.
 	Overloaded Reason = "overloaded"
-	// Expired: the request's time is over.
+	// Expired: the request's deadline has passed.
 	Expired Reason = "expired"
-	// NoAnswer: backends that may have run the request gave no whole answer.
+	// NoAnswer: a backend may have run the request, but none returned a complete response.
 	NoAnswer Reason = "no_answer"
-	// Abandoned: the caller has left.
+	// Abandoned: the caller cancelled the request.
 	Abandoned Reason = "abandoned"
-	// Stopping: the process ends before the request could.
+	// Stopping: this process shut down before the request was finished.
 	Stopping Reason = "stopping"
-	// Quarantined: the request has crashed the backends that ran it, and is held back.
+	// Quarantined: the request has crashed the backends that ran it, and is not sent again.
 	Quarantined Reason = "quarantined"
-	// Postponed: a backend has ended under the request, and too many are away for it to be sent
-	// to another one now.
+	// Postponed: the request is suspected of a crash, and too many backends are unavailable to send it
+	// now.
 	Postponed Reason = "postponed"
 )
 
-// Result is what became of a request.
+// Result is the result of a request.
 type Result struct {
-	// Response is nil if no backend's answer is there; Reason says why.
+	// Response is nil if no backend returned a response; Reason is set then.
 	Response *Response
 	Reason   Reason
-	// RetryAfter is when there will probably be room for a request that was not admitted, 0 if that
-	// is not known.
+	// RetryAfter is how long the caller should wait before a retry, 0 if that is not known.
 	RetryAfter time.Duration
-	// Limit is what was decided about a request that was not admitted.
+	// Limit is the decision that rejected a request that was not admitted.
 	Limit admission.Decision
 	// MayHaveRun is set unless it is certain that no backend ran the request.
 	MayHaveRun bool
 	Attempts   int
-	// Failures counts the backends that ran the request and failed.
+	// Failures counts the backends that ran the request and returned a server error.
 	Failures int
-	// History holds the attempts in the order in which they began.
+	// History holds the attempts in the order of their start.
 	History []AttemptRecord
-	// Backend is the one whose answer this is.
+	// Backend and Service are those that returned the response.
 	Backend string
 	Service string
 }
 
-// AttemptRecord tells what became of one attempt of a request.
+// AttemptRecord describes one attempt of a request.
 type AttemptRecord struct {
 	Backend string
-	// Outcome is 0 if the request ended before the attempt did.
+	// Outcome is 0 if the request ended before the attempt.
 	Outcome Outcome
-	// Status is the backend's, 0 if it gave no answer.
+	// Status is the response's status, 0 if there was no response.
 	Status int
 	// Broken is set on a lost attempt whose connection the other side ended.
-	Broken bool
-	Began  time.Time
-	// Took is the time until the attempt's end, or the request's.
-	Took time.Duration
+	Broken    bool
+	StartedAt time.Time
+	// Duration is the time until the end of the attempt, or of the request if that came first.
+	Duration time.Duration
 }
 
-// MayHaveRun tells whether the backend may have run the request.
+// MayHaveRun reports whether the backend may have run the request.
 func (a AttemptRecord) MayHaveRun() bool {
 	return a.Outcome == 0 || a.Outcome == Answered || a.Outcome == Lost
 }
 
-// recordBegin notes an attempt that begins.
-func (r *Result) recordBegin(backend string) {
-	r.History = append(r.History, AttemptRecord{Backend: backend, Began: clock.Now()})
+// recordStart appends an attempt that starts now.
+func (r *Result) recordStart(backend string) {
+	r.History = append(r.History, AttemptRecord{Backend: backend, StartedAt: clock.Now()})
 }
 
-// recordEnd notes the end of the newest attempt at the backend.
+// recordEnd records the end of the latest attempt at the backend.
 func (r *Result) recordEnd(backend string, attempt Attempt) {
 	for position := len(r.History) - 1; position >= 0; position-- {
 		if record := &r.History[position]; record.Backend == backend {
 			record.Outcome, record.Status, record.Broken = attempt.Outcome, attempt.Response.Status, attempt.Broken
-			record.Took = clock.Since(record.Began)
+			record.Duration = clock.Since(record.StartedAt)
 			return
 		}
 	}
 }
 
-// recordPending notes for how long the attempts ran that have no end.
+// recordPending sets the durations of the attempts that have not ended.
 func (r *Result) recordPending() {
 	for position := range r.History {
 		if record := &r.History[position]; record.Outcome == 0 {
-			record.Took = clock.Since(record.Began)
+			record.Duration = clock.Since(record.StartedAt)
 		}
 	}
 }
 
 const (
-	// hedgeShare of the route's target is how long a repeatable request waits
-	// for an answer before another backend is asked as well.
-	hedgeShare = 0.5
-	minHedge   = 30 * time.Millisecond
-	// penalty is how long a backend that failed is avoided.
-	penalty     = 1500 * time.Millisecond
-	fullPenalty = 50 * time.Millisecond
-	// slowPenalty is how long a backend is avoided whose answer was not waited
-	// for, after slowFactor of its usual time.
+	// hedgeDelayFraction is the fraction of the route's target latency after which a repeatable
+	// request without a response is sent to a second backend.
+	hedgeDelayFraction = 0.5
+	minHedgeDelay      = 30 * time.Millisecond
+	// failurePenalty is how long a backend is avoided after a failure, and refusalPenalty after a
+	// refusal.
+	failurePenalty = 1500 * time.Millisecond
+	refusalPenalty = 50 * time.Millisecond
+	// slowPenalty is how long a backend is avoided after an attempt that was cancelled later than
+	// slowFactor times the backend's latency.
 	slowPenalty = 500 * time.Millisecond
 	slowFactor  = 4
-	// smoothing is the weight of the newest latency.
-	smoothing = 0.2
-	// mostUnreached is how many backends that cannot be reached do not count among a route's
-	// attempts: the request was not sent to them, and where several have ended at once it is
-	// served by one that has not. It bounds the time and the connections that are spent so.
-	mostUnreached = 3
-	// budgetShare of all requests may be hedged, and budgetBurst more at once.
-	budgetShare = 0.25
-	budgetBurst = 20
+	// latencySmoothing is the weight of the newest latency in a backend's average.
+	latencySmoothing = 0.2
+	// maxUnreachedAttempts is the number of attempts at unreachable backends that do not count towards
+	// the route's limit: the request was not sent, and another backend can still serve it. The limit
+	// bounds the time and the connections used this way.
+	maxUnreachedAttempts = 3
+	// hedgeBudgetFraction is the fraction of requests that may be hedged, and hedgeBudgetBurst the
+	// number of hedges that may be saved up.
+	hedgeBudgetFraction = 0.25
+	hedgeBudgetBurst    = 20
 )
 
-// Forwarder passes requests to backends. Its methods may be called concurrently.
+// Forwarder sends requests to backends. Its methods may be called concurrently.
 type Forwarder struct {
 	client Client
 	zone   string
 	guard  *quarantine.Guard
 
 	mutex sync.Mutex
-	// random spreads choices of equal worth.
+	// random breaks ties between equal backends.
 	random   *rand.Rand
 	backends map[string]*backendState
-	// usual holds the usual latency of each service's backends.
-	usual map[string]time.Duration
-	// telling holds the services whose backends tell their load.
-	telling map[string]*telling
-	// credits holds the smooth weighted round robin of each split route.
-	credits map[string][]float64
-	budget  float64
-	limits  limits
+	// averageLatency holds the average latency of each service's backends.
+	averageLatency map[string]time.Duration
+	// serviceLoads holds the load state of the services whose backends report their load.
+	serviceLoads map[string]*serviceLoadState
+	// credits holds the state of each split route's smooth weighted round robin.
+	credits          map[string][]float64
+	hedgeBudget      float64
+	admissionControl admissionControl
 }
 
-// New returns a forwarder of a process in the zone. The guard judges what may be sent.
+// New returns a forwarder for a process in the zone. The guard decides which requests are quarantined.
 func New(client Client, zone string, guard *quarantine.Guard) *Forwarder {
 	return &Forwarder{
-		client: client, zone: zone, guard: guard, backends: map[string]*backendState{}, usual: map[string]time.Duration{},
+		client: client, zone: zone, guard: guard, backends: map[string]*backendState{}, averageLatency: map[string]time.Duration{},
 		random:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		credits: map[string][]float64{}, budget: budgetBurst, telling: map[string]*telling{},
-		limits: limits{limiter: admission.AdmitAll{}, first: firstTries{routes: map[string]*deadlines{}}},
+		credits: map[string][]float64{}, hedgeBudget: hedgeBudgetBurst, serviceLoads: map[string]*serviceLoadState{},
+		admissionControl: admissionControl{limiter: admission.AdmitAll{}, retries: retryDetector{routes: map[string]*recentDeadlines{}}},
 	}
 }
 
-// run is one request on its way.
-type run struct {
+// exchange is one request that is being forwarded.
+type exchange struct {
 	forwarder *Forwarder
 	catalog   *directory.Catalog
 	route     routing.Route
@@ -260,115 +260,116 @@
 	services  []string
 	tried     map[string]bool
 	pending   int
-	// unreached counts the attempts that reached no backend.
-	unreached int
-	result    Result
-	attempts  chan attempted
-	// fallback is a backend's failure, which is passed on if nothing better comes.
-	fallback *attempted
-	clearance
+	// unreached counts the attempts that did not reach a backend.
+	unreached      int
+	result         Result
+	attemptResults chan attemptResult
+	// fallback is a backend's server error, which is returned if no better response comes.
+	fallback *attemptResult
+	quarantineCheck
 }
 
-type attempted struct {
+type attemptResult struct {
 	attempt Attempt
 	backend directory.Backend
 }
 
-// Do passes the request to the route's services. It returns when there is an
-// answer, or as soon as it is certain that none comes.
+// Do sends the request to the route's services. It returns once there is a response, or it is certain
+// that there will be none.
 func (f *Forwarder) Do(ctx context.Context, catalog *directory.Catalog, route routing.Route, request *Request) Result {
 	ctx, cancel := context.WithTimeout(ctx, request.remaining())
 	defer cancel()
-	services := f.order(route)
-	if decision := f.limits.admit(services, route, request); !decision.Admitted {
-		return refuseOverload(decision)
+	services := f.orderServices(route)
+	if decision := f.admissionControl.admit(services, route, request); !decision.Admitted {
+		return overloadedResult(decision)
 	}
-	r := &run{
+	e := &exchange{
 		forwarder: f, catalog: catalog, route: route, request: request, services: services,
-		tried: map[string]bool{}, attempts: make(chan attempted, max(route.Attempts, 1)+mostUnreached),
-		clearance: f.clear(ctx, catalog, services, request),
+		tried: map[string]bool{}, attemptResults: make(chan attemptResult, max(route.Attempts, 1)+maxUnreachedAttempts),
+		quarantineCheck: f.checkQuarantine(ctx, catalog, services, request),
 	}
-	result := r.do(ctx)
+	result := e.do(ctx)
 	result.recordPending()
 	return result
 }
 
-func (r *run) do(ctx context.Context) Result {
-	if !r.start(ctx) {
-		if r.request.remaining() <= 0 {
-			return r.end(Expired)
+func (e *exchange) do(ctx context.Context) Result {
+	if !e.startAttempt(ctx) {
+		if e.request.remaining() <= 0 {
+			return e.finish(Expired)
 		}
-		return r.end(r.unsent())
+		return e.finish(e.unsentReason())
 	}
-	hedge := time.NewTimer(r.hedgeDelay())
+	hedge := time.NewTimer(e.hedgeDelay())
 	defer hedge.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return r.endOfTime(ctx)
+			return e.finishCancelled(ctx)
 		case <-hedge.C:
-			if r.route.Kind == routing.Repeatable && r.mayHedge() && !r.isLimiting() && r.forwarder.spend() {
-				r.start(ctx)
+			if e.route.Kind == routing.Repeatable && e.mayHedge() && !e.isLimiting() && e.forwarder.spendHedgeBudget() {
+				e.startAttempt(ctx)
 			}
-			hedge.Reset(r.hedgeDelay())
-		case done := <-r.attempts:
-			if r.take(done) {
-				return r.result
+			hedge.Reset(e.hedgeDelay())
+		case done := <-e.attemptResults:
+			if e.handleResult(done) {
+				return e.result
 			}
 			if ctx.Err() != nil {
-				return r.endOfTime(ctx)
+				return e.finishCancelled(ctx)
 			}
-			if r.mayRepeat(done.attempt.Outcome) && !hasLeft(&r.clearance, done.attempt.Outcome) {
-				r.start(ctx)
+			if e.mayRetry(done.attempt.Outcome) && !isUnreachedSuspect(&e.quarantineCheck, done.attempt.Outcome) {
+				e.startAttempt(ctx)
 			}
-			if r.pending == 0 {
-				return r.end(r.reason(done.attempt.Outcome))
+			if e.pending == 0 {
+				return e.finish(e.failureReason(done.attempt.Outcome))
 			}
 		}
 	}
 }
 
-// reasonOf goes by the cause: a process that has no more time ends a request as its deadline does.
-func reasonOf(ctx context.Context) Reason {
+// cancellationReason uses the cause of the context: a process that shuts down ends a request the way
+// its deadline does.
+func cancellationReason(ctx context.Context) Reason {
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return Expired
 	}
 	return Abandoned
 }
 
-func (r *run) reason(last Outcome) Reason {
-	if r.request.remaining() <= 0 {
+func (e *exchange) failureReason(last Outcome) Reason {
+	if e.request.remaining() <= 0 {
 		return Expired
 	}
-	if r.result.MayHaveRun || last == Lost {
+	if e.result.MayHaveRun || last == Lost {
 		return NoAnswer
 	}
-	if reason := r.unsent(); reason != NoBackend {
+	if reason := e.unsentReason(); reason != NoBackend {
 		return reason
 	}
 	return Full
 }
 
-func (r *run) hedgeDelay() time.Duration {
-	return max(time.Duration(float64(r.route.TargetMillis)*hedgeShare)*time.Millisecond, minHedge)
+func (e *exchange) hedgeDelay() time.Duration {
+	return max(time.Duration(float64(e.route.TargetMillis)*hedgeDelayFraction)*time.Millisecond, minHedgeDelay)
 }
 
-// endOfTime ends a request whose context has ended, with an answer that is there already if
-// there is one.
-func (r *run) endOfTime(ctx context.Context) Result {
-	if r.takeReady() {
-		return r.result
+// finishCancelled finishes a request whose context has ended, with a response that is already
+// available if there is one.
+func (e *exchange) finishCancelled(ctx context.Context) Result {
+	if e.handleReadyResults() {
+		return e.result
 	}
-	return r.end(reasonOf(ctx))
+	return e.finish(cancellationReason(ctx))
 }
 
-// takeReady takes the attempts that have ended by now, and tells whether one of them ends
-// the request.
-func (r *run) takeReady() bool {
+// handleReadyResults handles the attempts that have already ended, and reports whether one of them
+// finishes the request.
+func (e *exchange) handleReadyResults() bool {
 	for {
 		select {
-		case done := <-r.attempts:
-			if r.take(done) {
+		case done := <-e.attemptResults:
+			if e.handleResult(done) {
 				return true
 			}
 		default:
@@ -377,74 +378,74 @@
 	}
 }
 
-// take notes an attempt's end and tells whether it ends the request.
-func (r *run) take(done attempted) bool {
-	r.pending--
-	r.result.recordEnd(done.backend.ID, done.attempt)
-	r.noteEnd(done.attempt.Outcome)
+// handleResult handles the end of an attempt, and reports whether it finishes the request.
+func (e *exchange) handleResult(done attemptResult) bool {
+	e.pending--
+	e.result.recordEnd(done.backend.ID, done.attempt)
+	e.recordOutcome(done.attempt.Outcome)
 	switch done.attempt.Outcome {
 	case NotSent:
-		r.unreached++
+		e.unreached++
 	case Answered:
-		r.result.MayHaveRun = true
-		if r.route.Kind == routing.Repeatable && done.attempt.Response.Status >= http.StatusInternalServerError {
-			r.fallback = &done
-			r.result.Failures++
+		e.result.MayHaveRun = true
+		if e.route.Kind == routing.Repeatable && done.attempt.Response.Status >= http.StatusInternalServerError {
+			e.fallback = &done
+			e.result.Failures++
 			return false
 		}
-		r.answer(done)
+		e.setResponse(done)
 		return true
 	case Lost:
-		r.result.MayHaveRun = true
+		e.result.MayHaveRun = true
 	}
 	return false
 }
 
-func (r *run) answer(done attempted) {
+func (e *exchange) setResponse(done attemptResult) {
 	response := done.attempt.Response
-	r.result.Response, r.result.Backend, r.result.Service = &response, done.backend.ID, done.backend.Service
+	e.result.Response, e.result.Backend, e.result.Service = &response, done.backend.ID, done.backend.Service
 }
 
-func (r *run) end(reason Reason) Result {
-	if r.pending > 0 {
-		r.result.MayHaveRun = true
+func (e *exchange) finish(reason Reason) Result {
+	if e.pending > 0 {
+		e.result.MayHaveRun = true
 	}
-	if r.fallback != nil && reason != Abandoned {
-		r.answer(*r.fallback)
-		return r.result
+	if e.fallback != nil && reason != Abandoned {
+		e.setResponse(*e.fallback)
+		return e.result
 	}
-	r.result.Reason = reason
+	e.result.Reason = reason
 	if reason == Full {
-		r.result.RetryAfter = r.retryAfter()
+		e.result.RetryAfter = e.retryAfter()
 	}
-	return r.result
+	return e.result
 }
 
-// start sends the request to one more backend, and tells whether there is one.
-func (r *run) start(ctx context.Context) bool {
-	if r.result.Attempts-min(r.unreached, mostUnreached) >= max(r.route.Attempts, 1) || r.request.remaining() <= 0 || !r.mayStart() {
+// startAttempt sends the request to another backend, and reports whether there was one.
+func (e *exchange) startAttempt(ctx context.Context) bool {
+	if e.result.Attempts-min(e.unreached, maxUnreachedAttempts) >= max(e.route.Attempts, 1) || e.request.remaining() <= 0 || !e.mayStart() {
 		return false
 	}
-	backend, ok := r.forwarder.pick(&r.clearance, r.catalog, r.services, r.tried)
+	backend, ok := e.forwarder.chooseForAttempt(&e.quarantineCheck, e.catalog, e.services, e.tried)
 	if !ok {
 		return false
 	}
-	r.tried[backend.ID] = true
-	r.result.Attempts++
-	r.result.recordBegin(backend.ID)
-	r.pending++
-	verdict := r.verdict
+	e.tried[backend.ID] = true
+	e.result.Attempts++
+	e.result.recordStart(backend.ID)
+	e.pending++
+	verdict := e.verdict
 	go func() {
 		started := time.Now()
-		attempt := r.forwarder.client.Send(ctx, backend, r.request)
-		r.forwarder.learn(ctx, verdict, backend, r.request, attempt)
-		took := time.Since(started)
-		r.forwarder.note(backend, attempt, took, ctx.Err() != nil)
-		r.forwarder.limits.note(ctx, backend, attempt, took)
+		attempt := e.forwarder.client.Send(ctx, backend, e.request)
+		e.forwarder.updateGuard(ctx, verdict, backend, e.request, attempt)
+		latency := time.Since(started)
+		e.forwarder.recordAttempt(backend, attempt, latency, ctx.Err() != nil)
+		e.forwarder.admissionControl.observe(ctx, backend, attempt, latency)
 		if verdict.IsSuspect() {
-			r.forwarder.endSuspect(backend.ID)
+			e.forwarder.releaseSuspect(backend.ID)
 		}
-		r.attempts <- attempted{attempt: attempt, backend: backend}
+		e.attemptResults <- attemptResult{attempt: attempt, backend: backend}
 	}()
 	return true
 }
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -11,71 +11,70 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// LimitBy has the limiter decide about requests from now on. It is called before the first one.
-func (f *Forwarder) LimitBy(limiter admission.Limiter) { f.limits.limiter = limiter }
+// SetLimiter sets the limiter that admits requests. It must be called before the first request.
+func (f *Forwarder) SetLimiter(limiter admission.Limiter) { f.admissionControl.limiter = limiter }
 
-// limits asks and tells the limiter.
-type limits struct {
+// admissionControl queries the limiter and reports observations to it.
+type admissionControl struct {
 	limiter admission.Limiter
-	first   firstTries
+	retries retryDetector
 }
 
-// admit asks whether the request may be passed on to the first service of its route.
-func (l *limits) admit(services []string, route routing.Route, request *Request) admission.Decision {
+// admit decides whether the request may be sent to the first service of its route.
+func (a *admissionControl) admit(services []string, route routing.Route, request *Request) admission.Decision {
 	now, remaining := clock.Now(), request.remaining()
-	return l.limiter.Admit(now, admission.Request{
-		Service: services[0], Tenant: request.Tenant, Priority: request.Priority, IsRetry: l.first.isReturning(now, route.Key(), remaining),
+	return a.limiter.Admit(now, admission.Request{
+		Service: services[0], Tenant: request.Tenant, Priority: request.Priority, IsRetry: a.retries.isRetry(now, route.Key(), remaining),
 		Target: time.Duration(route.TargetMillis) * time.Millisecond, Remaining: remaining,
 	})
 }
 
-// note tells what an attempt has shown of its service. An attempt that was not waited for, and a
-// failure, show nothing of a queue.
-func (l *limits) note(ctx context.Context, backend directory.Backend, attempt Attempt, took time.Duration) {
-	seen := admission.Observation{
-		Service: backend.Service, Backend: backend.ID, Latency: took, Refused: attempt.Outcome == Refused,
-		Answered: attempt.Outcome == Answered && attempt.Response.Status < firstFailure,
+// observe reports an attempt to the limiter. A cancelled attempt or a failure shows nothing about a
+// queue.
+func (a *admissionControl) observe(ctx context.Context, backend directory.Backend, attempt Attempt, latency time.Duration) {
+	observation := admission.Observation{
+		Service: backend.Service, Backend: backend.ID, Latency: latency, Refused: attempt.Outcome == Refused,
+		Answered: attempt.Outcome == Answered && attempt.Response.Status < minServerErrorStatus,
 	}
-	if ctx.Err() != nil && !seen.Answered {
+	if ctx.Err() != nil && !observation.Answered {
 		return
 	}
 	if load := attempt.Load; load != nil {
-		seen.Waiting, seen.Slots = load.Waiting, load.Slots
+		observation.Waiting, observation.Slots = load.Waiting, load.Slots
 	}
-	l.limiter.Observe(clock.Now(), seen)
+	a.limiter.Observe(clock.Now(), observation)
 }
 
-// firstFailure is the lowest status of a backend that failed.
-const firstFailure = 500
+// minServerErrorStatus is the lowest HTTP status of a server error.
+const minServerErrorStatus = 500
 
-// isLimiting tells whether nothing is sent twice, since more is asked of the service than it can
-// serve in time.
-func (r *run) isLimiting() bool {
-	return r.forwarder.limits.limiter.IsLimiting(clock.Now(), r.services[0])
+// isLimiting reports whether requests must not be sent twice, since the service is overloaded.
+func (e *exchange) isLimiting() bool {
+	return e.forwarder.admissionControl.limiter.IsLimiting(clock.Now(), e.services[0])
 }
 
-// mayRepeat tells whether another backend may be asked after the outcome.
-func (r *run) mayRepeat(outcome Outcome) bool {
+// mayRetry reports whether another backend may be tried after the outcome.
+func (e *exchange) mayRetry(outcome Outcome) bool {
 	switch outcome {
 	case Refused:
-		return !r.isLimiting()
+		return !e.isLimiting()
 	case NotSent, Misdirected:
 		return true
 	default:
-		return r.route.Kind == routing.Repeatable
+		return e.route.Kind == routing.Repeatable
 	}
 }
 
-// retryAfter returns when a caller should come back whose request backends had no room for, 0 if
-// that is not known.
-func (r *run) retryAfter() time.Duration {
-	if !r.isLimiting() {
+// retryAfter returns how long the caller of a refused request should wait before a retry, 0 if that is
+// not known.
+func (e *exchange) retryAfter() time.Duration {
+	if !e.isLimiting() {
 		return 0
 	}
-	return admission.RetryAfter(r.request.remaining(), rand.Float64())
+	return admission.RetryAfter(e.request.remaining(), rand.Float64())
 }
 
-// refuseOverload ends a request that was not admitted.
-func refuseOverload(decision admission.Decision) Result {
+// overloadedResult returns the result of a request that was not admitted.
+func overloadedResult(decision admission.Decision) Result {
 	return Result{Reason: Overloaded, RetryAfter: decision.RetryAfter, Limit: decision}
 }
--- a/forward/load.go
+++ b/forward/load.go
@@ -1,10 +1,11 @@
 package forward
 
-// Load is what a backend tells of itself with an answer, as of the moment at which it wrote it.
+// Load is the load that a backend reports with a response, as of the time of writing it.
 type Load struct {
-	// Running and Waiting count the requests at the backend, and Slots those that it runs at once.
+	// Running and Waiting count the requests at the backend. Slots is the number that it runs at a
+	// time.
 	Running, Waiting, Slots int
-	// Slowdown is how long work takes there at this moment, in hundredths of the usual; 0 if it
-	// does not say.
+	// Slowdown is the current duration of work at the backend, in percent of the normal one; 0 if not
+	// reported.
 	Slowdown int
 }
--- a/forward/ready_test.go
+++ b/forward/ready_test.go
@@ -10,30 +10,29 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// held is a client whose answers do not come before the test ends.
-type held struct{ ended chan struct{} }
+// blockingClient is a client that does not answer before the test ends.
+type blockingClient struct{ release chan struct{} }
 
-func (h held) Send(context.Context, directory.Backend, *Request) Attempt {
-	<-h.ended
+func (c blockingClient) Send(context.Context, directory.Backend, *Request) Attempt {
+	<-c.release
 	return Attempt{Outcome: Lost}
 }
 
-// TestReadyAnswerIsDelivered: where a request's time is over and a backend's answer is there,
-// the answer is passed on, each time.
+// A response that is available when the request's context ends must always be returned.
 func TestReadyAnswerIsDelivered(t *testing.T) {
-	ended := make(chan struct{})
-	defer close(ended)
+	release := make(chan struct{})
+	defer close(release)
 	expired, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 100 {
-		r := &run{
-			forwarder: New(held{ended}, "z", noSuspects()), catalog: catalogOf(backend("a")), route: routing.Route{Kind: routing.Repeatable, Attempts: 2},
-			clearance: clearance{guard: noSuspects()},
-			request:   &Request{}, services: []string{"s"}, tried: map[string]bool{}, attempts: make(chan attempted, 2),
+		e := &exchange{
+			forwarder: New(blockingClient{release}, "z", newGuard()), catalog: newCatalog(newBackend("a")), route: routing.Route{Kind: routing.Repeatable, Attempts: 2},
+			quarantineCheck: quarantineCheck{guard: newGuard()},
+			request:         &Request{}, services: []string{"s"}, tried: map[string]bool{}, attemptResults: make(chan attemptResult, 2),
 		}
-		r.pending = 1
-		r.attempts <- attempted{attempt: Attempt{Outcome: Answered, Response: Response{Status: 200}}}
-		result := r.do(expired)
+		e.pending = 1
+		e.attemptResults <- attemptResult{attempt: Attempt{Outcome: Answered, Response: Response{Status: 200}}}
+		result := e.do(expired)
 		require.NotNil(t, result.Response)
 		require.Equal(t, 200, result.Response.Status)
 	}
--- a/forward/returning.go
+++ b/forward/returning.go
@@ -6,106 +6,108 @@
 	"time"
 )
 
-// firstTries tells requests that were refused before from first tries. Callers keep their deadline
-// when they come back, after waits of all lengths; first tries bring few different ones.
-type firstTries struct {
+// retryDetector detects callers' retries of refused requests by their remaining time. Callers keep
+// their deadline when they retry after waits of different lengths, while first attempts come with few
+// different remaining times.
+type retryDetector struct {
 	mutex  sync.Mutex
-	routes map[string]*deadlines
+	routes map[string]*recentDeadlines
 }
 
-// deadlines are the remaining times that a route's requests have come with most of late.
-type deadlines struct {
-	counts [keptDeadlines]deadlineCount
-	total  float64
-	at     time.Time
+// recentDeadlines counts the most frequent remaining times of a route's recent requests.
+type recentDeadlines struct {
+	counts    [maxTrackedDeadlines]deadlineCount
+	total     float64
+	updatedAt time.Time
 }
 
-// deadlineCount is a decayed number of requests.
+// deadlineCount is the number of requests with a remaining time, decayed exponentially.
 type deadlineCount struct {
 	steps  int64
-	number float64
+	weight float64
 }
 
 const (
-	// deadlineStep is the precision of a remaining time: some of it is used up on the way.
+	// deadlineStep is the resolution of remaining times: part of the time passes in transit.
 	deadlineStep = 5 * time.Millisecond
-	// keptDeadlines is enough for all that are frequent.
-	keptDeadlines = 16
-	// frequentShare of a route's requests have the remaining time of a first try at least. Of those
-	// that come back, whose waits are spread over many steps, hardly any step has as many.
-	frequentShare = 0.03
-	// deadlineLife is the time in which a request's weight falls to a third.
-	deadlineLife = 10 * time.Second
+	// maxTrackedDeadlines is large enough for all frequent remaining times.
+	maxTrackedDeadlines = 16
+	// frequentFraction is the minimum fraction of a route's requests that have the remaining time of a
+	// first attempt. Remaining times of retries are spread over many steps, hardly any of which is
+	// that frequent.
+	frequentFraction = 0.03
+	// deadlineDecayTime is the time constant of the exponential decay.
+	deadlineDecayTime = 10 * time.Second
 )
 
-// isReturning counts a request, and tells whether it has probably been refused before.
-func (f *firstTries) isReturning(now time.Time, route string, remaining time.Duration) bool {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	d := f.routes[route]
+// isRetry counts a request, and reports whether it is probably a retry.
+func (r *retryDetector) isRetry(now time.Time, route string, remaining time.Duration) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	d := r.routes[route]
 	if d == nil {
-		d = &deadlines{at: now}
-		f.routes[route] = d
+		d = &recentDeadlines{updatedAt: now}
+		r.routes[route] = d
 	}
 	d.decay(now)
 	steps := int64((remaining + deadlineStep - 1) / deadlineStep)
 	d.add(steps)
-	return d.isRare(steps) && d.longest() > steps
+	return d.isRare(steps) && d.longestFrequent() > steps
 }
 
-func (d *deadlines) decay(now time.Time) {
-	factor := math.Exp(-now.Sub(d.at).Seconds() / deadlineLife.Seconds())
-	d.at = now
+func (d *recentDeadlines) decay(now time.Time) {
+	factor := math.Exp(-now.Sub(d.updatedAt).Seconds() / deadlineDecayTime.Seconds())
+	d.updatedAt = now
 	d.total *= factor
 	for position := range d.counts {
-		d.counts[position].number *= factor
+		d.counts[position].weight *= factor
 	}
 }
 
-// add counts a request; the rarest remaining time makes room for a new one.
-func (d *deadlines) add(steps int64) {
+// add counts a request. A new remaining time replaces the rarest one.
+func (d *recentDeadlines) add(steps int64) {
 	d.total++
 	rarest := &d.counts[0]
 	for position := range d.counts {
 		c := &d.counts[position]
 		if c.steps == steps {
-			c.number++
+			c.weight++
 			return
 		}
-		if c.number < rarest.number {
+		if c.weight < rarest.weight {
 			rarest = c
 		}
 	}
-	*rarest = deadlineCount{steps: steps, number: 1}
+	*rarest = deadlineCount{steps: steps, weight: 1}
 }
 
-func (d *deadlines) isRare(steps int64) bool {
+func (d *recentDeadlines) isRare(steps int64) bool {
 	for _, c := range d.counts {
 		if c.steps == steps {
-			return c.number < frequentShare*d.total
+			return c.weight < frequentFraction*d.total
 		}
 	}
 	return true
 }
 
-// longest returns the longest of the frequent remaining times.
-func (d *deadlines) longest() int64 {
+// longestFrequent returns the longest of the frequent remaining times.
+func (d *recentDeadlines) longestFrequent() int64 {
 	longest := int64(0)
 	for _, c := range d.counts {
-		if c.number >= frequentShare*d.total {
+		if c.weight >= frequentFraction*d.total {
 			longest = max(longest, c.steps)
 		}
 	}
 	return longest
 }
 
-// forget drops the routes that have had no requests of late.
-func (f *firstTries) forget(now time.Time) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	for route, d := range f.routes {
-		if now.Sub(d.at) > deadlineLife {
-			delete(f.routes, route)
+// removeStale removes the routes without recent requests.
+func (r *retryDetector) removeStale(now time.Time) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for route, d := range r.routes {
+		if now.Sub(d.updatedAt) > deadlineDecayTime {
+			delete(r.routes, route)
 		}
 	}
 }
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -11,8 +11,8 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// Opened is the beginning of a backend's streamed answer.
-type Opened struct {
+// OpenedStream is the start of a backend's streamed response.
+type OpenedStream struct {
 	Outcome Outcome
 	Status  int
 	Header  http.Header
@@ -22,61 +22,60 @@
 	Broken bool
 }
 
-// StreamClient opens streams at backends. The client of a forwarder that is asked
-// for streams must be one.
+// StreamClient opens streams at backends. A forwarder's client must implement it for Stream to be
+// called.
 type StreamClient interface {
-	// Open sends the request; after is the last event that is kept, or "".
-	Open(ctx context.Context, backend directory.Backend, request *Request, after string) Opened
+	// Open sends the request. after is the ID of the last event received, or "".
+	Open(ctx context.Context, backend directory.Backend, request *Request, after string) OpenedStream
 }
 
-// Sink takes a stream's answer.
+// Sink receives a stream's response.
 type Sink interface {
-	// Begin takes the status and header, once, before anything else.
+	// Begin receives the status and header. It is called once, before Write.
 	Begin(status int, header http.Header)
-	// Write takes bytes that are to be passed on at once.
+	// Write receives data that must be passed on at once.
 	Write(data []byte) (int, error)
 }
 
-// stallTimeout is how long a stream that may be resumed may stand still before
-// another backend is asked.
+// stallTimeout is how long a resumable stream may be idle before another backend is tried.
 const stallTimeout = 1200 * time.Millisecond
 
-// stream is one streamed request on its way.
+// stream is one streamed request that is being forwarded.
 type stream struct {
-	forwarder *Forwarder
-	request   *Request
-	route     routing.Route
-	sink      Sink
-	begun     bool
-	last      string
-	// unreached counts the attempts that reached no backend.
+	forwarder   *Forwarder
+	request     *Request
+	route       routing.Route
+	sink        Sink
+	headerSent  bool
+	lastEventID string
+	// unreached counts the attempts that did not reach a backend.
 	unreached int
 	result    Result
-	clearance
+	quarantineCheck
 }
 
-// Stream passes a request on whose answer is a stream of events. Events are
-// passed on as they arrive. A stream that may be resumed goes on at another
-// backend after its last whole event, under the head of its first one. If the
-// result has no Response, the caller must be told that the answer is not whole.
+// Stream forwards a request whose response is a stream of events. Events are passed on as they arrive.
+// A resumable stream that breaks is continued at another backend after its last complete event,
+// without another header. If the result has no Response, the caller must be told that the response is
+// incomplete.
 func (f *Forwarder) Stream(ctx context.Context, catalog *directory.Catalog, route routing.Route, request *Request, sink Sink) Result {
 	ctx, cancel := context.WithTimeout(ctx, request.remaining())
 	defer cancel()
-	services := f.order(route)
-	s := &stream{forwarder: f, request: request, route: route, sink: sink, clearance: f.clear(ctx, catalog, services, request)}
+	services := f.orderServices(route)
+	s := &stream{forwarder: f, request: request, route: route, sink: sink, quarantineCheck: f.checkQuarantine(ctx, catalog, services, request)}
 	tried := map[string]bool{}
-	for s.result.Attempts-min(s.unreached, mostUnreached) < max(route.Attempts, 1) && ctx.Err() == nil && request.remaining() > 0 {
+	for s.result.Attempts-min(s.unreached, maxUnreachedAttempts) < max(route.Attempts, 1) && ctx.Err() == nil && request.remaining() > 0 {
 		if !s.mayStart() {
-			return s.end(Quarantined)
+			return s.finish(Quarantined)
 		}
-		backend, ok := f.pick(&s.clearance, catalog, services, tried)
+		backend, ok := f.chooseForAttempt(&s.quarantineCheck, catalog, services, tried)
 		if !ok && route.Resumable && s.result.MayHaveRun {
-			// A stream that broke off may go on where it was before.
+			// A broken stream may be resumed at a backend that was tried before.
 			clear(tried)
-			backend, ok = f.pick(&s.clearance, catalog, services, tried)
+			backend, ok = f.chooseForAttempt(&s.quarantineCheck, catalog, services, tried)
 		}
 		if !ok {
-			return s.end(s.unsent())
+			return s.finish(s.unsentReason())
 		}
 		tried[backend.ID] = true
 		s.result.Attempts++
@@ -86,14 +85,14 @@
 	}
 	switch {
 	case ctx.Err() != nil:
-		return s.end(reasonOf(ctx))
+		return s.finish(cancellationReason(ctx))
 	case request.remaining() <= 0:
-		return s.end(Expired)
+		return s.finish(Expired)
 	}
-	return s.end(Full)
+	return s.finish(Full)
 }
 
-func (s *stream) end(reason Reason) Result {
+func (s *stream) finish(reason Reason) Result {
 	if reason != Expired && reason != Abandoned && s.result.MayHaveRun {
 		reason = NoAnswer
 	}
@@ -101,29 +100,29 @@
 	return s.result
 }
 
-// attempt asks one backend, and tells whether the request has ended.
+// attempt sends the request to one backend, and reports whether the request has ended.
 func (s *stream) attempt(parent context.Context, backend directory.Backend) bool {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	started := time.Now()
 	client, ok := s.forwarder.client.(StreamClient)
 	if !ok {
-		panic("forward: the client must be able to open streams")
+		panic("forward: client does not implement StreamClient")
 	}
-	s.result.recordBegin(backend.ID)
-	opened := client.Open(ctx, backend, s.request, s.last)
-	ended := Attempt{Outcome: opened.Outcome, Response: Response{Status: opened.Status}, Broken: opened.Broken}
-	if ended.Outcome == Answered {
-		ended.Outcome = s.pass(cancel, opened)
-		ended.Broken = ended.Outcome == Lost && ctx.Err() == nil
+	s.result.recordStart(backend.ID)
+	opened := client.Open(ctx, backend, s.request, s.lastEventID)
+	attempt := Attempt{Outcome: opened.Outcome, Response: Response{Status: opened.Status}, Broken: opened.Broken}
+	if attempt.Outcome == Answered {
+		attempt.Outcome = s.relay(cancel, opened)
+		attempt.Broken = attempt.Outcome == Lost && ctx.Err() == nil
 	}
-	outcome := ended.Outcome
-	s.result.recordEnd(backend.ID, ended)
-	s.noteEnd(outcome)
-	s.forwarder.learn(parent, s.verdict, backend, s.request, ended)
-	s.forwarder.note(backend, Attempt{Outcome: outcome}, time.Since(started), parent.Err() != nil)
+	outcome := attempt.Outcome
+	s.result.recordEnd(backend.ID, attempt)
+	s.recordOutcome(outcome)
+	s.forwarder.updateGuard(parent, s.verdict, backend, s.request, attempt)
+	s.forwarder.recordAttempt(backend, Attempt{Outcome: outcome}, time.Since(started), parent.Err() != nil)
 	if s.isSuspect() {
-		s.forwarder.endSuspect(backend.ID)
+		s.forwarder.releaseSuspect(backend.ID)
 	}
 	switch outcome {
 	case Answered, Lost:
@@ -135,41 +134,41 @@
 		s.result.Backend, s.result.Service = backend.ID, backend.Service
 		return true
 	}
-	if hasLeft(&s.clearance, outcome) {
-		s.end(Full)
+	if isUnreachedSuspect(&s.quarantineCheck, outcome) {
+		s.finish(Full)
 		return true
 	}
 	if outcome == Lost && !s.route.Resumable {
-		s.end(NoAnswer)
+		s.finish(NoAnswer)
 		return true
 	}
 	return false
 }
 
-// pass hands the answer on as it comes.
-func (s *stream) pass(cancel context.CancelFunc, opened Opened) Outcome {
+// relay copies the response to the sink as it arrives.
+func (s *stream) relay(cancel context.CancelFunc, opened OpenedStream) Outcome {
 	defer opened.Body.Close()
-	isStream := opened.Status == http.StatusOK
-	if s.begun && !isStream {
+	isEventStream := opened.Status == http.StatusOK
+	if s.headerSent && !isEventStream {
 		return Lost
 	}
-	if !s.begun {
+	if !s.headerSent {
 		s.sink.Begin(opened.Status, opened.Header)
-		s.begun = true
+		s.headerSent = true
 	}
-	if !isStream {
+	if !isEventStream {
 		if _, err := io.Copy(s.sink, opened.Body); err != nil {
 			return Lost
 		}
 		s.result.Response = &Response{Status: opened.Status}
 		return Answered
 	}
-	stall := time.AfterFunc(stallTimeout, func() {
+	stallTimer := time.AfterFunc(stallTimeout, func() {
 		if s.route.Resumable {
 			cancel()
 		}
 	})
-	defer stall.Stop()
+	defer stallTimer.Stop()
 	reader := NewEventReader(opened.Body)
 	for {
 		event, err := reader.Next()
@@ -180,12 +179,12 @@
 		if err != nil {
 			return Lost
 		}
-		stall.Reset(stallTimeout)
+		stallTimer.Reset(stallTimeout)
 		if _, err := s.sink.Write(event.Raw); err != nil {
 			return Lost
 		}
 		if id := event.ID(); id != "" {
-			s.last = id
+			s.lastEventID = id
 		}
 	}
 }
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -18,19 +18,19 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// streamer opens streams as a test wants.
-type streamer struct {
-	scripted
-	open   func(backend, after string) Opened
+// fakeStreamClient opens streams with the configured function.
+type fakeStreamClient struct {
+	fakeClient
+	open   func(backend, after string) OpenedStream
 	opened []string
 }
 
-func (s *streamer) Open(_ context.Context, backend directory.Backend, _ *Request, after string) Opened {
-	s.opened = append(s.opened, backend.ID+"@"+after)
-	return s.open(backend.ID, after)
+func (c *fakeStreamClient) Open(_ context.Context, backend directory.Backend, _ *Request, after string) OpenedStream {
+	c.opened = append(c.opened, backend.ID+"@"+after)
+	return c.open(backend.ID, after)
 }
 
-func events(from, to int) string {
+func eventText(from, to int) string {
 	text := ""
 	for number := from; number <= to; number++ {
 		text += fmt.Sprintf("id: %d\ndata: %d\n\n", number, number)
@@ -38,67 +38,66 @@
 	return text
 }
 
-func body(text string) Opened {
-	return Opened{Outcome: Answered, Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text))}
+func openedWith(text string) OpenedStream {
+	return OpenedStream{Outcome: Answered, Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text))}
 }
 
-// recorder is a sink that keeps what it gets.
-type recorder struct {
-	begun int
+// recordingSink records what is written to it.
+type recordingSink struct {
+	headers int
 	bytes.Buffer
 }
 
-func (r *recorder) Begin(int, http.Header) { r.begun++ }
+func (s *recordingSink) Begin(int, http.Header) { s.headers++ }
 
-func doStream(client *streamer, resumable bool, backends ...directory.Backend) (Result, *recorder) {
-	through := route(routing.Streaming, 3)
-	through.Resumable = resumable
-	sink := &recorder{}
-	result := New(client, "z", noSuspects()).Stream(context.Background(), catalogOf(backends...), through, &Request{Deadline: time.Now().Add(time.Minute)}, sink)
+func doStreamRequest(client *fakeStreamClient, resumable bool, backends ...directory.Backend) (Result, *recordingSink) {
+	route := newRoute(routing.Streaming, 3)
+	route.Resumable = resumable
+	sink := &recordingSink{}
+	result := New(client, "z", newGuard()).Stream(context.Background(), newCatalog(backends...), route, &Request{Deadline: time.Now().Add(time.Minute)}, sink)
 	return result, sink
 }
 
-// TestStreamGoesOnElsewhere: after a cut in the middle of an event the stream
-// goes on at another backend after its last whole event, under one head.
-func TestStreamGoesOnElsewhere(t *testing.T) {
-	client := &streamer{}
-	client.open = func(_, after string) Opened {
+// A stream that breaks within an event must be resumed at another backend after its last complete
+// event, with one header.
+func TestStreamResumesAtAnotherBackend(t *testing.T) {
+	client := &fakeStreamClient{}
+	client.open = func(_, after string) OpenedStream {
 		if after == "" {
-			return body(events(1, 2) + "id: 3\ndata: ha")
+			return openedWith(eventText(1, 2) + "id: 3\ndata: ha")
 		}
-		return body(events(3, 4))
+		return openedWith(eventText(3, 4))
 	}
-	result, sink := doStream(client, true, backend("a"), backend("b"))
+	result, sink := doStreamRequest(client, true, newBackend("a"), newBackend("b"))
 	require.NotNil(t, result.Response)
-	require.Equal(t, events(1, 4), sink.String())
-	require.Equal(t, 1, sink.begun)
+	require.Equal(t, eventText(1, 4), sink.String())
+	require.Equal(t, 1, sink.headers)
 	require.Len(t, client.opened, 2)
 	require.True(t, strings.HasSuffix(client.opened[1], "@2"))
 }
 
-// TestCutStreamDoesNotLookComplete: a stream that must not be resumed ends as
-// not whole, and no other backend is asked.
+// A truncated stream that is not resumable must not be reported as complete nor sent again.
 func TestCutStreamDoesNotLookComplete(t *testing.T) {
-	client := &streamer{open: func(string, string) Opened { return body(events(1, 2) + "id: 3") }}
-	result, sink := doStream(client, false, backend("a"), backend("b"))
+	client := &fakeStreamClient{open: func(string, string) OpenedStream { return openedWith(eventText(1, 2) + "id: 3") }}
+	result, sink := doStreamRequest(client, false, newBackend("a"), newBackend("b"))
 	require.Nil(t, result.Response)
 	require.True(t, result.MayHaveRun)
-	require.Equal(t, events(1, 2), sink.String())
+	require.Equal(t, eventText(1, 2), sink.String())
 	require.Len(t, client.opened, 1)
 }
 
-// TestRefusedStreamGoesElsewhere: nothing has run, whatever the route allows.
+// A refused stream must be sent to another backend, resumable or not.
 func TestRefusedStreamGoesElsewhere(t *testing.T) {
-	client := &streamer{open: func(string, string) Opened { return Opened{Outcome: Refused} }}
-	result, sink := doStream(client, false, backend("a"), backend("b"))
+	client := &fakeStreamClient{open: func(string, string) OpenedStream { return OpenedStream{Outcome: Refused} }}
+	result, sink := doStreamRequest(client, false, newBackend("a"), newBackend("b"))
 	require.Nil(t, result.Response)
 	require.False(t, result.MayHaveRun)
-	require.Zero(t, sink.begun)
+	require.Zero(t, sink.headers)
 	require.Len(t, client.opened, 2)
 }
 
-// TestEventReader: whatever a stream is cut into, its whole events come out as
-// they went in, and only a stream that ends between events counts as ended.
+// Wherever a stream is truncated, its complete events must be returned unchanged, and io.EOF only
+// between events.
 func TestEventReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := ""
@@ -115,16 +114,16 @@
 		}
 		length := rapid.IntRange(0, len(text)).Draw(t, "length")
 		reader := NewEventReader(strings.NewReader(text[:length]))
-		whole := 0
+		complete := 0
 		for {
 			event, err := reader.Next()
 			if err != nil {
-				boundary := len(strings.Join(raws[:whole], ""))
+				boundary := len(strings.Join(raws[:complete], ""))
 				require.Equal(t, length == boundary, err == io.EOF)
 				break
 			}
-			require.Equal(t, raws[whole], string(event.Raw))
-			whole++
+			require.Equal(t, raws[complete], string(event.Raw))
+			complete++
 		}
 	})
 }
--- a/forward/suspects_bench_test.go
+++ b/forward/suspects_bench_test.go
@@ -9,11 +9,11 @@
 	"github.com/dillchute/dillchute/quarantine"
 )
 
-// benchBackends is the number of backends of one service.
+// benchBackends is the number of backends of the service.
 const benchBackends = 1000
 
-// BenchmarkChoose takes a backend of many beside so many suspects, for a request that is none
-// ("sound") and for one that is ("suspect").
+// BenchmarkChoose measures the choice of a backend for a normal request ("sound") and for a suspect,
+// depending on the number of suspects.
 func BenchmarkChoose(b *testing.B) {
 	for _, suspects := range []int{0, 100, 4096} {
 		delta := directory.Delta{Revision: 1, Full: true}
@@ -29,20 +29,20 @@
 			Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return catalog.Suspects },
 		}, time.Now)
 		forwarder := New(nil, "z", guard)
-		for name, suspect := range map[string]bool{"sound": false, "suspect": true} {
+		for name, isSuspect := range map[string]bool{"sound": false, "suspect": true} {
 			b.Run(fmt.Sprintf("%s-%d", name, suspects), func(b *testing.B) {
-				judged := &clearance{guard: guard}
-				if suspect {
-					judged.verdict.KnownCrashes = 1
+				check := &quarantineCheck{guard: guard}
+				if isSuspect {
+					check.verdict.KnownCrashes = 1
 				}
 				for b.Loop() {
-					backend, ok := forwarder.pick(judged, catalog, []string{"s"}, map[string]bool{})
+					backend, ok := forwarder.chooseForAttempt(check, catalog, []string{"s"}, map[string]bool{})
 					if !ok {
-						b.Fatal("there must be a backend")
+						b.Fatal("no backend chosen")
 					}
-					forwarder.note(backend, Attempt{Outcome: Answered}, time.Millisecond, false)
-					if suspect {
-						forwarder.endSuspect(backend.ID)
+					forwarder.recordAttempt(backend, Attempt{Outcome: Answered}, time.Millisecond, false)
+					if isSuspect {
+						forwarder.releaseSuspect(backend.ID)
 					}
 				}
 			})
--- a/forward/suspects_test.go
+++ b/forward/suspects_test.go
@@ -13,24 +13,24 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// fleet returns so many backends, b-0 and on, that end under each request.
-func fleet(backends int) (*mortal, []directory.Backend) {
-	client := mortalOf(true)
-	var listed []directory.Backend
-	for number := range backends {
+// newCrashingBackends returns backends b-0, b-1 and so on that crash with each request.
+func newCrashingBackends(count int) (*crashingClient, []directory.Backend) {
+	client := newCrashingClient(true)
+	var backends []directory.Backend
+	for number := range count {
 		id := fmt.Sprint("b-", number)
-		client.answers[id], client.ended[id] = broken, true
-		listed = append(listed, backend(id))
+		client.answers[id], client.crashed[id] = brokenConnection, true
+		backends = append(backends, newBackend(id))
 	}
-	return client, listed
+	return client, backends
 }
 
-// suspected returns a catalog of the backends in which the requests are suspects, under which
-// those with the IDs have ended, and a guard that goes by it.
-func suspected(backends []directory.Backend, ended []string, requests ...*Request) (*directory.Catalog, *quarantine.Guard) {
+// newSuspectCatalog returns a catalog in which the requests are suspects that have crashed the given
+// backends, and a guard that uses it.
+func newSuspectCatalog(backends []directory.Backend, crashed []string, requests ...*Request) (*directory.Catalog, *quarantine.Guard) {
 	delta := directory.Delta{Revision: 1, Full: true, Backends: backends}
 	for _, request := range requests {
-		delta.Suspects = append(delta.Suspects, quarantine.Suspect{Fingerprint: request.Content().Fingerprint(), Crashes: 1, Ended: ended})
+		delta.Suspects = append(delta.Suspects, quarantine.Suspect{Fingerprint: request.Content().Fingerprint(), Crashes: 1, Ended: crashed})
 	}
 	catalog := directory.NewCatalog().With(delta)
 	guard := quarantine.NewGuard(quarantine.SharedRecord{
@@ -43,131 +43,131 @@
 	return &Request{ID: "1", Target: target, Deadline: time.Now().Add(time.Minute)}
 }
 
-// TestLostAttemptIsNotRepeatedWhileTooManyAreAway: the request's second attempt would take a
-// second backend of four away. It is told at once, and one that comes later is not sent.
-func TestLostAttemptIsNotRepeatedWhileTooManyAreAway(t *testing.T) {
-	client, backends := fleet(4)
-	forwarder := New(client, "z", noSuspects())
+// A suspect must not be sent again, by a retry or a later request, if its second crash would make two
+// of four backends unavailable.
+func TestNoRetryWhileTooManyAreUnavailable(t *testing.T) {
+	client, backends := newCrashingBackends(4)
+	forwarder := New(client, "z", newGuard())
 	for range 3 {
-		forwarder.Do(context.Background(), catalogOf(backends...), route(routing.Repeatable, 3), deadlyRequest())
+		forwarder.Do(context.Background(), newCatalog(backends...), newRoute(routing.Repeatable, 3), crashingRequest())
 	}
-	require.Len(t, client.asked, 1)
-	result := forwarder.Do(context.Background(), catalogOf(backends...), route(routing.Repeatable, 3), deadlyRequest())
+	require.Len(t, client.calls, 1)
+	result := forwarder.Do(context.Background(), newCatalog(backends...), newRoute(routing.Repeatable, 3), crashingRequest())
 	require.Equal(t, Postponed, result.Reason)
 	require.False(t, result.MayHaveRun)
 }
 
-// TestSuspectsWaitWhileTooManyAreAway: as the directory has told. Others are served meanwhile,
-// and never at those that have ended; the suspect goes on once a backend is listed no more.
-func TestSuspectsWaitWhileTooManyAreAway(t *testing.T) {
-	client, backends := fleet(6)
+// Suspects must be postponed while the directory lists too many crashed backends. Other requests must
+// be served without those backends; the suspect is sent again once they are removed.
+func TestSuspectsArePostponedWhileTooManyAreUnavailable(t *testing.T) {
+	client, backends := newCrashingBackends(6)
 	for id := range client.answers {
-		client.answers[id] = status(200)
+		client.answers[id] = respondStatus(200)
 	}
-	ended := []string{"b-0", "b-1"}
-	catalog, guard := suspected(backends, ended, deadlyRequest())
+	crashed := []string{"b-0", "b-1"}
+	catalog, guard := newSuspectCatalog(backends, crashed, crashingRequest())
 	forwarder := New(client, "z", guard)
-	result := forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 3), deadlyRequest())
+	result := forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 3), crashingRequest())
 	require.Equal(t, Postponed, result.Reason)
-	require.Empty(t, client.asked)
+	require.Empty(t, client.calls)
 	for number := range 50 {
-		result = forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 3), requestTo(fmt.Sprint("/other/", number)))
+		result = forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 3), requestTo(fmt.Sprint("/other/", number)))
 		require.NotNil(t, result.Response)
-		require.NotContains(t, ended, result.Backend)
+		require.NotContains(t, crashed, result.Backend)
 	}
-	catalog, _ = suspected(backends[1:], ended, deadlyRequest())
-	result = forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 3), deadlyRequest())
-	require.Equal(t, Postponed, result.Reason, "one of five is a third at the most")
-	catalog, _ = suspected(backends[2:], ended, deadlyRequest())
-	result = forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 3), deadlyRequest())
+	catalog, _ = newSuspectCatalog(backends[1:], crashed, crashingRequest())
+	result = forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 3), crashingRequest())
+	require.Equal(t, Postponed, result.Reason, "b-1 is one of five backends, and one may be unavailable")
+	catalog, _ = newSuspectCatalog(backends[2:], crashed, crashingRequest())
+	result = forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 3), crashingRequest())
 	require.NotNil(t, result.Response)
 }
 
-// TestSuspectsOfAStreamWait: a suspect that is a stream is postponed like others.
-func TestSuspectsOfAStreamWait(t *testing.T) {
-	client, backends := fleet(3)
-	catalog, guard := suspected(backends, []string{"b-0"}, deadlyRequest())
+// A suspect that is a stream must be postponed as well.
+func TestSuspectStreamIsPostponed(t *testing.T) {
+	client, backends := newCrashingBackends(3)
+	catalog, guard := newSuspectCatalog(backends, []string{"b-0"}, crashingRequest())
 	forwarder := New(client, "z", guard)
-	result := forwarder.Stream(context.Background(), catalog, route(routing.Repeatable, 3), deadlyRequest(), nil)
+	result := forwarder.Stream(context.Background(), catalog, newRoute(routing.Repeatable, 3), crashingRequest(), nil)
 	require.Equal(t, Postponed, result.Reason)
-	require.Empty(t, client.asked)
+	require.Empty(t, client.calls)
 }
 
-// TestSuspectsRunAtFewBackends: however many suspects are under way at however many processes,
-// they run at no more backends than may be away.
+// However many suspects and processes there are, suspects must not run at more backends than may be
+// unavailable.
 func TestSuspectsRunAtFewBackends(t *testing.T) {
 	const suspects, processes = 20, 3
-	client, backends := fleet(9)
-	asked := make(chan string, suspects*processes)
-	for _, one := range backends {
-		client.answers[one.ID] = func(ctx context.Context) Attempt {
-			asked <- one.ID
-			return hang(ctx)
+	client, backends := newCrashingBackends(9)
+	started := make(chan string, suspects*processes)
+	for _, backend := range backends {
+		client.answers[backend.ID] = func(ctx context.Context) Attempt {
+			started <- backend.ID
+			return blockUntilCancelled(ctx)
 		}
 	}
 	var requests []*Request
 	for number := range suspects {
 		requests = append(requests, requestTo(fmt.Sprint("/suspect/", number)))
 	}
-	catalog, guard := suspected(backends, []string{"gone"}, requests...)
+	catalog, guard := newSuspectCatalog(backends, []string{"gone"}, requests...)
 	ctx, cancel := context.WithCancel(context.Background())
-	ends := make(chan Result, suspects*processes)
+	results := make(chan Result, suspects*processes)
 	for range processes {
 		forwarder := New(client, "z", guard)
 		for _, request := range requests {
-			go func() { ends <- forwarder.Do(ctx, catalog, route(routing.Repeatable, 3), request) }()
+			go func() { results <- forwarder.Do(ctx, catalog, newRoute(routing.Repeatable, 3), request) }()
 		}
 	}
-	wards := map[string]bool{}
+	used := map[string]bool{}
 	for range suspects * processes {
-		wards[<-asked] = true
+		used[<-started] = true
 	}
 	cancel()
 	for range suspects * processes {
-		<-ends
+		<-results
 	}
-	require.LessOrEqual(t, len(wards), quarantine.MaxUnavailable(len(backends)))
+	require.LessOrEqual(t, len(used), quarantine.MaxUnavailable(len(backends)))
 }
 
-// TestBackendsOfSuspectsAreLeft: a suspect that has ended leaves its ward to others.
-func TestBackendsOfSuspectsAreLeft(t *testing.T) {
-	client, backends := fleet(3)
+// The counts of a backend must be released when a suspect's attempt ends.
+func TestFinishedSuspectsReleaseBackends(t *testing.T) {
+	client, backends := newCrashingBackends(3)
 	for id := range client.answers {
-		client.answers[id] = outcome(Refused)
+		client.answers[id] = respondOutcome(Refused)
 	}
-	catalog, guard := suspected(backends, []string{"gone"}, deadlyRequest())
+	catalog, guard := newSuspectCatalog(backends, []string{"gone"}, crashingRequest())
 	forwarder := New(client, "z", guard)
 	for range 3 {
-		forwarder.Do(context.Background(), catalog, route(routing.Repeatable, 3), deadlyRequest())
+		forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 3), crashingRequest())
 	}
-	for _, one := range backends {
-		require.Zero(t, forwarder.state(one.ID).suspects)
-		require.Zero(t, forwarder.state(one.ID).inFlight)
+	for _, backend := range backends {
+		require.Zero(t, forwarder.state(backend.ID).suspects)
+		require.Zero(t, forwarder.state(backend.ID).inFlight)
 	}
 }
 
-// TestSuspectThatReachesNobodyAsksNoOther: the ward may have ended under another suspect that
-// nobody has told of.
-func TestSuspectThatReachesNobodyAsksNoOther(t *testing.T) {
-	_, backends := fleet(9)
-	client := &streamer{open: func(string, string) Opened { return Opened{Outcome: NotSent} }}
+// A suspect that does not reach a backend must not be retried: the backend may have crashed under
+// another suspect without a report yet.
+func TestUnreachedSuspectIsNotRetried(t *testing.T) {
+	_, backends := newCrashingBackends(9)
+	client := &fakeStreamClient{open: func(string, string) OpenedStream { return OpenedStream{Outcome: NotSent} }}
 	client.answers = map[string]func(context.Context) Attempt{}
-	for _, one := range backends {
-		client.answers[one.ID] = outcome(NotSent)
+	for _, backend := range backends {
+		client.answers[backend.ID] = respondOutcome(NotSent)
 	}
-	catalog, guard := suspected(backends, []string{"gone"}, deadlyRequest())
-	result := New(client, "z", guard).Do(context.Background(), catalog, route(routing.Repeatable, 3), deadlyRequest())
-	require.Len(t, client.asked, 1)
+	catalog, guard := newSuspectCatalog(backends, []string{"gone"}, crashingRequest())
+	result := New(client, "z", guard).Do(context.Background(), catalog, newRoute(routing.Repeatable, 3), crashingRequest())
+	require.Len(t, client.calls, 1)
 	require.False(t, result.MayHaveRun)
-	result = New(client, "z", guard).Stream(context.Background(), catalog, route(routing.Repeatable, 3), deadlyRequest(), &recorder{})
+	result = New(client, "z", guard).Stream(context.Background(), catalog, newRoute(routing.Repeatable, 3), crashingRequest(), &recordingSink{})
 	require.Len(t, client.opened, 1)
 	require.False(t, result.MayHaveRun)
 }
 
-// TestTrialIsNotTakenWhileTooManyAreAway: it is left to whoever can make it.
-func TestTrialIsNotTakenWhileTooManyAreAway(t *testing.T) {
-	client, backends := fleet(3)
-	fingerprint := deadlyRequest().Content().Fingerprint()
+// A process must not request a trial that it cannot send.
+func TestNoTrialWhileTooManyAreUnavailable(t *testing.T) {
+	client, backends := newCrashingBackends(3)
+	fingerprint := crashingRequest().Content().Fingerprint()
 	catalog := directory.NewCatalog().With(directory.Delta{Revision: 1, Full: true, Backends: backends, Suspects: []quarantine.Suspect{
 		{Fingerprint: fingerprint, Crashes: quarantine.CrashThreshold, Ended: []string{"b-0"}, Offered: true},
 	}})
@@ -179,7 +179,7 @@
 			return true
 		},
 	}, time.Now)
-	result := New(client, "z", guard).Do(context.Background(), catalog, route(routing.Repeatable, 3), deadlyRequest())
+	result := New(client, "z", guard).Do(context.Background(), catalog, newRoute(routing.Repeatable, 3), crashingRequest())
 	require.Equal(t, Quarantined, result.Reason)
 	require.Zero(t, trials)
 }
--- a/forward/suspension_test.go
+++ b/forward/suspension_test.go
@@ -12,48 +12,48 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// sleeper is a client under which the machine is suspended for longer than the request's time.
-type sleeper struct {
+// suspendingClient is a client that suspends the machine beyond the request's deadline in each call.
+type suspendingClient struct {
 	source *clock.Suspendable
-	asked  int
+	calls  int
 }
 
-func (s *sleeper) Send(context.Context, directory.Backend, *Request) Attempt {
-	s.asked++
-	s.source.Suspend(time.Hour)
+func (c *suspendingClient) Send(context.Context, directory.Backend, *Request) Attempt {
+	c.calls++
+	c.source.Suspend(time.Hour)
 	return Attempt{Outcome: Refused}
 }
 
-func (s *sleeper) Open(context.Context, directory.Backend, *Request, string) Opened {
-	s.asked++
-	s.source.Suspend(time.Hour)
-	return Opened{Outcome: Refused}
+func (c *suspendingClient) Open(context.Context, directory.Backend, *Request, string) OpenedStream {
+	c.calls++
+	c.source.Suspend(time.Hour)
+	return OpenedStream{Outcome: Refused}
 }
 
-// TestNoAttemptBeginsAfterTheDeadline: a request whose time passed while the machine was
-// suspended is not sent again, though its timer stood still.
+// A request whose deadline passed while the machine was suspended must not be sent again, although its
+// timer did not advance.
 func TestNoAttemptBeginsAfterTheDeadline(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
-	catalog := catalogOf(backend("a"), backend("b"), backend("c"))
+	catalog := newCatalog(newBackend("a"), newBackend("b"), newBackend("c"))
 	request := func() *Request { return &Request{ID: "1", Deadline: clock.Now().Add(time.Minute)} }
 
-	client := &sleeper{source: source}
-	result := New(client, "z", noSuspects()).Do(context.Background(), catalog, route(routing.Repeatable, 3), request())
-	require.Equal(t, 1, client.asked)
+	client := &suspendingClient{source: source}
+	result := New(client, "z", newGuard()).Do(context.Background(), catalog, newRoute(routing.Repeatable, 3), request())
+	require.Equal(t, 1, client.calls)
 	require.Equal(t, Expired, result.Reason)
 	require.False(t, result.MayHaveRun)
 
-	client = &sleeper{source: source}
-	through := route(routing.Streaming, 3)
-	result = New(client, "z", noSuspects()).Stream(context.Background(), catalog, through, request(), &recorder{})
-	require.Equal(t, 1, client.asked)
+	client = &suspendingClient{source: source}
+	route := newRoute(routing.Streaming, 3)
+	result = New(client, "z", newGuard()).Stream(context.Background(), catalog, route, request(), &recordingSink{})
+	require.Equal(t, 1, client.calls)
 	require.Equal(t, Expired, result.Reason)
 
-	late := request()
+	expired := request()
 	source.Suspend(time.Hour)
-	client = &sleeper{source: source}
-	result = New(client, "z", noSuspects()).Do(context.Background(), catalog, route(routing.Repeatable, 3), late)
-	require.Zero(t, client.asked)
+	client = &suspendingClient{source: source}
+	result = New(client, "z", newGuard()).Do(context.Background(), catalog, newRoute(routing.Repeatable, 3), expired)
+	require.Zero(t, client.calls)
 	require.Equal(t, Expired, result.Reason)
 }
--- a/forward/told.go
+++ b/forward/told.go
@@ -6,164 +6,168 @@
 )
 
 const (
-	// newsLife is how long a report of a backend's load counts at all: by then the requests that it
-	// counted have ended, and others have come.
-	newsLife = 400 * time.Millisecond
-	// slowdownLife is how long a told slowdown counts at all: neighbours on a machine change many
-	// times a second.
-	slowdownLife = 300 * time.Millisecond
-	// mostNews is the weight of the newest report against what this process has seen itself. Many
-	// processes may have the same news, and what each has seen keeps them from all going to one.
-	mostNews = 0.5
-	// tellingLife is how long a service counts as one whose backends tell their load.
-	tellingLife = 10 * time.Second
-	// paceSmoothing is the weight of the newest request in a pace. Requests differ, and a pace
-	// tells only what lasts.
-	paceSmoothing = 0.05
-	// crowding is by how much a backend with all slots taken is slower to expect than an empty
-	// one: a report is old when it is used, and others send there as well.
-	crowding = 1.0
-	// nearlyFull is the part of a backend's slots from which on its pace is learnt apart.
-	nearlyFull = 0.75
-	// usualSlowdown is what a backend tells at which work takes as long as usual.
-	usualSlowdown = 100
+	// reportLifetime is how long a load report is used: after that, the requests that it counted have
+	// been replaced by others.
+	reportLifetime = 400 * time.Millisecond
+	// slowdownLifetime is how long a reported slowdown is used: the load of other workloads on a
+	// machine changes many times a second.
+	slowdownLifetime = 300 * time.Millisecond
+	// maxReportWeight is the weight of a new report relative to this process's own measurements. Many
+	// processes may have the same report; their own measurements keep them from all choosing one
+	// backend.
+	maxReportWeight = 0.5
+	// serviceLoadLifetime is how long a service is known to report load after its last report.
+	serviceLoadLifetime = 10 * time.Second
+	// baselineSmoothing is the weight of the newest request in a baseline latency. It is small, since
+	// requests differ.
+	baselineSmoothing = 0.05
+	// utilizationPenalty is the expected relative increase of the latency from an empty backend to one
+	// with all slots in use: reports are old when they are used, and other processes send requests as
+	// well.
+	utilizationPenalty = 1.0
+	// nearlyFullOccupancy is the occupancy from which on a separate baseline latency is kept.
+	nearlyFullOccupancy = 0.75
+	// normalSlowdown is the reported slowdown of a backend at normal speed.
+	normalSlowdown = 100
 )
 
-// report is the newest that a backend has told of its load.
-type report struct {
+// loadReport is the latest load report of a backend.
+type loadReport struct {
 	Load
 	at time.Time
-	// sent counts the requests that this process has sent since.
+	// sent counts the requests that this process has sent to the backend since the report.
 	sent int
 }
 
 // String returns the report for logs.
-func (r *report) String() string {
+func (r *loadReport) String() string {
 	return fmt.Sprintf("running=%d waiting=%d slots=%d slowdown=%d sent=%d", r.Running, r.Waiting, r.Slots, r.Slowdown, r.sent)
 }
 
-// weight returns how much the report of that age counts against what this process has seen itself.
-func (r *report) weight(age time.Duration) float64 {
+// weight returns the weight of a report of the given age relative to this process's own measurements.
+func (r *loadReport) weight(age time.Duration) float64 {
 	if r.Slots == 0 {
 		return 0
 	}
-	return mostNews * fading(age, newsLife)
+	return maxReportWeight * freshness(age, reportLifetime)
 }
 
-// fading returns 1 for what is new, and 0 for what is as old as its life.
-func fading(age, life time.Duration) float64 {
-	if age >= life {
+// freshness returns 1 for a new value, falling linearly to 0 at the end of its lifetime.
+func freshness(age, lifetime time.Duration) float64 {
+	if age >= lifetime {
 		return 0
 	}
-	return 1 - float64(max(age, 0))/float64(life)
+	return 1 - float64(max(age, 0))/float64(lifetime)
 }
 
-// slowdown returns how long work takes at the backend, as a factor, by the report of that age.
-func (r *report) slowdown(age time.Duration) float64 {
+// slowdown returns the backend's slowdown as a factor, by a report of the given age.
+func (r *loadReport) slowdown(age time.Duration) float64 {
 	if r.Slowdown == 0 {
 		return 1
 	}
-	return 1 + (float64(r.Slowdown)/usualSlowdown-1)*fading(age, slowdownLife)
+	return 1 + (float64(r.Slowdown)/normalSlowdown-1)*freshness(age, slowdownLifetime)
 }
 
-// lasting returns what a request that ends now would have taken without the slowdown that is told.
-func (r *report) lasting(took time.Duration, now time.Time) time.Duration {
-	return time.Duration(float64(took) / r.slowdown(now.Sub(r.at)))
+// withoutSlowdown returns what the latency of a request that ends now would have been without the
+// reported slowdown.
+func (r *loadReport) withoutSlowdown(latency time.Duration, now time.Time) time.Duration {
+	return time.Duration(float64(latency) / r.slowdown(now.Sub(r.at)))
 }
 
-// occupancy returns the requests at the backend for each of its slots, with one more that comes
-// and those that this process has sent since and are under way.
-func (r *report) occupancy(inFlight int) float64 {
+// occupancy returns the number of requests per slot if one more is sent, including those in flight
+// that this process has sent since the report.
+func (r *loadReport) occupancy(inFlight int) float64 {
 	return float64(r.Running+r.Waiting+min(r.sent, inFlight)+1) / float64(r.Slots)
 }
 
-// wait returns how many times its pace a request takes at a backend with that many requests for
-// each slot, itself among them.
-func wait(occupancy float64) float64 {
-	taken := min(occupancy, 1)
-	return taken*taken*crowding + max(occupancy, 1)
+// latencyFactor returns the expected latency at the occupancy as a multiple of the baseline latency.
+func latencyFactor(occupancy float64) float64 {
+	utilization := min(occupancy, 1)
+	return utilization*utilization*utilizationPenalty + max(occupancy, 1)
 }
 
-// paces are the times of a backend's requests without its wait for a slot and the slowdown that was
-// told, while the backend has slots to spare and while it is nearly full. Each is 0 if not known.
-type paces struct {
-	spare, full time.Duration
+// baselineLatencies are the latencies of a backend's requests without the wait for a slot and the
+// reported slowdown, at normal occupancy and when nearly full. Each is 0 if not known.
+type baselineLatencies struct {
+	normal, nearlyFull time.Duration
 }
 
-// of returns the pace at the occupancy, or the usual one of other backends.
-func (p paces) of(occupancy float64, usual time.Duration) time.Duration {
-	pace := p.spare
-	if pace == 0 || occupancy >= nearlyFull && p.full > 0 {
-		pace = p.full
+// at returns the baseline latency at the occupancy, or the fallback if none is known.
+func (b baselineLatencies) at(occupancy float64, fallback time.Duration) time.Duration {
+	baseline := b.normal
+	if baseline == 0 || occupancy >= nearlyFullOccupancy && b.nearlyFull > 0 {
+		baseline = b.nearlyFull
 	}
-	if pace == 0 {
-		pace = usual
+	if baseline == 0 {
+		baseline = fallback
 	}
-	return max(pace, leastMillis*time.Millisecond)
+	return max(baseline, minLatencyMillis*time.Millisecond)
 }
 
-// take takes the pace of a request in.
-func (p *paces) take(pace time.Duration, occupancy float64) {
-	if occupancy >= nearlyFull {
-		p.full = smoothed(p.full, pace, paceSmoothing)
+// record updates the baseline latency for the occupancy.
+func (b *baselineLatencies) record(baseline time.Duration, occupancy float64) {
+	if occupancy >= nearlyFullOccupancy {
+		b.nearlyFull = smoothed(b.nearlyFull, baseline, baselineSmoothing)
 		return
 	}
-	p.spare = smoothed(p.spare, pace, paceSmoothing)
+	b.normal = smoothed(b.normal, baseline, baselineSmoothing)
 }
 
-// expected returns how long a request that is sent to the backend will take by its report of that age.
-func (s *backendState) expected(age time.Duration) time.Duration {
-	occupancy := s.told.occupancy(s.inFlight)
-	pace := s.paces.of(occupancy, s.service.pace)
-	return time.Duration(float64(pace) * s.told.slowdown(age) * wait(occupancy))
+// expectedLatency returns the expected latency of a request that is sent to the backend now, by a
+// report of the given age.
+func (s *backendState) expectedLatency(age time.Duration) time.Duration {
+	occupancy := s.report.occupancy(s.inFlight)
+	baseline := s.baselines.at(occupancy, s.service.baseline)
+	return time.Duration(float64(baseline) * s.report.slowdown(age) * latencyFactor(occupancy))
 }
 
-// telling is what is known of a service whose backends tell their load.
-type telling struct {
-	at time.Time
-	// pace is the usual time of a request without its wait and the backend's slowdown.
-	pace time.Duration
+// serviceLoadState is the state of a service whose backends report their load.
+type serviceLoadState struct {
+	reportedAt time.Time
+	// baseline is the average latency of a request without the wait for a slot and the backend's
+	// slowdown.
+	baseline time.Duration
 }
 
-// counts tells whether the service's backends tell their load.
-func (t *telling) counts(now time.Time) bool {
-	return t != nil && now.Sub(t.at) < tellingLife
+// isFresh reports whether a backend of the service has reported its load recently.
+func (s *serviceLoadState) isFresh(now time.Time) bool {
+	return s != nil && now.Sub(s.reportedAt) < serviceLoadLifetime
 }
 
-// take takes in a backend's report that came now.
-func (t *telling) take(state *backendState, load Load, now time.Time) {
-	state.told, state.service = report{Load: load, at: now}, t
-	t.at = now
+// recordReport records a backend's load report.
+func (s *serviceLoadState) recordReport(state *backendState, load Load, now time.Time) {
+	state.report, state.service = loadReport{Load: load, at: now}, s
+	s.reportedAt = now
 }
 
-// paceOf returns the pace at which a request went that took so long, and at which occupancy. It
-// returns 0 if too little is known of the backend's load.
-func (s *backendState) paceOf(took time.Duration, now time.Time) (pace time.Duration, occupancy float64) {
-	if s.told.weight(now.Sub(s.told.at)) == 0 {
+// estimateBaseline returns the baseline latency that follows from a request's latency, and the
+// backend's occupancy. It returns 0 if there is no fresh load report.
+func (s *backendState) estimateBaseline(latency time.Duration, now time.Time) (baseline time.Duration, occupancy float64) {
+	if s.report.weight(now.Sub(s.report.at)) == 0 {
 		return 0, 0
 	}
-	occupancy = s.told.occupancy(s.inFlight)
-	return time.Duration(float64(s.told.lasting(took, now)) / wait(occupancy)), occupancy
+	occupancy = s.report.occupancy(s.inFlight)
+	return time.Duration(float64(s.report.withoutSlowdown(latency, now)) / latencyFactor(occupancy)), occupancy
 }
 
-// takePace takes in how long a request took that was answered.
-func (s *backendState) takePace(took time.Duration, now time.Time) {
-	pace, occupancy := s.paceOf(took, now)
-	if pace == 0 {
+// recordBaseline updates the baseline latencies with the latency of an answered request.
+func (s *backendState) recordBaseline(latency time.Duration, now time.Time) {
+	baseline, occupancy := s.estimateBaseline(latency, now)
+	if baseline == 0 {
 		return
 	}
-	if now.Sub(s.measuredAt) > latencyLife {
-		s.paces = paces{}
+	if now.Sub(s.measuredAt) > latencyLifetime {
+		s.baselines = baselineLatencies{}
 	}
-	s.paces.take(pace, occupancy)
-	s.service.pace = smoothed(s.service.pace, pace, usualSmoothing)
+	s.baselines.record(baseline, occupancy)
+	s.service.baseline = smoothed(s.service.baseline, baseline, averageSmoothing)
 }
 
-// takeLeast takes in how long a request had taken when its answer was no longer waited for, which
-// tells something only of a backend that is slower than it was.
-func (s *backendState) takeLeast(took time.Duration, now time.Time) {
-	pace, occupancy := s.paceOf(took, now)
-	if pace > 0 && pace > s.paces.of(occupancy, s.service.pace) {
-		s.paces.take(pace, occupancy)
+// recordLowerBound updates the baseline latency with the time after which a request was cancelled.
+// This is a lower bound, so it is only used if it exceeds the known baseline.
+func (s *backendState) recordLowerBound(latency time.Duration, now time.Time) {
+	baseline, occupancy := s.estimateBaseline(latency, now)
+	if baseline > 0 && baseline > s.baselines.at(occupancy, s.service.baseline) {
+		s.baselines.record(baseline, occupancy)
 	}
 }
--- a/forward/told_model_test.go
+++ b/forward/told_model_test.go
@@ -11,49 +11,53 @@
 	"github.com/dillchute/dillchute/directory"
 )
 
-// loadModel is a service and its callers in virtual time.
+// loadModel describes a service and its gateways for a simulation in virtual time.
 type loadModel struct {
 	gateways, backends int
-	// age is how old a gateway's news of each backend is; 0 stands for what its own answers tell.
-	age time.Duration
-	// told is unset where backends tell nothing.
-	told bool
-	// noisy is the share of the time in which a backend's neighbours slow it.
-	noisy float64
-	// capacity is the part of the service's capacity that is asked for.
-	capacity float64
-	// slow is how much longer work takes at the last backend from the middle on, 0 for no longer.
-	slow float64
-	seed uint64
+	// reportAge is the age of the gateways' load reports; 0 means that gateways have only the reports
+	// in their own responses.
+	reportAge time.Duration
+	// reportsLoad is unset if backends do not report their load.
+	reportsLoad bool
+	// slowedFraction is the fraction of the time in which a backend is slowed by other workloads on
+	// its machine.
+	slowedFraction float64
+	// utilization is the offered load as a fraction of the service's capacity.
+	utilization float64
+	// lastSlowdown is the factor by which the last backend slows down in the middle of the simulation,
+	// 0 for none.
+	lastSlowdown float64
+	seed         uint64
 }
 
 const (
-	modelSlots = 6
-	modelQueue = 24
-	modelWork  = 25 * time.Millisecond
-	modelNoise = 2.5
-	modelSpell = 150 * time.Millisecond
-	modelLasts = 20 * time.Second
-	modelWarm  = 5 * time.Second
-	modelAim   = 150 * time.Millisecond
+	modelSlots          = 6
+	modelQueue          = 24
+	modelWorkTime       = 25 * time.Millisecond
+	modelSlowdown       = 2.5
+	modelSlowdownPeriod = 150 * time.Millisecond
+	modelDuration       = 20 * time.Second
+	modelWarmup         = 5 * time.Second
+	modelLatencyTarget  = 150 * time.Millisecond
 )
 
-// modelSpeeds are the backends' times for the same work.
-var modelSpeeds = []float64{1.0, 1.0, 1.3}
+// modelWorkFactors are the relative durations of the same work at the backends.
+var modelWorkFactors = []float64{1.0, 1.0, 1.3}
 
-// loadOutcome is what became of a model's requests.
+// loadOutcome summarizes a simulation.
 type loadOutcome struct {
-	// busiest is the time for which the slots of the busiest backend were taken, over the mean.
-	busiest float64
-	p99     time.Duration
-	// inAim is the share that was answered in time, and failed the share that no backend took.
-	inAim, failed float64
-	sent          []int
+	// busiestRatio is the busy time of the busiest backend's slots relative to the mean.
+	busiestRatio float64
+	p99          time.Duration
+	// withinTarget is the fraction of requests answered within modelLatencyTarget, and failed the
+	// fraction that every backend refused.
+	withinTarget, failed float64
+	sent                 []int
 }
 
 // String returns the outcome as a line of a table.
 func (o loadOutcome) String() string {
-	return fmt.Sprintf("busiest/mean %.2f  p99 %4d ms  in aim %.3f  failed %.4f", o.busiest, o.p99.Milliseconds(), o.inAim, o.failed)
+	return fmt.Sprintf("busiest/mean %.2f  p99 %4d ms  within target %.3f  failed %.4f", o.busiestRatio, o.p99.Milliseconds(), o.withinTarget, o.failed)
 }
 
 type modelEvent struct {
@@ -73,189 +77,189 @@
 	return last
 }
 
-// modelBackend is a backend with slots and a queue.
+// modelBackend is a simulated backend with slots and a queue.
 type modelBackend struct {
-	speed, slowdown float64
-	running         int
-	queue           []func()
-	taken           time.Duration
-	requests        int
-	// history holds what the backend told, the oldest first.
-	history []toldThen
+	workFactor, slowdown float64
+	running              int
+	queue                []func()
+	busyTime             time.Duration
+	requests             int
+	// reports holds the backend's load reports, the oldest first.
+	reports []timedLoad
 }
 
-type toldThen struct {
+type timedLoad struct {
 	at   time.Duration
 	load Load
 }
 
-// play is a model under way.
-type play struct {
+// simulation is the state of a running simulation.
+type simulation struct {
 	loadModel
 	random     *rand.Rand
 	now        time.Duration
 	events     modelEvents
 	catalog    *directory.Catalog
-	list       []*modelBackend
+	states     []*modelBackend
 	ids        []string
 	forwarders []*Forwarder
-	// sentAt holds when each gateway sent its newest requests to each backend.
-	sentAt  [][][]time.Duration
-	latency []time.Duration
-	asked   int
-	refused int
+	// sentAt holds the times at which each gateway sent its latest requests to each backend.
+	sentAt    [][][]time.Duration
+	latencies []time.Duration
+	finished  int
+	rejected  int
 }
 
-// modelEpoch is the time at which models begin.
+// modelEpoch is the start time of simulations.
 var modelEpoch = time.Unix(1_000_000, 0)
 
-func (m loadModel) play() loadOutcome {
-	p := &play{loadModel: m, random: rand.New(rand.NewPCG(m.seed, 1))}
-	p.catalog = serviceOf(m.backends, func(int, *directory.Backend) {})
+func (m loadModel) simulate() loadOutcome {
+	s := &simulation{loadModel: m, random: rand.New(rand.NewPCG(m.seed, 1))}
+	s.catalog = newServiceCatalog(m.backends, func(int, *directory.Backend) {})
 	rate := 0.0
 	for number := range m.backends {
-		speed := modelSpeeds[number%len(modelSpeeds)]
-		p.ids = append(p.ids, fmt.Sprintf("b-%05d", number))
-		p.list = append(p.list, &modelBackend{speed: speed, slowdown: 1})
-		rate += modelSlots / (modelWork.Seconds() * speed * (1 + m.noisy*(modelNoise-1)))
-		p.record(number)
-		if m.noisy > 0 {
-			p.neighbours(number)
+		workFactor := modelWorkFactors[number%len(modelWorkFactors)]
+		s.ids = append(s.ids, fmt.Sprintf("b-%05d", number))
+		s.states = append(s.states, &modelBackend{workFactor: workFactor, slowdown: 1})
+		rate += modelSlots / (modelWorkTime.Seconds() * workFactor * (1 + m.slowedFraction*(modelSlowdown-1)))
+		s.recordReport(number)
+		if m.slowedFraction > 0 {
+			s.changeSlowdown(number)
 		}
 	}
 	for gateway := range m.gateways {
-		forwarder := New(nil, "z", noSuspects())
+		forwarder := New(nil, "z", newGuard())
 		forwarder.random = rand.New(rand.NewPCG(m.seed, uint64(gateway)+2))
-		p.forwarders = append(p.forwarders, forwarder)
-		p.sentAt = append(p.sentAt, make([][]time.Duration, m.backends))
+		s.forwarders = append(s.forwarders, forwarder)
+		s.sentAt = append(s.sentAt, make([][]time.Duration, m.backends))
 	}
-	if m.slow > 0 {
-		p.after(modelLasts/2, func() { p.list[m.backends-1].speed *= m.slow })
+	if m.lastSlowdown > 0 {
+		s.after(modelDuration/2, func() { s.states[m.backends-1].workFactor *= m.lastSlowdown })
 	}
-	p.arrivals(rate * m.capacity)
-	for len(p.events) > 0 {
-		event := heap.Pop(&p.events).(modelEvent)
-		p.now = event.at
+	s.scheduleArrivals(rate * m.utilization)
+	for len(s.events) > 0 {
+		event := heap.Pop(&s.events).(modelEvent)
+		s.now = event.at
 		event.run()
 	}
-	return p.outcome()
+	return s.outcome()
 }
 
-func (p *play) after(delay time.Duration, run func()) {
-	heap.Push(&p.events, modelEvent{p.now + delay, run})
+func (s *simulation) after(delay time.Duration, run func()) {
+	heap.Push(&s.events, modelEvent{s.now + delay, run})
 }
 
-func (p *play) exponential(mean time.Duration) time.Duration {
-	return time.Duration(p.random.ExpFloat64() * float64(mean))
+func (s *simulation) exponential(mean time.Duration) time.Duration {
+	return time.Duration(s.random.ExpFloat64() * float64(mean))
 }
 
-// neighbours slows a backend by turns.
-func (p *play) neighbours(number int) {
-	backend := p.list[number]
+// changeSlowdown sets a random slowdown of the backend and schedules the next change.
+func (s *simulation) changeSlowdown(number int) {
+	backend := s.states[number]
 	backend.slowdown = 1
-	if p.random.Float64() < p.noisy {
-		backend.slowdown = modelNoise
+	if s.random.Float64() < s.slowedFraction {
+		backend.slowdown = modelSlowdown
 	}
-	p.record(number)
-	if p.now < modelLasts {
-		p.after(p.exponential(modelSpell), func() { p.neighbours(number) })
+	s.recordReport(number)
+	if s.now < modelDuration {
+		s.after(s.exponential(modelSlowdownPeriod), func() { s.changeSlowdown(number) })
 	}
 }
 
-func (p *play) arrivals(perSecond float64) {
-	p.after(p.exponential(time.Duration(float64(time.Second)/perSecond)), func() {
-		if p.now >= modelLasts {
+func (s *simulation) scheduleArrivals(perSecond float64) {
+	s.after(s.exponential(time.Duration(float64(time.Second)/perSecond)), func() {
+		if s.now >= modelDuration {
 			return
 		}
-		p.request(p.random.IntN(p.gateways), map[string]bool{}, p.now)
-		p.arrivals(perSecond)
+		s.sendRequest(s.random.IntN(s.gateways), map[string]bool{}, s.now)
+		s.scheduleArrivals(perSecond)
 	})
 }
 
-// record keeps what a backend tells now.
-func (p *play) record(number int) {
-	backend := p.list[number]
+// recordReport appends the backend's current load to its reports.
+func (s *simulation) recordReport(number int) {
+	backend := s.states[number]
 	load := Load{Running: backend.running, Waiting: len(backend.queue), Slots: modelSlots, Slowdown: int(100 * backend.slowdown)}
-	backend.history = append(backend.history, toldThen{p.now, load})
+	backend.reports = append(backend.reports, timedLoad{s.now, load})
 }
 
-// inform gives a gateway its news of each backend.
-func (p *play) inform(gateway int) {
-	if !p.told || p.age == 0 {
+// deliverReports gives a gateway the reports of all backends with the configured age.
+func (s *simulation) deliverReports(gateway int) {
+	if !s.reportsLoad || s.reportAge == 0 {
 		return
 	}
-	then := p.now - p.age
-	f := p.forwarders[gateway]
-	for number, backend := range p.list {
-		place, _ := slices.BinarySearchFunc(backend.history, then, func(t toldThen, at time.Duration) int {
+	reportTime := s.now - s.reportAge
+	f := s.forwarders[gateway]
+	for number, backend := range s.states {
+		end, _ := slices.BinarySearchFunc(backend.reports, reportTime, func(t timedLoad, at time.Duration) int {
 			return int(t.at - at)
 		})
-		if place == 0 {
+		if end == 0 {
 			continue
 		}
-		since := p.sentAt[gateway][number]
-		first, _ := slices.BinarySearch(since, then)
-		p.sentAt[gateway][number] = since[first:]
-		state := f.state(p.ids[number])
-		if f.telling["s"] == nil {
-			f.telling["s"] = &telling{}
+		sentAt := s.sentAt[gateway][number]
+		first, _ := slices.BinarySearch(sentAt, reportTime)
+		s.sentAt[gateway][number] = sentAt[first:]
+		state := f.state(s.ids[number])
+		if f.serviceLoads["s"] == nil {
+			f.serviceLoads["s"] = &serviceLoadState{}
 		}
-		f.telling["s"].at = modelEpoch.Add(p.now)
-		state.service = f.telling["s"]
-		state.told = report{Load: backend.history[place-1].load, at: modelEpoch.Add(then), sent: len(since) - first}
+		f.serviceLoads["s"].reportedAt = modelEpoch.Add(s.now)
+		state.service = f.serviceLoads["s"]
+		state.report = loadReport{Load: backend.reports[end-1].load, at: modelEpoch.Add(reportTime), sent: len(sentAt) - first}
 	}
 }
 
-// request sends a request of a gateway to one more backend.
-func (p *play) request(gateway int, tried map[string]bool, began time.Duration) {
-	p.inform(gateway)
-	counted := p.now >= modelWarm
-	f := p.forwarders[gateway]
-	chosen, ok := f.chooseAt(p.catalog, []string{"s"}, tried, modelEpoch.Add(p.now))
+// sendRequest sends a gateway's request to an untried backend.
+func (s *simulation) sendRequest(gateway int, tried map[string]bool, start time.Duration) {
+	s.deliverReports(gateway)
+	measured := s.now >= modelWarmup
+	f := s.forwarders[gateway]
+	chosen, ok := f.chooseAt(s.catalog, []string{"s"}, tried, modelEpoch.Add(s.now))
 	if !ok {
-		if counted {
-			p.asked, p.refused = p.asked+1, p.refused+1
+		if measured {
+			s.finished, s.rejected = s.finished+1, s.rejected+1
 		}
 		return
 	}
 	tried[chosen.ID] = true
-	number := numberOf(chosen)
-	backend, sent := p.list[number], p.now
-	p.sentAt[gateway][number] = append(p.sentAt[gateway][number], sent)
-	tell := func() *Load {
-		p.record(number)
-		if !p.told || p.age > 0 {
+	number := backendNumber(chosen)
+	backend, sent := s.states[number], s.now
+	s.sentAt[gateway][number] = append(s.sentAt[gateway][number], sent)
+	newReport := func() *Load {
+		s.recordReport(number)
+		if !s.reportsLoad || s.reportAge > 0 {
 			return nil
 		}
-		load := backend.history[len(backend.history)-1].load
+		load := backend.reports[len(backend.reports)-1].load
 		return &load
 	}
 	if len(backend.queue) >= modelQueue {
-		f.noteAt(chosen, Attempt{Outcome: Refused, Load: tell()}, 0, false, modelEpoch.Add(p.now))
-		p.request(gateway, tried, began)
+		f.recordAttemptAt(chosen, Attempt{Outcome: Refused, Load: newReport()}, 0, false, modelEpoch.Add(s.now))
+		s.sendRequest(gateway, tried, start)
 		return
 	}
-	work := math.Exp(0.5*p.random.NormFloat64()-0.125) * float64(modelWork)
+	work := math.Exp(0.5*s.random.NormFloat64()-0.125) * float64(modelWorkTime)
 	run := func() {
 		backend.running++
-		lasts := time.Duration(work * backend.speed * backend.slowdown)
-		if counted {
-			backend.taken += lasts
+		duration := time.Duration(work * backend.workFactor * backend.slowdown)
+		if measured {
+			backend.busyTime += duration
 			backend.requests++
 		}
-		p.after(lasts, func() {
-			told := tell()
+		s.after(duration, func() {
+			report := newReport()
 			backend.running--
 			if len(backend.queue) > 0 {
 				next := backend.queue[0]
 				backend.queue = backend.queue[1:]
 				next()
 			}
-			p.record(number)
-			f.noteAt(chosen, Attempt{Outcome: Answered, Load: told}, p.now-sent, false, modelEpoch.Add(p.now))
-			if counted {
-				p.asked++
-				p.latency = append(p.latency, p.now-began)
+			s.recordReport(number)
+			f.recordAttemptAt(chosen, Attempt{Outcome: Answered, Load: report}, s.now-sent, false, modelEpoch.Add(s.now))
+			if measured {
+				s.finished++
+				s.latencies = append(s.latencies, s.now-start)
 			}
 		})
 	}
@@ -264,22 +268,22 @@
 	} else {
 		backend.queue = append(backend.queue, run)
 	}
-	p.record(number)
+	s.recordReport(number)
 }
 
-func (p *play) outcome() loadOutcome {
+func (s *simulation) outcome() loadOutcome {
 	var outcome loadOutcome
-	var total, most time.Duration
-	for _, backend := range p.list {
-		total += backend.taken
-		most = max(most, backend.taken)
+	var total, busiest time.Duration
+	for _, backend := range s.states {
+		total += backend.busyTime
+		busiest = max(busiest, backend.busyTime)
 		outcome.sent = append(outcome.sent, backend.requests)
 	}
-	outcome.busiest = float64(most) * float64(len(p.list)) / float64(total)
-	slices.Sort(p.latency)
-	outcome.p99 = p.latency[len(p.latency)*99/100]
-	within, _ := slices.BinarySearch(p.latency, modelAim)
-	outcome.inAim = float64(within) / float64(p.asked)
-	outcome.failed = float64(p.refused) / float64(p.asked)
+	outcome.busiestRatio = float64(busiest) * float64(len(s.states)) / float64(total)
+	slices.Sort(s.latencies)
+	outcome.p99 = s.latencies[len(s.latencies)*99/100]
+	within, _ := slices.BinarySearch(s.latencies, modelLatencyTarget)
+	outcome.withinTarget = float64(within) / float64(s.finished)
+	outcome.failed = float64(s.rejected) / float64(s.finished)
 	return outcome
 }
--- a/forward/told_test.go
+++ b/forward/told_test.go
@@ -13,7 +13,7 @@
 	"github.com/dillchute/dillchute/directory"
 )
 
-// costWithoutLoad is a backend's cost where nothing is told, as the product has always counted it.
+// costWithoutLoad is the reference implementation of the cost of a backend without load reports.
 func costWithoutLoad(f *Forwarder, backend directory.Backend, random *rand.Rand, now time.Time) float64 {
 	state := f.backends[backend.ID]
 	if state == nil {
@@ -21,7 +21,7 @@
 	}
 	latency := max(float64(state.latency.Milliseconds()), 10)
 	if state.latency == 0 || now.Sub(state.measuredAt) > time.Minute {
-		latency = max(float64(f.usual[backend.Service].Milliseconds()), 10) * 1.5
+		latency = max(float64(f.averageLatency[backend.Service].Milliseconds()), 10) * 1.5
 	}
 	cost := latency * float64(state.inFlight+1)
 	if backend.Zone != f.zone {
@@ -37,111 +37,111 @@
 	return cost
 }
 
-// TestChoiceWithoutLoadIsUnchanged: where no backend tells its load, each request goes to the
-// backend that was always the cheapest, by the same random draws.
+// Without load reports, each request must go to the backend with the lowest reference cost, with the
+// same number of random draws.
 func TestChoiceWithoutLoadIsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		count := rapid.IntRange(1, fewBackends).Draw(t, "backends")
+		count := rapid.IntRange(1, maxFullScan).Draw(t, "backends")
 		zones := rapid.SliceOfN(rapid.SampledFrom([]string{"z", "y"}), count, count).Draw(t, "zones")
-		catalog := serviceOf(count, func(number int, backend *directory.Backend) { backend.Zone = zones[number] })
+		catalog := newServiceCatalog(count, func(number int, backend *directory.Backend) { backend.Zone = zones[number] })
 		seed := rapid.Uint64().Draw(t, "seed")
-		own, same := rand.NewPCG(seed, 1), rand.NewPCG(seed, 1)
-		f, random := New(nil, "z", noSuspects()), rand.New(same)
-		f.random = rand.New(own)
+		forwarderSource, referenceSource := rand.NewPCG(seed, 1), rand.NewPCG(seed, 1)
+		f, random := New(nil, "z", newGuard()), rand.New(referenceSource)
+		f.random = rand.New(forwarderSource)
 		now := modelEpoch
 		var busy []directory.Backend
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 90_000).Draw(t, "pause")) * time.Millisecond)
 			if len(busy) > 0 && rapid.Bool().Draw(t, "end") {
 				outcome := rapid.SampledFrom([]Outcome{Answered, Refused, Lost, NotSent}).Draw(t, "outcome")
-				took := time.Duration(rapid.IntRange(1, 500).Draw(t, "took")) * time.Millisecond
-				f.noteAt(busy[0], Attempt{Outcome: outcome}, took, rapid.Bool().Draw(t, "cancelled"), now)
+				latency := time.Duration(rapid.IntRange(1, 500).Draw(t, "took")) * time.Millisecond
+				f.recordAttemptAt(busy[0], Attempt{Outcome: outcome}, latency, rapid.Bool().Draw(t, "cancelled"), now)
 				busy = busy[1:]
 				continue
 			}
-			want, least := "", 0.0
+			want, lowest := "", 0.0
 			for _, backend := range catalog.Backends("s") {
-				if cost := costWithoutLoad(f, *backend, random, now); want == "" || cost < least {
-					want, least = backend.ID, cost
+				if cost := costWithoutLoad(f, *backend, random, now); want == "" || cost < lowest {
+					want, lowest = backend.ID, cost
 				}
 			}
 			chosen, ok := f.chooseAt(catalog, []string{"s"}, nil, now)
 			require.True(t, ok)
 			require.Equal(t, want, chosen.ID)
-			require.Equal(t, *same, *own, "as many draws")
+			require.Equal(t, *referenceSource, *forwarderSource, "number of random draws")
 			busy = append(busy, chosen)
 		}
 	})
 }
 
-// loadCase is a service's load for TestLoadsInVirtualTime.
+// loadCase is a case of TestSimulatedLoads.
 type loadCase struct {
 	gateways, backends int
-	slow               float64
-	// mostP99 bounds the p99 with news of each age by that of the same choice without any.
-	mostP99 map[time.Duration]float64
-	// leastInAim bounds the share in aim while news is 5 ms old.
-	leastInAim float64
+	lastSlowdown       float64
+	// maxP99Ratio bounds the p99 latency for each report age, relative to that without reports.
+	maxP99Ratio map[time.Duration]float64
+	// minWithinTarget bounds the fraction within the target latency with reports 5 ms old.
+	minWithinTarget float64
 }
 
-// TestLoadsInVirtualTime: at 0.8 of a service's capacity, with backends of different speeds and
-// neighbours that slow them, many processes that all have the same news do not go to one backend
-// with it, and serve requests sooner than without; news too old to count changes nothing.
-func TestLoadsInVirtualTime(t *testing.T) {
-	const fresh, later, old = 5 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond
+// At 80 % utilization, with uneven and temporarily slowed backends, many gateways with the same load
+// reports must not overload one backend, and must reach lower latencies than without reports. Expired
+// reports must have no effect.
+func TestSimulatedLoads(t *testing.T) {
+	const recent, older, expired = 5 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond
 	cases := []loadCase{
-		{48, 4, 0, map[time.Duration]float64{0: 0.95, fresh: 0.65, later: 0.8, old: 1}, 0.995},
-		{48, 4, 2, map[time.Duration]float64{0: 0.9, fresh: 0.68, later: 0.82, old: 1}, 0.99},
-		{48, 12, 0, map[time.Duration]float64{0: 0.85, fresh: 0.65, later: 0.85, old: 1}, 0.995},
-		{835, 4, 0, map[time.Duration]float64{0: 1, fresh: 0.45, later: 0.6, old: 1}, 0.995},
-		{835, 12, 0, map[time.Duration]float64{0: 1.05, fresh: 0.45, later: 0.6, old: 1}, 0.995},
-		{835, 12, 2, map[time.Duration]float64{0: 1.05, fresh: 0.45, later: 0.62, old: 1}, 0.99},
+		{48, 4, 0, map[time.Duration]float64{0: 0.95, recent: 0.65, older: 0.8, expired: 1}, 0.995},
+		{48, 4, 2, map[time.Duration]float64{0: 0.9, recent: 0.68, older: 0.82, expired: 1}, 0.99},
+		{48, 12, 0, map[time.Duration]float64{0: 0.85, recent: 0.65, older: 0.85, expired: 1}, 0.995},
+		{835, 4, 0, map[time.Duration]float64{0: 1, recent: 0.45, older: 0.6, expired: 1}, 0.995},
+		{835, 12, 0, map[time.Duration]float64{0: 1.05, recent: 0.45, older: 0.6, expired: 1}, 0.995},
+		{835, 12, 2, map[time.Duration]float64{0: 1.05, recent: 0.45, older: 0.62, expired: 1}, 0.99},
 	}
 	for _, test := range cases {
-		t.Run(fmt.Sprintf("%d gateways, %d backends, slow %v", test.gateways, test.backends, test.slow), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d gateways, %d backends, slowdown %v", test.gateways, test.backends, test.lastSlowdown), func(t *testing.T) {
 			t.Parallel()
-			model := loadModel{gateways: test.gateways, backends: test.backends, slow: test.slow, noisy: 0.15, capacity: 0.8}
-			without := model.mean()
-			t.Log("nothing told", without)
-			for _, age := range []time.Duration{0, fresh, later, old} {
-				model.told, model.age = true, age
-				outcome := model.mean()
-				t.Log("news", age, outcome)
-				require.LessOrEqual(t, outcome.busiest, 1.25, outcome)
-				require.LessOrEqual(t, float64(outcome.p99), test.mostP99[age]*float64(without.p99), outcome)
-				require.LessOrEqual(t, outcome.failed, without.failed, outcome)
-				if age == fresh {
-					require.GreaterOrEqual(t, outcome.inAim, test.leastInAim, outcome)
+			model := loadModel{gateways: test.gateways, backends: test.backends, lastSlowdown: test.lastSlowdown, slowedFraction: 0.15, utilization: 0.8}
+			baseline := model.meanOutcome()
+			t.Log("without reports", baseline)
+			for _, age := range []time.Duration{0, recent, older, expired} {
+				model.reportsLoad, model.reportAge = true, age
+				outcome := model.meanOutcome()
+				t.Log("report age", age, outcome)
+				require.LessOrEqual(t, outcome.busiestRatio, 1.25, outcome)
+				require.LessOrEqual(t, float64(outcome.p99), test.maxP99Ratio[age]*float64(baseline.p99), outcome)
+				require.LessOrEqual(t, outcome.failed, baseline.failed, outcome)
+				if age == recent {
+					require.GreaterOrEqual(t, outcome.withinTarget, test.minWithinTarget, outcome)
 				}
 			}
 		})
 	}
 }
 
-// modelSeeds are those of the plays whose mean counts.
+// modelSeeds is the number of simulations that are averaged.
 const modelSeeds = 3
 
-// mean returns the mean of some plays.
-func (m loadModel) mean() loadOutcome {
+// meanOutcome returns the mean outcome of modelSeeds simulations.
+func (m loadModel) meanOutcome() loadOutcome {
 	var mean loadOutcome
 	for seed := range modelSeeds {
 		m.seed = uint64(seed) + 1
-		outcome := m.play()
-		mean.busiest += outcome.busiest / modelSeeds
+		outcome := m.simulate()
+		mean.busiestRatio += outcome.busiestRatio / modelSeeds
 		mean.p99 += outcome.p99 / modelSeeds
-		mean.inAim += outcome.inAim / modelSeeds
+		mean.withinTarget += outcome.withinTarget / modelSeeds
 		mean.failed += outcome.failed / modelSeeds
 	}
 	return mean
 }
 
-// toldBackend is how long a backend's requests take, and what it tells.
-type toldBackend struct {
-	took time.Duration
-	load Load
+// backendAnswer is the latency of a backend's requests and the load that it reports.
+type backendAnswer struct {
+	latency time.Duration
+	load    Load
 }
 
-func numberOf(backend directory.Backend) int {
+func backendNumber(backend directory.Backend) int {
 	number, err := strconv.Atoi(backend.ID[len("b-"):])
 	if err != nil {
 		panic(err)
@@ -149,303 +149,302 @@
 	return number
 }
 
-// informedForwarder returns a forwarder that has heard from three equal backends.
-func informedForwarder() (*Forwarder, *directory.Catalog, time.Time) {
-	f := New(nil, "z", noSuspects())
+// newInformedForwarder returns a forwarder with load reports and latencies of three equal backends.
+func newInformedForwarder() (*Forwarder, *directory.Catalog, time.Time) {
+	f := New(nil, "z", newGuard())
 	f.random = rand.New(rand.NewPCG(1, 2))
-	catalog := serviceOf(3, func(int, *directory.Backend) {})
+	catalog := newServiceCatalog(3, func(int, *directory.Backend) {})
 	now := modelEpoch
 	for range 30 {
 		for _, backend := range catalog.Backends("s") {
 			f.state(backend.ID).inFlight++
-			f.noteAt(*backend, Attempt{Outcome: Answered, Load: &Load{Running: 2, Slots: 6, Slowdown: 100}}, 25*time.Millisecond, false, now)
+			f.recordAttemptAt(*backend, Attempt{Outcome: Answered, Load: &Load{Running: 2, Slots: 6, Slowdown: 100}}, 25*time.Millisecond, false, now)
 		}
 		now = now.Add(time.Millisecond)
 	}
 	return f, catalog, now
 }
 
-// hearAll gives the forwarder a report and some requests of each backend.
-func hearAll(f *Forwarder, catalog *directory.Catalog, now time.Time, requests int, answer func(number int) toldBackend) {
+// recordAnswers records answers of each backend with the forwarder.
+func recordAnswers(f *Forwarder, catalog *directory.Catalog, now time.Time, requests int, answer func(number int) backendAnswer) {
 	for number, backend := range catalog.Backends("s") {
-		answered := answer(number)
+		reply := answer(number)
 		for range requests {
 			f.state(backend.ID).inFlight++
-			f.noteAt(*backend, Attempt{Outcome: Answered, Load: &answered.load}, answered.took, false, now)
+			f.recordAttemptAt(*backend, Attempt{Outcome: Answered, Load: &reply.load}, reply.latency, false, now)
 		}
 	}
 }
 
-// shares returns how many of 300 choices with the same knowledge each backend gets.
-func shares(f *Forwarder, catalog *directory.Catalog, now time.Time) []int {
-	got := make([]int, len(catalog.Backends("s")))
+// countChoices returns how many of 300 choices in the same state each backend gets.
+func countChoices(f *Forwarder, catalog *directory.Catalog, now time.Time) []int {
+	counts := make([]int, len(catalog.Backends("s")))
 	for range 300 {
 		chosen, _ := f.chooseAt(catalog, []string{"s"}, nil, now)
-		got[numberOf(chosen)]++
+		counts[backendNumber(chosen)]++
 		state := f.state(chosen.ID)
 		state.inFlight--
-		state.told.sent--
+		state.report.sent--
 	}
-	return got
+	return counts
 }
 
-// TestUnevenBackends: backend 0 differs from the other two in one way. The table says for how long
-// requests avoid it, and when they come back.
+// A backend that differs from the two others in speed or load must get fewer or more requests as long
+// as the difference lasts.
 func TestUnevenBackends(t *testing.T) {
-	calm, slowed := Load{Running: 2, Slots: 6, Slowdown: 100}, Load{Running: 2, Slots: 6, Slowdown: 250}
-	with := func(load Load, took time.Duration) func(int) toldBackend {
-		return func(number int) toldBackend {
+	normal, slowed := Load{Running: 2, Slots: 6, Slowdown: 100}, Load{Running: 2, Slots: 6, Slowdown: 250}
+	firstBackend := func(load Load, latency time.Duration) func(int) backendAnswer {
+		return func(number int) backendAnswer {
 			if number == 0 {
-				return toldBackend{took, load}
+				return backendAnswer{latency, load}
 			}
-			return toldBackend{25 * time.Millisecond, calm}
+			return backendAnswer{25 * time.Millisecond, normal}
 		}
 	}
 	tests := []struct {
 		name     string
-		answer   func(int) toldBackend
+		answer   func(int) backendAnswer
 		requests int
-		// after is how long after the reports the choices are made.
-		after       time.Duration
-		least, most int
+		// after is the time from the reports to the choices.
+		after              time.Duration
+		minCount, maxCount int
 	}{
-		{"equal", with(calm, 25*time.Millisecond), 1, time.Millisecond, 60, 140},
-		{"slower always: after one request it is one that took long", with(calm, 33*time.Millisecond), 1, time.Millisecond, 60, 140},
-		{"slower always: left after some requests", with(calm, 36*time.Millisecond), 60, time.Millisecond, 0, 5},
-		{"slow now: left with the next request", with(slowed, 62500*time.Microsecond), 1, time.Millisecond, 0, 5},
-		{"slow now: as before when the news is old", with(slowed, 62500*time.Microsecond), 1, slowdownLife + 50*time.Millisecond, 60, 140},
-		{"slow now: it does not count as slow always", with(slowed, 62500*time.Microsecond), 60, slowdownLife, 60, 140},
-		{"quicker now", with(Load{Running: 2, Slots: 6, Slowdown: 50}, 12*time.Millisecond), 1, time.Millisecond, 150, 300},
-		{"full", with(Load{Running: 6, Waiting: 6, Slots: 6, Slowdown: 100}, 55*time.Millisecond), 1, time.Millisecond, 0, 5},
-		{"nearly full, and as quick as ever", with(Load{Running: 5, Slots: 6, Slowdown: 100}, 33*time.Millisecond), 60, time.Millisecond, 0, 60},
-		{"empty", with(Load{Running: 0, Slots: 6, Slowdown: 100}, 25*time.Millisecond), 1, time.Millisecond, 100, 300},
-		{"it says no slowdown", with(Load{Running: 2, Slots: 6}, 25*time.Millisecond), 1, time.Millisecond, 60, 140},
+		{"equal", firstBackend(normal, 25*time.Millisecond), 1, time.Millisecond, 60, 140},
+		{"permanently slower, after one request", firstBackend(normal, 33*time.Millisecond), 1, time.Millisecond, 60, 140},
+		{"permanently slower, after many requests", firstBackend(normal, 36*time.Millisecond), 60, time.Millisecond, 0, 5},
+		{"temporarily slower", firstBackend(slowed, 62500*time.Microsecond), 1, time.Millisecond, 0, 5},
+		{"temporarily slower, slowdown expired", firstBackend(slowed, 62500*time.Microsecond), 1, slowdownLifetime + 50*time.Millisecond, 60, 140},
+		{"temporarily slower, after many requests, slowdown expired", firstBackend(slowed, 62500*time.Microsecond), 60, slowdownLifetime, 60, 140},
+		{"temporarily faster", firstBackend(Load{Running: 2, Slots: 6, Slowdown: 50}, 12*time.Millisecond), 1, time.Millisecond, 150, 300},
+		{"full", firstBackend(Load{Running: 6, Waiting: 6, Slots: 6, Slowdown: 100}, 55*time.Millisecond), 1, time.Millisecond, 0, 5},
+		{"nearly full, same baseline latency", firstBackend(Load{Running: 5, Slots: 6, Slowdown: 100}, 33*time.Millisecond), 60, time.Millisecond, 0, 60},
+		{"empty", firstBackend(Load{Running: 0, Slots: 6, Slowdown: 100}, 25*time.Millisecond), 1, time.Millisecond, 100, 300},
+		{"no slowdown reported", firstBackend(Load{Running: 2, Slots: 6}, 25*time.Millisecond), 1, time.Millisecond, 60, 140},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f, catalog, now := informedForwarder()
-			hearAll(f, catalog, now, test.requests, test.answer)
-			got := shares(f, catalog, now.Add(test.after))
-			require.GreaterOrEqual(t, got[0], test.least, got)
-			require.LessOrEqual(t, got[0], test.most, got)
+			f, catalog, now := newInformedForwarder()
+			recordAnswers(f, catalog, now, test.requests, test.answer)
+			counts := countChoices(f, catalog, now.Add(test.after))
+			require.GreaterOrEqual(t, counts[0], test.minCount, counts)
+			require.LessOrEqual(t, counts[0], test.maxCount, counts)
 		})
 	}
 }
 
-// TestReportsFade: a report counts half at most beside what the process has seen, less with each
-// millisecond, and nothing once it is old; a told slowdown is forgotten sooner.
-func TestReportsFade(t *testing.T) {
-	told := report{Load: Load{Running: 6, Waiting: 3, Slots: 6, Slowdown: 250}, at: modelEpoch, sent: 4}
+// The weight of a report must start at one half and fall to zero with age; a reported slowdown expires
+// sooner.
+func TestReportWeightDecays(t *testing.T) {
+	report := loadReport{Load: Load{Running: 6, Waiting: 3, Slots: 6, Slowdown: 250}, at: modelEpoch, sent: 4}
 	for _, test := range []struct {
 		age              time.Duration
 		weight, slowdown float64
 	}{
 		{-time.Millisecond, 0.5, 2.5},
 		{0, 0.5, 2.5},
-		{slowdownLife / 2, 0.5 * (1 - 150.0/400), 1.75},
-		{newsLife / 2, 0.25, 1.5},
-		{slowdownLife, 0.125, 1},
-		{newsLife, 0, 1},
+		{slowdownLifetime / 2, 0.5 * (1 - 150.0/400), 1.75},
+		{reportLifetime / 2, 0.25, 1.5},
+		{slowdownLifetime, 0.125, 1},
+		{reportLifetime, 0, 1},
 		{time.Hour, 0, 1},
 	} {
-		require.InDelta(t, test.weight, told.weight(test.age), 1e-9, test.age)
-		require.InDelta(t, test.slowdown, told.slowdown(test.age), 1e-9, test.age)
+		require.InDelta(t, test.weight, report.weight(test.age), 1e-9, test.age)
+		require.InDelta(t, test.slowdown, report.slowdown(test.age), 1e-9, test.age)
 	}
-	require.Zero(t, (&report{}).weight(0))
-	require.InDelta(t, 14.0/6, told.occupancy(9), 1e-9, "those that were sent since are there as well")
-	require.InDelta(t, 11.0/6, told.occupancy(1), 1e-9, "but no more of them than are under way")
-	require.Equal(t, "running=6 waiting=3 slots=6 slowdown=250 sent=4", told.String())
+	require.Zero(t, (&loadReport{}).weight(0))
+	require.InDelta(t, 14.0/6, report.occupancy(9), 1e-9, "includes requests sent since the report")
+	require.InDelta(t, 11.0/6, report.occupancy(1), 1e-9, "at most the requests in flight")
+	require.Equal(t, "running=6 waiting=3 slots=6 slowdown=250 sent=4", report.String())
 }
 
-// TestPaceOfRequests: a pace is what a request took without the wait for a slot and the slowdown; one
-// that was given up counts only if it says that the backend is slower than it was.
-func TestPaceOfRequests(t *testing.T) {
+// Baseline latencies must exclude the wait for a slot and the slowdown. Cancelled requests may only
+// raise them.
+func TestBaselineEstimates(t *testing.T) {
 	now := modelEpoch
-	state := &backendState{told: report{Load: Load{Running: 11, Slots: 6, Slowdown: 200}, at: now}, service: &telling{}, measuredAt: now}
-	const twoRounds = 2 + crowding
-	state.takePace(2*twoRounds*20*time.Millisecond, now)
-	require.Equal(t, 20*time.Millisecond, state.paces.full)
-	require.Equal(t, 20*time.Millisecond, state.service.pace)
-	require.InDelta(t, float64(2*twoRounds*20*time.Millisecond), float64(state.expected(0)), 1e3)
-	state.takeLeast(time.Millisecond, now)
-	require.Equal(t, 20*time.Millisecond, state.paces.full, "it was given up soon")
-	state.takeLeast(2*twoRounds*40*time.Millisecond, now)
-	require.Equal(t, 21*time.Millisecond, state.paces.full)
-	later := now.Add(latencyLife + time.Second)
-	state.takePace(time.Second, later)
-	require.Equal(t, 21*time.Millisecond, state.paces.full, "nothing is known of its load by then")
-	state.told.at = later
-	state.takePace(2*twoRounds*30*time.Millisecond, later)
-	require.Equal(t, 30*time.Millisecond, state.paces.full, "what was measured long before counts no more")
+	state := &backendState{report: loadReport{Load: Load{Running: 11, Slots: 6, Slowdown: 200}, at: now}, service: &serviceLoadState{}, measuredAt: now}
+	const twoRounds = 2 + utilizationPenalty
+	state.recordBaseline(2*twoRounds*20*time.Millisecond, now)
+	require.Equal(t, 20*time.Millisecond, state.baselines.nearlyFull)
+	require.Equal(t, 20*time.Millisecond, state.service.baseline)
+	require.InDelta(t, float64(2*twoRounds*20*time.Millisecond), float64(state.expectedLatency(0)), 1e3)
+	state.recordLowerBound(time.Millisecond, now)
+	require.Equal(t, 20*time.Millisecond, state.baselines.nearlyFull, "cancelled below the baseline latency")
+	state.recordLowerBound(2*twoRounds*40*time.Millisecond, now)
+	require.Equal(t, 21*time.Millisecond, state.baselines.nearlyFull)
+	later := now.Add(latencyLifetime + time.Second)
+	state.recordBaseline(time.Second, later)
+	require.Equal(t, 21*time.Millisecond, state.baselines.nearlyFull, "the load report has expired")
+	state.report.at = later
+	state.recordBaseline(2*twoRounds*30*time.Millisecond, later)
+	require.Equal(t, 30*time.Millisecond, state.baselines.nearlyFull, "the earlier baseline latency has expired")
 }
 
-// TestGivenUpAttemptTells: an attempt whose answer was no longer waited for makes its backend one that
-// is slower, and one that was given up at once changes nothing.
-func TestGivenUpAttemptTells(t *testing.T) {
-	f, catalog, now := informedForwarder()
+// A cancelled attempt must raise its backend's baseline latency if it exceeds it, and not change it
+// otherwise.
+func TestCancelledAttemptRaisesBaseline(t *testing.T) {
+	f, catalog, now := newInformedForwarder()
 	backend := *catalog.Backends("s")[0]
-	before := f.state(backend.ID).paces
+	before := f.state(backend.ID).baselines
 	for _, test := range []struct {
-		took  time.Duration
-		slows bool
+		latency        time.Duration
+		raisesBaseline bool
 	}{{time.Millisecond, false}, {time.Second, true}} {
 		f.state(backend.ID).inFlight++
-		f.noteAt(backend, Attempt{Outcome: Lost}, test.took, true, now)
-		require.Equal(t, test.slows, f.state(backend.ID).paces.spare > before.spare)
-		require.GreaterOrEqual(t, f.state(backend.ID).paces.spare, before.spare)
+		f.recordAttemptAt(backend, Attempt{Outcome: Lost}, test.latency, true, now)
+		require.Equal(t, test.raisesBaseline, f.state(backend.ID).baselines.normal > before.normal)
+		require.GreaterOrEqual(t, f.state(backend.ID).baselines.normal, before.normal)
 	}
 }
 
-// TestPaceByOccupancy: a backend's own pace at the occupancy counts, then its other one, then the
-// usual one of the service; none is told apart from the least that is measured.
-func TestPaceByOccupancy(t *testing.T) {
-	const usual, spare, full = 20 * time.Millisecond, 25 * time.Millisecond, 70 * time.Millisecond
+// The backend's baseline latency at the occupancy must be preferred to its other one, and that to the
+// fallback; minLatencyMillis is the lower bound.
+func TestBaselineByOccupancy(t *testing.T) {
+	const fallback, normal, nearlyFull = 20 * time.Millisecond, 25 * time.Millisecond, 70 * time.Millisecond
 	for _, test := range []struct {
-		paces     paces
+		baselines baselineLatencies
 		occupancy float64
 		want      time.Duration
 	}{
-		{paces{spare, full}, 0.5, spare},
-		{paces{spare, full}, nearlyFull, full},
-		{paces{spare, full}, 3, full},
-		{paces{spare: spare}, 3, spare},
-		{paces{full: full}, 0.5, full},
-		{paces{}, 0.5, usual},
-		{paces{}, 3, usual},
-		{paces{spare: time.Millisecond}, 0.5, leastMillis * time.Millisecond},
+		{baselineLatencies{normal, nearlyFull}, 0.5, normal},
+		{baselineLatencies{normal, nearlyFull}, nearlyFullOccupancy, nearlyFull},
+		{baselineLatencies{normal, nearlyFull}, 3, nearlyFull},
+		{baselineLatencies{normal: normal}, 3, normal},
+		{baselineLatencies{nearlyFull: nearlyFull}, 0.5, nearlyFull},
+		{baselineLatencies{}, 0.5, fallback},
+		{baselineLatencies{}, 3, fallback},
+		{baselineLatencies{normal: time.Millisecond}, 0.5, minLatencyMillis * time.Millisecond},
 	} {
-		require.Equal(t, test.want, test.paces.of(test.occupancy, usual), test)
+		require.Equal(t, test.want, test.baselines.at(test.occupancy, fallback), test)
 	}
-	var learnt paces
-	learnt.take(spare, 0.5)
-	learnt.take(full, nearlyFull)
-	require.Equal(t, paces{spare, full}, learnt)
+	var recorded baselineLatencies
+	recorded.record(normal, 0.5)
+	recorded.record(nearlyFull, nearlyFullOccupancy)
+	require.Equal(t, baselineLatencies{normal, nearlyFull}, recorded)
 }
 
-// TestToldLoadOfAnAnswer: a backend that answers counts that request among those that it runs, and one
-// that refuses does not; services whose backends tell nothing any more are forgotten.
-func TestToldLoadOfAnAnswer(t *testing.T) {
-	f, catalog := New(nil, "z", noSuspects()), serviceOf(1, func(int, *directory.Backend) {})
+// The load in an answer includes the answered request, which must not count as running; that in a
+// refusal does not. Services without recent reports must be removed.
+func TestAnsweredRequestIsNotCountedAsRunning(t *testing.T) {
+	f, catalog := New(nil, "z", newGuard()), newServiceCatalog(1, func(int, *directory.Backend) {})
 	for outcome, running := range map[Outcome]int{Answered: 2, Refused: 3} {
 		chosen, _ := f.chooseAt(catalog, []string{"s"}, nil, modelEpoch)
-		f.noteAt(chosen, Attempt{Outcome: outcome, Load: &Load{Running: 3, Slots: 6}}, usualAnswer, false, modelEpoch)
-		require.Equal(t, running, f.state(chosen.ID).told.Running, outcome)
+		f.recordAttemptAt(chosen, Attempt{Outcome: outcome, Load: &Load{Running: 3, Slots: 6}}, answerLatency, false, modelEpoch)
+		require.Equal(t, running, f.state(chosen.ID).report.Running, outcome)
 	}
-	f.forgetAt(catalog, modelEpoch.Add(tellingLife-1))
-	require.Len(t, f.telling, 1)
-	f.forgetAt(catalog, modelEpoch.Add(tellingLife))
-	require.Empty(t, f.telling)
+	f.forgetAt(catalog, modelEpoch.Add(serviceLoadLifetime-1))
+	require.Len(t, f.serviceLoads, 1)
+	f.forgetAt(catalog, modelEpoch.Add(serviceLoadLifetime))
+	require.Empty(t, f.serviceLoads)
 }
 
-// TestUnknownBackendWhileOthersAreFull: one that has not been asked is expected to take as long as a
-// request without a wait, and is asked while the others have waits; where nothing is told, or no more,
-// the others' usual time counts.
-func TestUnknownBackendWhileOthersAreFull(t *testing.T) {
-	f := New(nil, "z", noSuspects())
-	f.usual["s"] = 100 * time.Millisecond
-	require.Equal(t, 100*time.Millisecond, f.usualOf("s", modelEpoch))
-	f.telling["s"] = &telling{at: modelEpoch, pace: 30 * time.Millisecond}
-	require.Equal(t, 30*time.Millisecond, f.usualOf("s", modelEpoch))
-	require.Equal(t, 100*time.Millisecond, f.usualOf("s", modelEpoch.Add(tellingLife)))
+// For an unmeasured backend, the baseline latency of its service must be assumed while load reports
+// are fresh, and the average latency otherwise.
+func TestAssumedLatency(t *testing.T) {
+	f := New(nil, "z", newGuard())
+	f.averageLatency["s"] = 100 * time.Millisecond
+	require.Equal(t, 100*time.Millisecond, f.assumedLatency("s", modelEpoch))
+	f.serviceLoads["s"] = &serviceLoadState{reportedAt: modelEpoch, baseline: 30 * time.Millisecond}
+	require.Equal(t, 30*time.Millisecond, f.assumedLatency("s", modelEpoch))
+	require.Equal(t, 100*time.Millisecond, f.assumedLatency("s", modelEpoch.Add(serviceLoadLifetime)))
 }
 
-// TestSlowWhenNearlyFull: a backend that is slow when it is nearly full is left when it is, before its
-// slots are taken, and is one of three as soon as it tells that it is not.
-func TestSlowWhenNearlyFull(t *testing.T) {
-	calm, nearly := Load{Running: 2, Slots: 6, Slowdown: 100}, Load{Running: 5, Slots: 6, Slowdown: 100}
-	f, catalog, now := informedForwarder()
+// A backend that is slow when nearly full must be avoided before all its slots are taken, and used
+// again once its load has fallen.
+func TestBackendSlowWhenNearlyFullIsAvoided(t *testing.T) {
+	normal, nearlyFull := Load{Running: 2, Slots: 6, Slowdown: 100}, Load{Running: 5, Slots: 6, Slowdown: 100}
+	f, catalog, now := newInformedForwarder()
 	for range 40 {
 		now = now.Add(10 * time.Millisecond)
-		hearAll(f, catalog, now, 1, func(number int) toldBackend {
+		recordAnswers(f, catalog, now, 1, func(number int) backendAnswer {
 			if number == 0 {
-				return toldBackend{90 * time.Millisecond, nearly}
+				return backendAnswer{90 * time.Millisecond, nearlyFull}
 			}
-			return toldBackend{35 * time.Millisecond, nearly}
+			return backendAnswer{35 * time.Millisecond, nearlyFull}
 		})
 	}
-	got := shares(f, catalog, now.Add(time.Millisecond))
-	require.LessOrEqual(t, got[0], 5, "all are nearly full, and it is slow then: %v", got)
+	counts := countChoices(f, catalog, now.Add(time.Millisecond))
+	require.LessOrEqual(t, counts[0], 5, "all backends nearly full: %v", counts)
 	for range 20 {
 		now = now.Add(10 * time.Millisecond)
-		hearAll(f, catalog, now, 1, func(int) toldBackend { return toldBackend{25 * time.Millisecond, calm} })
+		recordAnswers(f, catalog, now, 1, func(int) backendAnswer { return backendAnswer{25 * time.Millisecond, normal} })
 	}
-	got = shares(f, catalog, now.Add(time.Millisecond))
-	require.InDelta(t, 100, got[0], 60, "none is nearly full: %v", got)
+	counts = countChoices(f, catalog, now.Add(time.Millisecond))
+	require.InDelta(t, 100, counts[0], 60, "no backend nearly full: %v", counts)
 }
 
-// TestNoBackendStarves: whatever backends tell, what is remembered is bounded by them and forgotten;
-// under load each of them is asked, also one that never tells anything.
+// Whatever backends report, state must stay bounded and expire, and under load each backend must be
+// used, including one that never reports its load.
 func TestNoBackendStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const backends, silent = 6, 5
-		f := New(nil, "z", noSuspects())
+		const backends, notReporting = 6, 5
+		f := New(nil, "z", newGuard())
 		f.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		catalog := serviceOf(backends, func(int, *directory.Backend) {})
+		catalog := newServiceCatalog(backends, func(int, *directory.Backend) {})
 		now := modelEpoch
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 600).Draw(t, "pause")) * time.Millisecond)
 			chosen, ok := f.chooseAt(catalog, []string{"s"}, nil, now)
 			require.True(t, ok)
 			attempt := Attempt{Outcome: rapid.SampledFrom([]Outcome{Answered, Refused, Lost}).Draw(t, "outcome")}
-			if numberOf(chosen) != silent && rapid.Bool().Draw(t, "tells") {
+			if backendNumber(chosen) != notReporting && rapid.Bool().Draw(t, "tells") {
 				attempt.Load = &Load{
 					Running: rapid.IntRange(0, 1<<20).Draw(t, "running"), Waiting: rapid.IntRange(0, 1<<20).Draw(t, "waiting"),
 					Slots: rapid.IntRange(1, 1<<20).Draw(t, "slots"), Slowdown: rapid.IntRange(0, 1<<20).Draw(t, "slowdown"),
 				}
 			}
-			f.noteAt(chosen, attempt, time.Duration(rapid.IntRange(0, 2000).Draw(t, "took"))*time.Millisecond, false, now)
+			f.recordAttemptAt(chosen, attempt, time.Duration(rapid.IntRange(0, 2000).Draw(t, "took"))*time.Millisecond, false, now)
 			require.Zero(t, f.state(chosen.ID).inFlight)
 		}
 		require.LessOrEqual(t, len(f.backends), backends)
-		require.LessOrEqual(t, len(f.telling), 1)
+		require.LessOrEqual(t, len(f.serviceLoads), 1)
 
-		now = now.Add(2 * latencyLife)
+		now = now.Add(2 * latencyLifetime)
 		f.forgetAt(catalog, now)
-		require.Empty(t, f.backends, "what is old is forgotten")
-		require.Empty(t, f.telling)
+		require.Empty(t, f.backends, "old state must be removed")
+		require.Empty(t, f.serviceLoads)
 		load := &Load{Running: 6, Waiting: 12, Slots: 6, Slowdown: 100}
-		asked := make([]int, backends)
-		var underWay []directory.Backend
+		counts := make([]int, backends)
+		var pending []directory.Backend
 		for range 200 * backends {
 			now = now.Add(time.Millisecond)
 			chosen, _ := f.chooseAt(catalog, []string{"s"}, nil, now)
-			asked[numberOf(chosen)]++
-			if underWay = append(underWay, chosen); len(underWay) <= 4*backends {
+			counts[backendNumber(chosen)]++
+			if pending = append(pending, chosen); len(pending) <= 4*backends {
 				continue
 			}
 			attempt := Attempt{Outcome: Answered, Load: load}
-			if numberOf(underWay[0]) == silent {
+			if backendNumber(pending[0]) == notReporting {
 				attempt.Load = nil
 			}
-			f.noteAt(underWay[0], attempt, 100*time.Millisecond, false, now)
-			underWay = underWay[1:]
+			f.recordAttemptAt(pending[0], attempt, 100*time.Millisecond, false, now)
+			pending = pending[1:]
 		}
 		for number := range backends {
-			require.GreaterOrEqual(t, asked[number], 20, asked)
+			require.GreaterOrEqual(t, counts[number], 20, counts)
 		}
 	})
 }
 
-// BenchmarkChooseAmongTold takes a backend for a request of a service with as many backends as are
-// all rated, which tell nothing, or their load.
-func BenchmarkChooseAmongTold(b *testing.B) {
-	for name, load := range map[string]*Load{"nothing told": nil, "load told": {Running: 2, Slots: 6, Slowdown: 120}} {
+// BenchmarkChooseWithLoadReports measures the choice in a service of maxFullScan backends with and
+// without load reports.
+func BenchmarkChooseWithLoadReports(b *testing.B) {
+	for name, load := range map[string]*Load{"without reports": nil, "with reports": {Running: 2, Slots: 6, Slowdown: 120}} {
 		b.Run(name, func(b *testing.B) {
-			catalog := serviceOf(fewBackends, func(int, *directory.Backend) {})
-			f := New(nil, "z", noSuspects())
-			hear := func(backend directory.Backend) {
-				f.noteAt(backend, Attempt{Outcome: Answered, Load: load}, usualAnswer, false, modelEpoch)
+			catalog := newServiceCatalog(maxFullScan, func(int, *directory.Backend) {})
+			f := New(nil, "z", newGuard())
+			recordAnswer := func(backend directory.Backend) {
+				f.recordAttemptAt(backend, Attempt{Outcome: Answered, Load: load}, answerLatency, false, modelEpoch)
 			}
 			for range 20 {
 				for _, backend := range catalog.Backends("s") {
 					f.state(backend.ID).inFlight++
-					hear(*backend)
+					recordAnswer(*backend)
 				}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				backend, _ := f.chooseAt(catalog, []string{"s"}, nil, modelEpoch)
-				hear(backend)
+				recordAnswer(backend)
 			}
 		})
 	}
--- a/server/current_client.go
+++ b/server/current_client.go
@@ -28,17 +28,17 @@
 }
 
 // Open implements forward.StreamClient.
-func (c *currentClient) Open(ctx context.Context, backend directory.Backend, request *forward.Request, after string) forward.Opened {
+func (c *currentClient) Open(ctx context.Context, backend directory.Backend, request *forward.Request, after string) forward.OpenedStream {
 	if c.hasLeft(ctx, backend) {
-		return forward.Opened{Outcome: forward.NotSent}
+		return forward.OpenedStream{Outcome: forward.NotSent}
 	}
 	return c.client.(forward.StreamClient).Open(ctx, backend, request, after)
 }
 
-// HasEnded implements forward.EndChecker.
-func (c *currentClient) HasEnded(ctx context.Context, backend directory.Backend) bool {
-	checker, ok := c.client.(forward.EndChecker)
-	return ok && checker.HasEnded(ctx, backend)
+// HasCrashed implements forward.CrashChecker.
+func (c *currentClient) HasCrashed(ctx context.Context, backend directory.Backend) bool {
+	checker, ok := c.client.(forward.CrashChecker)
+	return ok && checker.HasCrashed(ctx, backend)
 }
 
 // hasLeft tells whether the backend is draining or gone by now. A process that is out of touch
--- a/server/gateway.go
+++ b/server/gateway.go
@@ -77,7 +77,7 @@
 		metrics: newGatewayMetrics(), usage: newUsageTeller(settings.Name, watcher), startedAt: time.Now(),
 		limits: newGatewayLimits(logger),
 	}
-	gateway.forwarder.LimitBy(gateway.limits.limiter)
+	gateway.forwarder.SetLimiter(gateway.limits.limiter)
 	return gateway
 }
 
@@ -209,7 +209,7 @@
 			continue
 		}
 		line := event.AttemptEnded.On(g.logger).Str("request", request.ID).Str("backend", attempt.Backend).
-			Str("outcome", attempt.Outcome.String()).Uint("status", uint64(attempt.Status)).Int("ms", attempt.Took.Milliseconds())
+			Str("outcome", attempt.Outcome.String()).Uint("status", uint64(attempt.Status)).Int("ms", attempt.Duration.Milliseconds())
 		if attempt.Broken {
 			line.Str("broken_content", string(request.Content().Fingerprint()))
 		}
--- a/server/held_sample.go
+++ b/server/held_sample.go
@@ -40,7 +40,7 @@
 	}
 	verdict := t.guard.CheckSubject(task.Subject())
 	task.KindSuspected = verdict.KnownKindCrashes > 0
-	return verdict.IsSuspect() && t.forwarder.Spares(t.catalog, services)
+	return verdict.IsSuspect() && t.forwarder.PostponesSuspects(t.catalog, services)
 }
 
 // askForTrial asks for a trial, which is the sample's alone also if it is that of its kind.
--- a/server/ledger.go
+++ b/server/ledger.go
@@ -61,7 +61,7 @@
 	l.watcher.age.limit = settings.CopyLimit
 	l.metrics = newLedgerMetrics()
 	l.executor = newExecutor(settings, l.watcher, engines, backends, l.metrics, logger)
-	l.runs = runner.NewServer(&guardedEngine{engine: engines, guard: l.executor.guard, hasEnded: l.executor.forwarder.HasEnded}, logger)
+	l.runs = runner.NewServer(&guardedEngine{engine: engines, guard: l.executor.guard, hasEnded: l.executor.forwarder.HasCrashed}, logger)
 	return l
 }
 
--- a/server/quarantine_simulation_test.go
+++ b/server/quarantine_simulation_test.go
@@ -291,7 +291,7 @@
 // send sends a request to up to simAttempts backends, and calls done with whether it is served.
 func (s *simulation) send(g *simGateway, subject quarantine.Subject, left int, trial bool, done func(bool)) {
 	verdict := g.guard.CheckSubject(subject)
-	spared := forward.SuspectRoom(g.view, g.guard, simService) <= 0
+	spared := forward.MaxSuspectBackends(g.view, g.guard, simService) <= 0
 	if verdict.Quarantined && verdict.TrialOffered && !trial && !spared {
 		if trial = g.guard.TakeTrial(context.Background(), verdict.Fingerprint); trial {
 			left = 1
@@ -346,7 +346,7 @@
 // choose returns the backend for a request: for a suspect the first that is not away.
 func (s *simulation) choose(g *simGateway, suspect bool) *simBackend {
 	if suspect {
-		ends := forward.EndsKnown(g.view, g.guard)
+		ends := forward.KnownCrashedBackends(g.view, g.guard)
 		for _, b := range s.backends {
 			if !ends.Has(b.id) {
 				return b
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -170,7 +170,7 @@
 	callers := newCallerServer(gateway.closeConnections(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(begun)
 		<-gateway.work.Done()
-		gateway.usage.note("north", forward.Result{History: []forward.AttemptRecord{{Began: clock.Now()}}})
+		gateway.usage.note("north", forward.Result{History: []forward.AttemptRecord{{StartedAt: clock.Now()}}})
 	})))
 	serveHTTP(callers, served, &logger)
 	answer := make(chan error, 1)
--- a/server/usage_meter.go
+++ b/server/usage_meter.go
@@ -57,7 +57,7 @@
 	}
 	for _, attempt := range result.History {
 		if attempt.MayHaveRun() {
-			u.meter.Record(tenant, nowMillis()-clock.Since(attempt.Began).Milliseconds())
+			u.meter.Record(tenant, nowMillis()-clock.Since(attempt.StartedAt).Milliseconds())
 			return
 		}
 	}
