--- a/transport/dial.go
+++ b/transport/dial.go
@@ -11,26 +11,24 @@
 
 const (
 	dialTimeout = 700 * time.Millisecond
-	// unacknowledgedTimeout ends a connection whose peer acknowledges nothing:
-	// a machine without power, or behind a cut, sends no reset.
+	// unacknowledgedTimeout ends a connection whose peer acknowledges nothing: a machine that lost
+	// power or is partitioned sends no reset.
 	unacknowledgedTimeout = 1500 * time.Millisecond
-	// probeTime is how long a connection rests before the kernel asks its peer for a sign of
-	// life, and between two such questions. One that is not answered ends the connection once
-	// unacknowledgedTimeout is over.
-	probeTime       = time.Second
-	idleConnections = 64
-	idleTimeout     = 30 * time.Second
+	// keepAliveInterval is the idle time before the first keep-alive probe and between probes. An
+	// unanswered probe ends the connection after unacknowledgedTimeout.
+	keepAliveInterval   = time.Second
+	maxIdleConnsPerHost = 64
+	idleTimeout         = 30 * time.Second
 )
 
-// NewDialer returns a dialer whose connections end soon after their peer has
-// become unreachable.
+// NewDialer returns a dialer whose connections end soon after their peer becomes unreachable.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeTime, Interval: probeTime, Count: 2},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 2},
 		Control: func(_, _ string, connection syscall.RawConn) error {
 			return connection.Control(func(descriptor uintptr) {
-				// A platform without the option keeps its own time limit.
+				// Without the option, the platform's default timeout applies.
 				_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT,
 					int(unacknowledgedTimeout.Milliseconds()))
 			})
@@ -38,11 +36,11 @@
 	}
 }
 
-// NewHTTPTransport returns an HTTP client transport over such connections. It
-// asks for no compression and keeps idle connections for further calls.
+// NewHTTPTransport returns an HTTP client transport that uses NewDialer, requests no compression and
+// keeps idle connections for reuse.
 func NewHTTPTransport() *http.Transport {
 	return &http.Transport{
 		DialContext: NewDialer().DialContext, DisableCompression: true,
-		MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: idleTimeout,
 	}
 }
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -5,10 +5,10 @@
 	"io"
 )
 
-// lengthSize is the number of bytes of a frame's length, which stands before it.
-const lengthSize = 4
+// lengthPrefixBytes is the size of the length that precedes a frame.
+const lengthPrefixBytes = 4
 
-// WriteFrame writes the bytes with their length before them.
+// WriteFrame writes the data, preceded by its length.
 func WriteFrame(writer io.Writer, data []byte) error {
 	if _, err := writer.Write(binary.BigEndian.AppendUint32(nil, uint32(len(data)))); err != nil {
 		return err
@@ -17,18 +17,18 @@
 	return err
 }
 
-// ReadFrame reads what WriteFrame wrote. It returns io.EOF where the stream ends or
-// breaks off, and an ErrMalformed error for a frame of more than the most bytes.
-func ReadFrame(reader io.Reader, most uint32) ([]byte, error) {
-	var prefix [lengthSize]byte
+// ReadFrame reads a frame written by WriteFrame. It returns io.EOF if the stream ends or fails, and an
+// ErrMalformed error for a frame of more than maxBytes.
+func ReadFrame(reader io.Reader, maxBytes uint32) ([]byte, error) {
+	var prefix [lengthPrefixBytes]byte
 	if _, err := io.ReadFull(reader, prefix[:]); err != nil {
 		return nil, io.EOF
 	}
 	length := binary.BigEndian.Uint32(prefix[:])
-	if length > most {
-		return nil, ErrMalformed.New("a message of %d bytes", length)
+	if length > maxBytes {
+		return nil, ErrMalformed.New("message of %d bytes is too long", length)
 	}
-	// The buffer grows with what arrives, not with what the prefix claims.
+	// The buffer grows with the received data, not with the claimed length.
 	data, err := io.ReadAll(io.LimitReader(reader, int64(length)))
 	if err != nil || len(data) < int(length) {
 		return nil, io.EOF
--- a/transport/redial.go
+++ b/transport/redial.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// redialInterval is the time after which a connection that is not up yet is
-	// tried once more beside the first: a machine that has just got power loses
-	// what was sent before, and the kernel sends again only after a second.
+	// redialInterval is the time after which another dial is started beside those in progress. A
+	// machine that has just started loses earlier packets, and the kernel retransmits only after a
+	// second.
 	redialInterval = 120 * time.Millisecond
-	// maxDials bounds the attempts for one connection.
+	// maxDials is the maximum number of dials for one connection.
 	maxDials = 5
 )
 
-// dialFunc opens a connection, as net.Dialer's DialContext does.
+// dialFunc opens a connection like net.Dialer.DialContext.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialed is the end of one attempt.
-type dialed struct {
+// dialResult is the result of one dial.
+type dialResult struct {
 	connection net.Conn
 	err        error
 }
 
-// redialer opens connections by attempts that overlap. The first that succeeds
-// counts, and the others are closed.
+// redialer opens connections with overlapping dials. The first successful one is used, and the others
+// are closed.
 type redialer struct {
 	dial     dialFunc
 	interval time.Duration
 	timeout  time.Duration
 }
 
-// DialContext opens a connection. A peer that refuses is believed at once.
+// DialContext opens a connection. It fails at once if the peer refuses the connection.
 func (r redialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
-	results := make(chan dialed, maxDials)
+	results := make(chan dialResult, maxDials)
 	attempt := func() {
 		connection, err := r.dial(ctx, network, address)
-		results <- dialed{connection, err}
+		results <- dialResult{connection, err}
 	}
 	go attempt()
 	started, ended := 1, 0
@@ -58,27 +58,27 @@
 		case result := <-results:
 			ended++
 			if result.err == nil || errors.Is(result.err, syscall.ECONNREFUSED) || ended == started {
-				go closeAll(results, started-ended)
+				go closeLateConnections(results, started-ended)
 				return result.connection, result.err
 			}
 		}
 	}
 }
 
-// closeAll closes the connections of the attempts that have not ended yet.
-func closeAll(results <-chan dialed, count int) {
+// closeLateConnections closes the connections of the dials that have not finished yet.
+func closeLateConnections(results <-chan dialResult, count int) {
 	for range count {
-		if late := <-results; late.err == nil {
-			late.connection.Close()
+		if result := <-results; result.err == nil {
+			result.connection.Close()
 		}
 	}
 }
 
-// NewInternalTransport returns an HTTP client transport for calls between the
-// system's own processes: like NewHTTPTransport, quick to reach a machine that has just
-// come back, and quick to leave connections that have gone silent.
+// NewInternalTransport returns an HTTP client transport for calls between dillchute's own processes.
+// In addition to NewHTTPTransport, it redials while a machine is starting, and drops idle connections
+// after a timeout.
 func NewInternalTransport() http.RoundTripper {
 	plain := NewHTTPTransport()
 	plain.DialContext = redialer{dial: plain.DialContext, interval: redialInterval, timeout: dialTimeout}.DialContext
-	return freshAfterSilence{plain}
+	return dropIdleAfterTimeout{plain}
 }
--- a/transport/silence.go
+++ b/transport/silence.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// acknowledgeInterval is the least time between two acknowledgements of a stream.
-	acknowledgeInterval = 250 * time.Millisecond
-	// silenceLimit is how long a peer may leave what was sent to it unacknowledged before
-	// its stream is opened anew: several acknowledgements, and less than the kernel takes
-	// to give up a connection (unacknowledgedTimeout).
-	silenceLimit = time.Second
+	// minAcknowledgeInterval is the minimum time between two acknowledgements of a stream.
+	minAcknowledgeInterval = 250 * time.Millisecond
+	// acknowledgementTimeout is how long sent data may remain unacknowledged before the stream is
+	// reopened. It allows for several acknowledgements and is shorter than unacknowledgedTimeout of
+	// the kernel.
+	acknowledgementTimeout = time.Second
 )
 
-// watchSilence ends the stream once the peer leaves it unacknowledged for too long.
-func (l *link) watchSilence(ctx context.Context, end func()) {
-	ticker := time.NewTicker(acknowledgeInterval)
+// watchAcknowledgements cancels the stream if the peer does not acknowledge it in time.
+func (l *link) watchAcknowledgements(ctx context.Context, cancel func()) {
+	ticker := time.NewTicker(minAcknowledgeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -29,75 +29,75 @@
 			return
 		case <-ticker.C:
 		}
-		if since := l.unanswered.Load(); since != 0 && l.transport.now()-since > int64(silenceLimit) {
-			end()
+		if since := l.unacknowledgedSince.Load(); since != 0 && l.transport.now()-since > int64(acknowledgementTimeout) {
+			cancel()
 			return
 		}
 	}
 }
 
-// takeAcknowledgements reads a peer's acknowledgements until the stream ends.
-func (l *link) takeAcknowledgements(body io.Reader) {
-	var one [64]byte
+// readAcknowledgements reads the peer's acknowledgements until the stream ends.
+func (l *link) readAcknowledgements(body io.Reader) {
+	var buffer [64]byte
 	for {
-		if _, err := body.Read(one[:]); err != nil {
+		if _, err := body.Read(buffer[:]); err != nil {
 			return
 		}
-		l.unanswered.Store(0)
+		l.unacknowledgedSince.Store(0)
 	}
 }
 
-// acknowledgements returns a function that notes that something has come, and one that ends
-// the acknowledging, which writes a byte for all that came since the last one.
-func acknowledgements(response http.ResponseWriter) (note, stop func()) {
+// startAcknowledging returns a function that requests an acknowledgement of received data, and one
+// that stops acknowledging. An acknowledgement is one byte, which covers all data since the previous
+// one.
+func startAcknowledging(response http.ResponseWriter) (acknowledge, stop func()) {
 	controller := http.NewResponseController(response)
-	// It fails on HTTP/2 only, where streams go both ways anyway.
+	// This fails only on HTTP/2, where streams are full-duplex anyway.
 	_ = controller.EnableFullDuplex()
-	come, ending, ended := make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
+	received, stopping, done := make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		for {
 			select {
-			case <-ending:
+			case <-stopping:
 				return
-			case <-come:
+			case <-received:
 			}
 			_, err := response.Write([]byte{0})
 			if err != nil || controller.Flush() != nil {
 				return
 			}
 			select {
-			case <-ending:
+			case <-stopping:
 				return
-			case <-time.After(acknowledgeInterval):
+			case <-time.After(minAcknowledgeInterval):
 			}
 		}
 	}()
-	note = func() {
+	acknowledge = func() {
 		select {
-		case come <- struct{}{}:
+		case received <- struct{}{}:
 		default:
 		}
 	}
 	stop = func() {
-		close(ending)
-		<-ended
+		close(stopping)
+		<-done
 	}
-	return note, stop
+	return acknowledge, stop
 }
 
-// freshAfterSilence drops the connections that rest once a call on a kept connection has
-// run out of time: connections may go silent for good without a reset, all those to a
-// machine at once, while new ones work. The call's own connection is closed with it; without
-// this, the next calls would be tried on one silent connection after the other.
-type freshAfterSilence struct{ *http.Transport }
+// dropIdleAfterTimeout closes the idle connections when a call on a reused connection times out. All
+// connections to a machine may stop responding at once without a reset, while new ones work; otherwise
+// the next calls would time out on one of them after another.
+type dropIdleAfterTimeout struct{ *http.Transport }
 
-// RoundTrip carries out one call.
-func (f freshAfterSilence) RoundTrip(request *http.Request) (*http.Response, error) {
-	var kept atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) { kept.Store(got.Reused) }}
+// RoundTrip implements http.RoundTripper.
+func (f dropIdleAfterTimeout) RoundTrip(request *http.Request) (*http.Response, error) {
+	var reused atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { reused.Store(info.Reused) }}
 	response, err := f.Transport.RoundTrip(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
-	if err != nil && kept.Load() && errors.Is(request.Context().Err(), context.DeadlineExceeded) {
+	if err != nil && reused.Load() && errors.Is(request.Context().Err(), context.DeadlineExceeded) {
 		f.CloseIdleConnections()
 	}
 	return response, err
--- a/transport/silence_test.go
+++ b/transport/silence_test.go
@@ -16,63 +16,63 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// silencer stands between two processes. Connections that were open when it was told so
-// carry nothing any more, and stay open; new ones work.
-type silencer struct {
+// silencingProxy forwards connections. After silence, connections that were open stay open but carry
+// nothing; new ones work.
+type silencingProxy struct {
 	listener net.Listener
-	to       string
+	target   string
 
 	mutex sync.Mutex
-	// round counts the times that it was told.
-	round int
+	// generation counts the calls of silence.
+	generation int
 }
 
-func newSilencer(t *testing.T, to string) *silencer {
+func newSilencingProxy(t *testing.T, target string) *silencingProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &silencer{listener: listener, to: to}
+	p := &silencingProxy{listener: listener, target: target}
 	t.Cleanup(func() { listener.Close() })
-	go s.accept()
-	return s
+	go p.accept()
+	return p
 }
 
-func (s *silencer) address() string { return s.listener.Addr().String() }
+func (p *silencingProxy) address() string { return p.listener.Addr().String() }
 
-func (s *silencer) silence() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.round++
+func (p *silencingProxy) silence() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.generation++
 }
 
-func (s *silencer) current() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.round
+func (p *silencingProxy) currentGeneration() int {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.generation
 }
 
-func (s *silencer) accept() {
+func (p *silencingProxy) accept() {
 	for {
-		near, err := s.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", s.to)
+		server, err := net.Dial("tcp", p.target)
 		if err != nil {
-			near.Close()
+			client.Close()
 			continue
 		}
-		round := s.current()
-		go s.carry(near, far, round)
-		go s.carry(far, near, round)
+		generation := p.currentGeneration()
+		go p.forward(client, server, generation)
+		go p.forward(server, client, generation)
 	}
 }
 
-// carry passes bytes on in one direction, and swallows them once the connection is silent.
-func (s *silencer) carry(from, to net.Conn, round int) {
+// forward copies data in one direction, and discards it once the connection is silenced.
+func (p *silencingProxy) forward(from, to net.Conn, generation int) {
 	buffer := make([]byte, 1<<12)
 	for {
 		count, err := from.Read(buffer)
-		silent := s.current() != round
+		silent := p.currentGeneration() != generation
 		if err != nil {
 			if !silent {
 				to.Close()
@@ -87,12 +87,11 @@
 	}
 }
 
-// TestSilentStreamIsOpenedAnew: messages arrive again after the connection has gone silent
-// for good, though nobody resets it.
-func TestSilentStreamIsOpenedAnew(t *testing.T) {
-	sender, _, _ := listening(t)
-	_, address, received := listening(t)
-	between := newSilencer(t, address)
+// Messages must arrive again after the connection stops responding without a reset.
+func TestSilentStreamIsReopened(t *testing.T) {
+	sender, _, _ := newTransport(t)
+	_, address, received := newTransport(t)
+	proxy := newSilencingProxy(t, address)
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
@@ -101,13 +100,13 @@
 			case <-stop:
 				return
 			case <-time.After(20 * time.Millisecond):
-				sender.Send(between.address(), protocol.Message{From: "sender"})
+				sender.Send(proxy.address(), protocol.Message{From: "sender"})
 			}
 		}
 	}()
 	for range 3 {
 		require.Equal(t, "sender", (<-received).From)
-		between.silence()
+		proxy.silence()
 		for len(received) > 0 {
 			<-received
 		}
@@ -115,25 +114,24 @@
 	}
 }
 
-// TestCallsLeaveSilentConnections: of many kept connections that have gone silent, one call
-// finds out for all.
-func TestCallsLeaveSilentConnections(t *testing.T) {
-	const many = 8
-	var together sync.WaitGroup
-	together.Add(many)
+// A timeout on one of many silent connections must drop all of them.
+func TestTimeoutDropsSilentConnections(t *testing.T) {
+	const connections = 8
+	var allArrived sync.WaitGroup
+	allArrived.Add(connections)
 	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		if strings.HasPrefix(request.URL.Path, "/together") {
-			together.Done()
-			together.Wait()
+			allArrived.Done()
+			allArrived.Wait()
 		}
 	}))
 	defer server.Close()
-	between := newSilencer(t, strings.TrimPrefix(server.URL, "http://"))
+	proxy := newSilencingProxy(t, strings.TrimPrefix(server.URL, "http://"))
 	client := http.Client{Transport: NewInternalTransport()}
-	call := func(path string, patience time.Duration) error {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	call := func(path string, timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+between.address()+path, nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+proxy.address()+path, nil)
 		require.NoError(t, err)
 		response, err := client.Do(request)
 		if err != nil {
@@ -144,11 +142,11 @@
 		return err
 	}
 	var calls sync.WaitGroup
-	for range many {
+	for range connections {
 		calls.Go(func() { require.NoError(t, call("/together", time.Minute)) })
 	}
 	calls.Wait()
-	between.silence()
-	require.Error(t, call("/", 200*time.Millisecond), "the call that finds out")
-	require.NoError(t, call("/", time.Minute), "the others are not tried")
+	proxy.silence()
+	require.Error(t, call("/", 200*time.Millisecond), "first call on a silent connection")
+	require.NoError(t, call("/", time.Minute), "silent connections must not be reused")
 }
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,7 +1,6 @@
-// Package transport carries messages between dillchute's own processes: one
-// long HTTP request for each direction of a pair, whose body is a sequence of
-// length-prefixed CBOR messages. Messages may be lost when a peer cannot be
-// reached or does not keep up; they are never reordered within a connection.
+// Package transport sends messages between dillchute's own processes: one long HTTP request for each
+// direction of a pair, whose body is a sequence of length-prefixed CBOR messages. Messages may be lost
+// if a peer is unreachable or too slow; they are never reordered within a connection.
 package transport
 
 import (
@@ -22,24 +21,23 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// Path is where a process takes in messages.
+// Path is the HTTP path at which a process receives messages.
 const Path = "/internal/messages"
 
 const (
-	// queueLength and bufferSize are allocated for each peer, of which the
-	// leader of control has as many as there are nodes.
+	// queueLength and bufferSize are allocated for each peer; the leader has one peer for each node.
 	queueLength     = 4096
 	bufferSize      = 16 << 10
 	maxMessageBytes = 1 << 30
 	minBackoff      = 50 * time.Millisecond
 	maxBackoff      = time.Second
-	// idleClose ends a connection that has carried nothing for so long.
-	idleClose = 2 * time.Minute
+	// streamIdleTimeout is the time without messages after which a stream is closed.
+	streamIdleTimeout = 2 * time.Minute
 )
 
 var (
 	namespace = errorx.NewNamespace("transport")
-	// ErrMalformed: a stream holds something other than messages.
+	// ErrMalformed is the type of errors for streams that contain anything but messages.
 	ErrMalformed = namespace.NewType("malformed")
 )
 
@@ -57,47 +55,47 @@
 	BytesSent, BytesReceived                        atomic.Uint64
 }
 
-// Transport sends messages to peers by address and takes in theirs.
+// Transport sends messages to peers by address and receives theirs.
 type Transport struct {
 	logger  *zerolog.Logger
 	receive func(protocol.Message)
 	context context.Context
-	stop    context.CancelFunc
+	cancel  context.CancelFunc
 	client  *http.Client
 
-	mutex sync.Mutex
-	links map[string]*link
-	wait  sync.WaitGroup
-	// began is the origin of now.
-	began time.Time
+	mutex   sync.Mutex
+	links   map[string]*link
+	running sync.WaitGroup
+	// start is the origin of now.
+	start time.Time
 
 	// Counts may be read at any time.
 	Counts Counts
 }
 
-// New returns a transport that hands received messages to the function, which
-// is called from several goroutines.
+// New returns a transport that passes received messages to the function, which is called from several
+// goroutines.
 func New(logger *zerolog.Logger, receive func(protocol.Message)) *Transport {
-	background, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	return &Transport{
-		logger: logger, receive: receive, context: background, stop: stop,
+		logger: logger, receive: receive, context: ctx, cancel: cancel,
 		client: &http.Client{Transport: NewInternalTransport()},
 		links:  map[string]*link{},
-		began:  time.Now().Add(-time.Nanosecond),
+		start:  time.Now().Add(-time.Nanosecond),
 	}
 }
 
-// now returns the steady time in nanoseconds, which is never 0.
-func (t *Transport) now() int64 { return int64(time.Since(t.began)) }
+// now returns the monotonic time since the start in nanoseconds, which is never 0.
+func (t *Transport) now() int64 { return int64(time.Since(t.start)) }
 
-// Close drops what has not been sent and ends all connections.
+// Close discards unsent messages and closes all connections.
 func (t *Transport) Close() {
-	t.stop()
-	t.wait.Wait()
+	t.cancel()
+	t.running.Wait()
 }
 
-// Send queues a message for the process at the address. It never blocks: the
-// message is dropped if the queue is full.
+// Send queues a message for the process at the address. It never blocks: the message is dropped if the
+// queue is full.
 func (t *Transport) Send(address string, message protocol.Message) {
 	select {
 	case t.link(address).queue <- &message:
@@ -109,14 +107,14 @@
 func (t *Transport) link(address string) *link {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	existing := t.links[address]
-	if existing == nil {
-		existing = &link{transport: t, address: address, queue: make(chan *protocol.Message, queueLength)}
-		t.links[address] = existing
-		t.wait.Add(1)
-		go existing.run()
+	peer := t.links[address]
+	if peer == nil {
+		peer = &link{transport: t, address: address, queue: make(chan *protocol.Message, queueLength)}
+		t.links[address] = peer
+		t.running.Add(1)
+		go peer.run()
 	}
-	return existing
+	return peer
 }
 
 // link is the connection to one peer.
@@ -125,25 +123,25 @@
 	address   string
 	queue     chan *protocol.Message
 	failing   bool
-	// unanswered is when the first of the bytes was sent that the peer has not
-	// acknowledged, in nanoseconds since the transport began; 0 for none.
-	unanswered atomic.Int64
+	// unacknowledgedSince is when the first unacknowledged data was sent, in nanoseconds since the
+	// transport's start; 0 if there is none.
+	unacknowledgedSince atomic.Int64
 }
 
 func (l *link) run() {
-	defer l.transport.wait.Done()
+	defer l.transport.running.Done()
 	backoff := minBackoff
 	for {
 		select {
 		case <-l.transport.context.Done():
 			return
 		case message := <-l.queue:
-			if l.stream(message) {
+			if l.sendStream(message) {
 				backoff = minBackoff
 				continue
 			}
 		}
-		l.drop()
+		l.dropQueued()
 		select {
 		case <-l.transport.context.Done():
 			return
@@ -153,9 +151,9 @@
 	}
 }
 
-// drop discards what was queued while the peer could not be reached: the
-// senders resend what still matters.
-func (l *link) drop() {
+// dropQueued discards the messages queued while the peer was unreachable. Senders resend those that
+// still matter.
+func (l *link) dropQueued() {
 	for {
 		select {
 		case <-l.queue:
@@ -166,9 +164,9 @@
 	}
 }
 
-// stream sends messages over one connection until it fails or is idle, and
-// tells whether it carried any.
-func (l *link) stream(first *protocol.Message) bool {
+// sendStream sends messages over one connection until it fails or is idle, and reports whether any was
+// sent.
+func (l *link) sendStream(first *protocol.Message) bool {
 	reader, writer := io.Pipe()
 	ctx, cancel := context.WithCancel(l.transport.context)
 	defer cancel()
@@ -177,48 +175,47 @@
 		return false
 	}
 	ended := make(chan error, 1)
-	l.unanswered.Store(0)
+	l.unacknowledgedSince.Store(0)
 	go func() {
 		response, err := l.transport.client.Do(request)
 		if err == nil {
-			l.takeAcknowledgements(response.Body)
+			l.readAcknowledgements(response.Body)
 			response.Body.Close()
 			err = io.EOF
 		}
 		reader.CloseWithError(err)
 		ended <- err
 	}()
-	go l.watchSilence(ctx, cancel)
-	sent := l.write(writer, first, ended)
+	go l.watchAcknowledgements(ctx, cancel)
+	sent := l.writeMessages(writer, first, ended)
 	writer.Close()
-	l.note(sent)
+	l.recordReachability(sent)
 	return sent
 }
 
-func (l *link) write(writer io.Writer, first *protocol.Message, ended <-chan error) bool {
+func (l *link) writeMessages(writer io.Writer, first *protocol.Message, ended <-chan error) bool {
 	buffered := bufio.NewWriterSize(writer, bufferSize)
 	message, sent := first, false
-	idle := time.NewTimer(idleClose)
+	idle := time.NewTimer(streamIdleTimeout)
 	defer idle.Stop()
 	for {
 		if err := l.encode(buffered, message); err != nil {
 			return sent
 		}
 		if len(l.queue) == 0 {
-			l.unanswered.CompareAndSwap(0, l.transport.now())
+			l.unacknowledgedSince.CompareAndSwap(0, l.transport.now())
 			if err := buffered.Flush(); err != nil {
 				return sent
 			}
 			sent = true
 		}
-		idle.Reset(idleClose)
+		idle.Reset(streamIdleTimeout)
 		select {
 		case message = <-l.queue:
 		case <-ended:
 			return sent
 		case <-l.transport.context.Done():
-			// The caller closes the body, without which the HTTP client
-			// would go on waiting for it.
+			// The caller closes the body; otherwise, the HTTP client would keep waiting for it.
 			return sent
 		case <-idle.C:
 			return true
@@ -229,17 +226,17 @@
 func (l *link) encode(writer io.Writer, message *protocol.Message) error {
 	data, err := cbor.Marshal(message)
 	if err != nil {
-		panic("transport: a message must encode: " + err.Error())
+		panic("transport: encode message: " + err.Error())
 	}
 	if err := WriteFrame(writer, data); err != nil {
 		return err
 	}
 	l.transport.Counts.MessagesSent.Add(1)
-	l.transport.Counts.BytesSent.Add(uint64(lengthSize + len(data)))
+	l.transport.Counts.BytesSent.Add(uint64(lengthPrefixBytes + len(data)))
 	return nil
 }
 
-func (l *link) note(sent bool) {
+func (l *link) recordReachability(sent bool) {
 	if sent == !l.failing {
 		return
 	}
@@ -254,9 +251,9 @@
 	kind.On(l.transport.logger).Str("peer", l.address).Send()
 }
 
-// ServeHTTP takes in a peer's stream of messages.
+// ServeHTTP receives a peer's stream of messages.
 func (t *Transport) ServeHTTP(response http.ResponseWriter, request *http.Request) {
-	acknowledge, stop := acknowledgements(response)
+	acknowledge, stop := startAcknowledging(response)
 	defer stop()
 	reader := bufio.NewReaderSize(request.Body, bufferSize)
 	for {
@@ -278,9 +275,8 @@
 	}
 }
 
-// ReadMessage reads one length-prefixed message and returns its size in bytes.
-// It returns io.EOF at the end of the stream and an ErrMalformed error for
-// bytes that are no message.
+// ReadMessage reads a length-prefixed message and returns it with its size in bytes. It returns io.EOF
+// at the end of the stream and an ErrMalformed error for data that is not a message.
 func ReadMessage(reader io.Reader) (protocol.Message, int, error) {
 	var message protocol.Message
 	data, err := ReadFrame(reader, maxMessageBytes)
@@ -290,5 +286,5 @@
 	if err := decoder.Unmarshal(data, &message); err != nil {
 		return message, 0, ErrMalformed.Wrap(err, "decode")
 	}
-	return message, lengthSize + len(data), nil
+	return message, lengthPrefixBytes + len(data), nil
 }
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -16,26 +16,26 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-func listening(t *testing.T) (*Transport, string, chan protocol.Message) {
+func newTransport(t *testing.T) (*Transport, string, chan protocol.Message) {
 	logger := zerolog.Nop()
 	received := make(chan protocol.Message, 1024)
-	created := New(&logger, func(message protocol.Message) { received <- message })
-	server := httptest.NewUnstartedServer(created)
+	transport := New(&logger, func(message protocol.Message) { received <- message })
+	server := httptest.NewUnstartedServer(transport)
 	server.Config.Protocols = new(http.Protocols)
 	server.Config.Protocols.SetHTTP1(true)
 	server.Config.Protocols.SetUnencryptedHTTP2(true)
 	server.Start()
 	t.Cleanup(func() {
-		created.Close()
+		transport.Close()
 		server.CloseClientConnections()
 		server.Close()
 	})
-	return created, strings.TrimPrefix(server.URL, "http://"), received
+	return transport, strings.TrimPrefix(server.URL, "http://"), received
 }
 
 func TestMessagesArriveInOrder(t *testing.T) {
-	sender, _, _ := listening(t)
-	_, address, received := listening(t)
+	sender, _, _ := newTransport(t)
+	_, address, received := newTransport(t)
 	const count = 500
 	for number := range count {
 		sender.Send(address, protocol.Message{From: "sender", Join: &protocol.Join{Address: strings.Repeat("x", number)}})
@@ -47,28 +47,27 @@
 	}
 }
 
-// TestUnreachablePeerDoesNotBlock: messages to a peer that is not there are
-// dropped, and the sender goes on.
+// Messages to an unreachable peer must be dropped without blocking the sender.
 func TestUnreachablePeerDoesNotBlock(t *testing.T) {
-	sender, _, _ := listening(t)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	sender, _, _ := newTransport(t)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	gone := taken.Addr().String()
-	require.NoError(t, taken.Close())
+	unreachable := listener.Addr().String()
+	require.NoError(t, listener.Close())
 	for range 20_000 {
-		sender.Send(gone, protocol.Message{From: "sender"})
+		sender.Send(unreachable, protocol.Message{From: "sender"})
 	}
-	_, address, received := listening(t)
+	_, address, received := newTransport(t)
 	sender.Send(address, protocol.Message{From: "still here"})
 	require.Equal(t, "still here", (<-received).From)
 }
 
 func TestMalformedStreamIsRefused(t *testing.T) {
-	_, address, _ := listening(t)
+	_, address, _ := newTransport(t)
 	tests := map[string][]byte{
 		"too long": {0xff, 0xff, 0xff, 0xff, 1, 2, 3},
-		"no cbor":  {0, 0, 0, 3, 0xff, 0xff, 0xff},
-		"a number": {0, 0, 0, 1, 0x01},
+		"not cbor": {0, 0, 0, 3, 0xff, 0xff, 0xff},
+		"number":   {0, 0, 0, 1, 0x01},
 	}
 	for name, body := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -87,7 +86,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// FuzzReadMessage: bytes of a peer give messages or a typed error, never a panic.
+// Data from a peer must be read as messages or return a typed error, never panic.
 func FuzzReadMessage(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 1, 0xa0})
 	f.Add([]byte{0, 0, 0, 2, 0xa1, 0x01})
