--- a/forward/choose.go
+++ b/forward/choose.go
@@ -299,8 +299,8 @@
 	serviceLoad.recordReport(state, load, now)
 }
 
-// smoothed returns the exponential moving average after the newest latency; an average of 0 means
-// none.
+// smoothed returns the exponential moving average including the newest latency. A latency of 0 means
+// that there is no average yet.
 func smoothed(latency, newest time.Duration, weight float64) time.Duration {
 	if latency == 0 {
 		return newest
--- a/forward/clearance.go
+++ b/forward/clearance.go
@@ -16,7 +16,7 @@
 	HasCrashed(ctx context.Context, backend directory.Backend) bool
 }
 
-// crashCheckTimeout bounds the check whether a backend has crashed. Its machine has just reset a
+// crashCheckTimeout bounds the check whether a backend has crashed. Its machine has just closed a
 // connection, so the check takes one round trip; a retry waits for it, so that the crash is known
 // before the request is sent again.
 const crashCheckTimeout = 100 * time.Millisecond
@@ -106,7 +106,7 @@
 	}
 }
 
-// HasCrashed reports whether the backend, which has reset a connection, has crashed.
+// HasCrashed reports whether the backend, which has broken a connection, has crashed.
 func (f *Forwarder) HasCrashed(ctx context.Context, backend directory.Backend) bool {
 	checker, ok := f.client.(CrashChecker)
 	if !ok {
--- a/forward/clearance_test.go
+++ b/forward/clearance_test.go
@@ -14,7 +14,7 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// crashingClient is a client of backends that reset connections. HasCrashed returns the entry in
+// crashingClient is a client of backends that break connections. HasCrashed returns the entry in
 // crashed.
 type crashingClient struct {
 	fakeClient
@@ -66,7 +66,7 @@
 	require.NotNil(t, forwarder.Do(context.Background(), catalog, newRoute(routing.Repeatable, 5), other).Response)
 }
 
-// A backend that resets connections but still listens must not count as crashed.
+// A backend that breaks connections but still listens must not count as crashed.
 func TestResetsAreNotCrashes(t *testing.T) {
 	client := newCrashingClient(false)
 	forwarder := New(client, "z", newGuard())
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -138,8 +138,8 @@
 	Reason   Reason
 	// RetryAfter is how long the caller should wait before a retry, 0 if that is not known.
 	RetryAfter time.Duration
-	// Limit is the decision that rejected a request that was not admitted.
-	Limit admission.Decision
+	// Admission is the decision that rejected a request that was not admitted.
+	Admission admission.Decision
 	// MayHaveRun is set unless it is certain that no backend ran the request.
 	MayHaveRun bool
 	Attempts   int
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -76,5 +76,5 @@
 
 // overloadedResult returns the result of a request that was not admitted.
 func overloadedResult(decision admission.Decision) Result {
-	return Result{Reason: Overloaded, RetryAfter: decision.RetryAfter, Limit: decision}
+	return Result{Reason: Overloaded, RetryAfter: decision.RetryAfter, Admission: decision}
 }
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -54,7 +54,7 @@
 	require.Equal(t, Overloaded, result.Reason)
 	require.False(t, result.MayHaveRun)
 	require.Equal(t, 70*time.Millisecond, result.RetryAfter)
-	require.Equal(t, admission.ShareExceeded, result.Limit.Reason)
+	require.Equal(t, admission.ShareExceeded, result.Admission.Reason)
 	require.Equal(t, "s", limiter.requests[0].Service)
 	require.Equal(t, "t", limiter.requests[0].Tenant)
 	require.Equal(t, 2, limiter.requests[0].Priority)
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -25,8 +25,8 @@
 // StreamClient opens streams at backends. A forwarder's client must implement it for Stream to be
 // called.
 type StreamClient interface {
-	// Open sends the request. after is the ID of the last event received, or "".
-	Open(ctx context.Context, backend directory.Backend, request *Request, after string) OpenedStream
+	// Open sends the request. lastEventID is the ID of the last event received, or "".
+	Open(ctx context.Context, backend directory.Backend, request *Request, lastEventID string) OpenedStream
 }
 
 // Sink receives a stream's response.
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -25,9 +25,9 @@
 	opened []string
 }
 
-func (c *fakeStreamClient) Open(_ context.Context, backend directory.Backend, _ *Request, after string) OpenedStream {
-	c.opened = append(c.opened, backend.ID+"@"+after)
-	return c.open(backend.ID, after)
+func (c *fakeStreamClient) Open(_ context.Context, backend directory.Backend, _ *Request, lastEventID string) OpenedStream {
+	c.opened = append(c.opened, backend.ID+"@"+lastEventID)
+	return c.open(backend.ID, lastEventID)
 }
 
 func eventText(from, to int) string {
@@ -102,14 +102,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := ""
 		count := rapid.IntRange(0, 5).Draw(t, "events")
-		var raws []string
+		var rawEvents []string
 		for range count {
 			raw := ""
 			for range rapid.IntRange(1, 3).Draw(t, "lines") {
 				raw += rapid.StringMatching(`[a-z]{1,4}:? ?[a-z:]{0,5}`).Draw(t, "line") + rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "end")
 			}
 			raw += "\n"
-			raws = append(raws, raw)
+			rawEvents = append(rawEvents, raw)
 			text += raw
 		}
 		length := rapid.IntRange(0, len(text)).Draw(t, "length")
@@ -118,11 +118,11 @@
 		for {
 			event, err := reader.Next()
 			if err != nil {
-				boundary := len(strings.Join(raws[:complete], ""))
+				boundary := len(strings.Join(rawEvents[:complete], ""))
 				require.Equal(t, length == boundary, err == io.EOF)
 				break
 			}
-			require.Equal(t, raws[complete], string(event.Raw))
+			require.Equal(t, rawEvents[complete], string(event.Raw))
 			complete++
 		}
 	})
--- a/server/gateway_limits.go
+++ b/server/gateway_limits.go
@@ -119,7 +119,7 @@
 // addLimit adds to the last line of a request that was not admitted which limit refused it, and how
 // full the service was.
 func addLimit(line *event.Line, request *forward.Request, result forward.Result) {
-	limit := result.Limit
+	limit := result.Admission
 	line.Str("limit", string(limit.Reason)).Str("service", limit.Service).Str("tenant", request.Tenant).
 		Uint("part_percent", percent(limit.AdmittedFraction)).Int("delay_ms", limit.QueueDelay.Milliseconds()).
 		Int("retry_after_ms", limit.RetryAfter.Milliseconds())
--- a/server/gateway_limits_test.go
+++ b/server/gateway_limits_test.go
@@ -70,7 +70,7 @@
 	var written bytes.Buffer
 	logger := zerolog.New(&written)
 	line := event.RequestEnded.On(&logger)
-	addLimit(line, &forward.Request{Tenant: "t"}, forward.Result{Reason: forward.Overloaded, Limit: admission.Decision{
+	addLimit(line, &forward.Request{Tenant: "t"}, forward.Result{Reason: forward.Overloaded, Admission: admission.Decision{
 		Reason: admission.ShareExceeded, Service: "s", AdmittedFraction: 0.25, QueueDelay: 80 * time.Millisecond, RetryAfter: 120 * time.Millisecond,
 	}})
 	line.Send()
