--- a/directory/backends.go
+++ b/directory/backends.go
@@ -13,7 +13,7 @@
 	m.forwarded = forwardedBy(m.state.Routes)
 	m.byName, m.byAddress = map[string]string{}, map[string]string{}
 	for id, known := range m.state.Backends {
-		m.byName[known.Object.OwnName()] = id
+		m.byName[known.Object.NameOrID()] = id
 		m.byAddress[known.Object.Address] = id
 	}
 }
@@ -27,14 +27,16 @@
 	return known.Object, true
 }
 
-// BackendAt returns the backend that is registered at the address, and whether there is one.
-func (m *Machine) BackendAt(address string) (Backend, bool) { return m.Backend(m.byAddress[address]) }
+// BackendByAddress returns the backend that is registered at the address, and whether there is one.
+func (m *Machine) BackendByAddress(address string) (Backend, bool) {
+	return m.Backend(m.byAddress[address])
+}
 
-// BackendNamed returns the incarnation that is registered under the name, and whether there is one.
-func (m *Machine) BackendNamed(name string) (Backend, bool) { return m.Backend(m.byName[name]) }
+// BackendByName returns the incarnation that is registered under the name, and whether there is one.
+func (m *Machine) BackendByName(name string) (Backend, bool) { return m.Backend(m.byName[name]) }
 
-// Gone tells whether the incarnation has left, or is an earlier life than one that has.
-func (m *Machine) Gone(incarnation Incarnation) bool { return m.departures().has(incarnation) }
+// IsRemoved reports whether the incarnation has left, or is an earlier life than one that has.
+func (m *Machine) IsRemoved(incarnation Incarnation) bool { return m.departures().has(incarnation) }
 
 func (m *Machine) departures() departures {
 	return departures{at: m.state.Gone, born: m.state.GoneBorn}
@@ -46,10 +48,10 @@
 // putBackend registers a backend or changes it. What has left stays out, an earlier life under the
 // same name changes nothing, and an address belongs to the newest that names it.
 func (m *Machine) putBackend(backend Backend) {
-	if m.Gone(backend.Incarnation()) {
+	if m.IsRemoved(backend.Incarnation()) {
 		return
 	}
-	known, ok := m.BackendNamed(backend.OwnName())
+	known, ok := m.BackendByName(backend.NameOrID())
 	switch {
 	case ok && known.ID == backend.ID:
 		backend.Draining = backend.Draining || known.Draining
@@ -67,21 +69,21 @@
 		m.takeOut(known)
 	}
 	m.releaseAddress(backend)
-	delete(m.state.Silenced, backend.OwnName())
+	delete(m.state.Silenced, backend.NameOrID())
 	next := m.nextPatient
 	if backend.Draining && !known.Draining {
 		next = m.next
 	}
 	m.state.Backends[backend.ID] = &versioned[Backend]{Revision: next(), Object: backend}
 	m.journal.note(m.state.Revision, backend.ID)
-	m.byName[backend.OwnName()] = backend.ID
+	m.byName[backend.NameOrID()] = backend.ID
 	m.byAddress[backend.Address] = backend.ID
 }
 
 // releaseAddress takes out another backend that has the address of this one. It may return: a late
 // heartbeat of one that has ended takes the address of a living one that is not heard for a moment.
 func (m *Machine) releaseAddress(backend Backend) {
-	if earlier, ok := m.BackendAt(backend.Address); ok && earlier.ID != backend.ID {
+	if earlier, ok := m.BackendByAddress(backend.Address); ok && earlier.ID != backend.ID {
 		m.takeOut(earlier)
 		m.noteSilenced(earlier)
 	}
@@ -94,10 +96,10 @@
 		m.removeSilent(command.ID)
 		return
 	}
-	known, ok := m.BackendNamed(command.Name)
+	known, ok := m.BackendByName(command.Name)
 	switch {
 	case !ok:
-		m.noteGone(Incarnation{Name: command.Name, Born: cmp.Or(command.Born, command.LatestBirth)})
+		m.noteGone(Incarnation{Name: command.Name, StartTime: cmp.Or(command.Born, command.LatestBirth)})
 	case command.Born == 0 || known.Born <= command.Born:
 		m.takeOut(known)
 	}
@@ -119,7 +121,7 @@
 // takeOut removes a registered backend, which stays out unless it may return.
 func (m *Machine) takeOut(known Backend) {
 	delete(m.state.Backends, known.ID)
-	delete(m.byName, known.OwnName())
+	delete(m.byName, known.NameOrID())
 	delete(m.byAddress, known.Address)
 	m.bury(KindBackend, known.ID)
 	m.noteGone(known.Incarnation())
@@ -128,7 +130,7 @@
 // noteGone remembers that the incarnation has left.
 func (m *Machine) noteGone(incarnation Incarnation) {
 	m.forgetSilenced(incarnation)
-	if m.Gone(incarnation) {
+	if m.IsRemoved(incarnation) {
 		return
 	}
 	m.departures().note(incarnation, m.state.Revision)
--- a/directory/command.go
+++ b/directory/command.go
@@ -37,9 +37,9 @@
 	Answered []quarantine.Fingerprint `cbor:"14,keyasint,omitempty"`
 	// OfferTrial and TakeTrial let a request that is held back be sent once, and ForgetSuspect
 	// drops one that is not.
-	OfferTrial    *SuspectAt             `cbor:"15,keyasint,omitempty"`
+	OfferTrial    *SuspectRevision       `cbor:"15,keyasint,omitempty"`
 	TakeTrial     quarantine.Fingerprint `cbor:"16,keyasint,omitempty"`
-	ForgetSuspect *SuspectAt             `cbor:"17,keyasint,omitempty"`
+	ForgetSuspect *SuspectRevision       `cbor:"17,keyasint,omitempty"`
 	// Batch are changes of backends, carried out in their order.
 	Batch []Command `cbor:"18,keyasint,omitempty"`
 	// PutZone tells where a replica of the directory is.
@@ -60,9 +60,9 @@
 	Zone    string
 }
 
-// SuspectAt names a suspect as of a revision: a command about it has no effect once it has
+// SuspectRevision names a suspect as of a revision: a command about it has no effect once it has
 // changed.
-type SuspectAt struct {
+type SuspectRevision struct {
 	Fingerprint quarantine.Fingerprint `cbor:"1,keyasint"`
 	Revision    uint64                 `cbor:"2,keyasint"`
 }
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -171,8 +171,8 @@
 	// Offers and takings name every revision that the suspects may have.
 	for revision := uint64(1); revision < 60; revision++ {
 		commands = append(commands,
-			Command{ForgetSuspect: &SuspectAt{Fingerprint: "forgotten", Revision: revision}},
-			Command{OfferTrial: &SuspectAt{Fingerprint: "content", Revision: revision}},
+			Command{ForgetSuspect: &SuspectRevision{Fingerprint: "forgotten", Revision: revision}},
+			Command{OfferTrial: &SuspectRevision{Fingerprint: "content", Revision: revision}},
 		)
 	}
 	return append(commands, Command{TakeTrial: "content"}, Command{TakeTrial: "content"}, Command{TakeTrial: "kind"})
--- a/directory/incarnation.go
+++ b/directory/incarnation.go
@@ -10,7 +10,7 @@
 	Name string
 	// Born is when it started, in milliseconds since 1970 by its own clock, or 0 if it does not
 	// say: such a backend takes another name at each start.
-	Born int64
+	StartTime int64
 }
 
 // birthSeparator stands between name and birth in an ID. Names come out of paths, of which they
@@ -19,30 +19,30 @@
 
 // ID returns what names the incarnation among all backends.
 func (i Incarnation) ID() string {
-	if i.Born == 0 {
+	if i.StartTime == 0 {
 		return i.Name
 	}
-	return i.Name + birthSeparator + strconv.FormatInt(i.Born, 10)
+	return i.Name + birthSeparator + strconv.FormatInt(i.StartTime, 10)
 }
 
 // follows tells whether the incarnation is a later life under the name than one born at the time.
 // One that does not say when it was born is no later than any.
-func (i Incarnation) follows(born int64) bool { return i.Born > born }
+func (i Incarnation) follows(born int64) bool { return i.StartTime > born }
 
-// Named returns the backend as that incarnation.
-func (b Backend) Named(incarnation Incarnation) Backend {
-	b.ID, b.Born = incarnation.ID(), incarnation.Born
-	if incarnation.Born != 0 {
+// WithIncarnation returns the backend as that incarnation.
+func (b Backend) WithIncarnation(incarnation Incarnation) Backend {
+	b.ID, b.Born = incarnation.ID(), incarnation.StartTime
+	if incarnation.StartTime != 0 {
 		b.Name = incarnation.Name
 	}
 	return b
 }
 
 // Incarnation returns which life of which backend this is.
-func (b Backend) Incarnation() Incarnation { return Incarnation{Name: b.OwnName(), Born: b.Born} }
+func (b Backend) Incarnation() Incarnation { return Incarnation{Name: b.NameOrID(), StartTime: b.Born} }
 
-// OwnName returns what the backend calls itself, by which requests to it name it.
-func (b Backend) OwnName() string {
+// NameOrID returns what the backend calls itself, by which requests to it name it.
+func (b Backend) NameOrID() string {
 	if b.Name == "" {
 		return b.ID
 	}
@@ -67,8 +67,8 @@
 // note takes in that the incarnation has left, which had not.
 func (d departures) note(incarnation Incarnation, revision uint64) {
 	d.at[incarnation.Name] = revision
-	if incarnation.Born != 0 {
-		d.born[incarnation.Name] = incarnation.Born
+	if incarnation.StartTime != 0 {
+		d.born[incarnation.Name] = incarnation.StartTime
 	}
 }
 
--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -14,7 +14,7 @@
 )
 
 func life(name string, born int64, address string) *Backend {
-	backend := Backend{Service: "s", Address: address}.Named(Incarnation{Name: name, Born: born})
+	backend := Backend{Service: "s", Address: address}.WithIncarnation(Incarnation{Name: name, StartTime: born})
 	return &backend
 }
 
@@ -37,13 +37,13 @@
 	before := m.Revision()
 	apply(t, m, Command{PutBackend: life("i", 200, "a:2")})
 	require.Equal(t, []string{"i/200"}, ids(m))
-	known, _ := m.BackendNamed("i")
+	known, _ := m.BackendByName("i")
 	require.False(t, known.Draining || known.Silent)
 	require.Empty(t, known.Models)
 	delta := m.DeltaSince(before)
 	require.Equal(t, []Removed{{Kind: KindBackend, Name: "i/100"}}, delta.Removed)
-	require.Equal(t, "i", delta.Backends[0].OwnName())
-	_, held := m.BackendAt("a:1")
+	require.Equal(t, "i", delta.Backends[0].NameOrID())
+	_, held := m.BackendByAddress("a:1")
 	require.False(t, held, "the address of the earlier life is free")
 
 	apply(t, m, Command{PutBackend: first})
@@ -66,7 +66,7 @@
 	require.Equal(t, []string{"i/101"}, ids(m), "it was an earlier life that left")
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{ID: "i/101"}})
 	require.Empty(t, ids(m))
-	require.True(t, m.Gone(Incarnation{Name: "i", Born: 101}))
+	require.True(t, m.IsRemoved(Incarnation{Name: "i", StartTime: 101}))
 
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{Name: "unknown", LatestBirth: 5000}})
 	apply(t, m, Command{PutBackend: life("unknown", 4999, "a:2")})
@@ -91,7 +91,7 @@
 	require.NoError(t, err)
 	m := NewMachine()
 	require.NoError(t, m.Restore(bytes.NewReader(data)))
-	known, ok := m.BackendAt("a:1")
+	known, ok := m.BackendByAddress("a:1")
 	require.True(t, ok)
 	require.Equal(t, Incarnation{Name: "i"}, known.Incarnation())
 	apply(t, m, Command{PutBackend: life("left", 0, "a:2")})
@@ -155,7 +155,7 @@
 			require.Equal(t, wanted, ids(m))
 			for name, backend := range registered {
 				require.Equal(t, latest[name], backend.Born)
-				at, ok := m.BackendAt(backend.Address)
+				at, ok := m.BackendByAddress(backend.Address)
 				require.True(t, ok && at.ID == backend.ID)
 			}
 		}
--- a/directory/journal_test.go
+++ b/directory/journal_test.go
@@ -50,6 +50,6 @@
 		before := m.Revision()
 		apply(t, m, c.command)
 		require.Greater(t, m.Revision(), before, c.what)
-		require.Equal(t, c.urgent, m.Urgent() > before, c.what)
+		require.Equal(t, c.urgent, m.UrgentRevision() > before, c.what)
 	}
 }
--- a/directory/machine.go
+++ b/directory/machine.go
@@ -96,7 +96,7 @@
 	byName, byAddress map[string]string
 	// journal lists the latest changes of backends.
 	journal journal
-	// urgent is the revision of the newest change that is urgent, see Urgent, and versionAt that
+	// urgent is the revision of the newest change that is urgent, see UrgentRevision, and versionAt that
 	// at which the configuration's version changed, or a later one.
 	urgent, versionAt uint64
 	forwarded         forwarded
@@ -143,7 +143,7 @@
 }
 
 // Restore replaces the state by a written one; nothing to read is the state
-// before the first command. It returns an ErrLaterVersion error for one of a later build.
+// before the first command. It returns an ErrUnknownVersion error for one of a later build.
 func (m *Machine) Restore(reader io.Reader) error {
 	m.clear()
 	err := cbor.NewDecoder(reader).Decode(&m.state)
@@ -160,9 +160,9 @@
 // Revision grows with each change of an object.
 func (m *Machine) Revision() uint64 { return m.state.Revision }
 
-// Urgent returns the revision of the newest change that must not wait for others on its way to
+// UrgentRevision returns the revision of the newest change that must not wait for others on its way to
 // watchers: all but registrations, which let a backend be used that nobody misses yet.
-func (m *Machine) Urgent() uint64 { return m.urgent }
+func (m *Machine) UrgentRevision() uint64 { return m.urgent }
 
 // Version returns the version of the configuration in force.
 func (m *Machine) Version() uint64 { return m.state.Version }
@@ -188,8 +188,8 @@
 // Usage returns the record of usage. It must not be changed.
 func (m *Machine) Usage() *usage.WindowStore { return &m.state.Usage }
 
-// Acts returns the newest acts of duties, by subject. It must not be changed.
-func (m *Machine) Acts() map[string]duty.Action { return m.state.Acts }
+// Actions returns the newest actions of duties, by subject. It must not be changed.
+func (m *Machine) Actions() map[string]duty.Action { return m.state.Acts }
 
 func objects[T any](known map[string]*versioned[T]) []T {
 	list := make([]T, 0, len(known))
--- a/directory/machine_test.go
+++ b/directory/machine_test.go
@@ -73,7 +73,7 @@
 	apply(t, m, Command{PutBackend: &Backend{ID: "new", Service: "other", Address: "a:1"}})
 	_, ok := m.Backend("old")
 	require.False(t, ok)
-	require.True(t, m.Gone(Incarnation{Name: "old"}))
+	require.True(t, m.IsRemoved(Incarnation{Name: "old"}))
 }
 
 // TestRetire: a store retires only while enough others remain, and is retired
--- a/directory/scope.go
+++ b/directory/scope.go
@@ -72,13 +72,13 @@
 	return string(scope)
 }
 
-// Holds tells whether the watcher holds the backends that are in its scope now.
-func (m *Machine) Holds(watch Watch) bool { return m.held(watch.Scope) == watch.Held }
+// IsScopeCurrent reports whether the watcher holds the backends that are in its scope now.
+func (m *Machine) IsScopeCurrent(watch Watch) bool { return m.held(watch.Scope) == watch.Held }
 
 // DeltaFor returns what a watcher is to be told.
 func (m *Machine) DeltaFor(watch Watch) Delta {
 	since := watch.Since
-	if !m.Holds(watch) {
+	if !m.IsScopeCurrent(watch) {
 		since = 0
 	}
 	delta := m.DeltaSince(since)
--- a/directory/suspects_test.go
+++ b/directory/suspects_test.go
@@ -50,12 +50,12 @@
 		return result.Granted
 	}
 	require.False(t, take(), "none is offered")
-	m.Apply(Command{OfferTrial: &SuspectAt{Fingerprint: deadly, Revision: revision}}.Encode())
+	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: deadly, Revision: revision}}.Encode())
 	require.True(t, take())
 	require.False(t, take())
-	m.Apply(Command{OfferTrial: &SuspectAt{Fingerprint: deadly, Revision: revision}}.Encode())
+	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: deadly, Revision: revision}}.Encode())
 	require.False(t, take(), "a resent offer of an earlier state")
-	m.Apply(Command{ForgetSuspect: &SuspectAt{Fingerprint: deadly, Revision: revision}}.Encode())
+	m.Apply(Command{ForgetSuspect: &SuspectRevision{Fingerprint: deadly, Revision: revision}}.Encode())
 	_, _, known := m.Suspect(deadly)
 	require.True(t, known, "it has changed since")
 }
--- a/directory/version.go
+++ b/directory/version.go
@@ -14,15 +14,15 @@
 	// ReturnVersion is the version from which on it is recorded which backends were taken out only
 	// because nobody heard them, so that they may come back.
 	ReturnVersion uint64 = 1
-	// EndsVersion is the version from which on an end that is told more than once counts by whoever
+	// CrashReportVersion is the version from which on an end that is told more than once counts by whoever
 	// knew most, see quarantine.Crash.
-	EndsVersion uint64 = 2
+	CrashReportVersion uint64 = 2
 	// KnownVersion is the newest version that this build knows.
-	KnownVersion = EndsVersion
+	KnownVersion = CrashReportVersion
 )
 
-// ErrLaterVersion: the state is of a later build, whose commands this one would misread.
-var ErrLaterVersion = errorx.NewNamespace("directory").NewType("later_version")
+// ErrUnknownVersion: the state is of a later build, whose commands this one would misread.
+var ErrUnknownVersion = errorx.NewNamespace("directory").NewType("later_version")
 
 // RaiseVersion has the meanings of a version used. A version is never lowered.
 type RaiseVersion struct {
@@ -32,16 +32,16 @@
 	Silenced []string `cbor:"2,keyasint,omitempty"`
 }
 
-// InUse returns the version whose meanings are used, 0 where none was ever raised.
-func (m *Machine) InUse() uint64 { return m.state.InUse }
+// VersionInUse returns the version whose meanings are used, 0 where none was ever raised.
+func (m *Machine) VersionInUse() uint64 { return m.state.InUse }
 
-// Err returns an ErrLaterVersion error if the log has raised a version that this build does not
+// Err returns an ErrUnknownVersion error if the log has raised a version that this build does not
 // know. Nothing is applied any more then.
 func (m *Machine) Err() error {
 	if m.state.InUse <= KnownVersion {
 		return nil
 	}
-	return ErrLaterVersion.New("the directory is in use with version %d of its commands; this build knows %d", m.state.InUse, KnownVersion)
+	return ErrUnknownVersion.New("the directory is in use with version %d of its commands; this build knows %d", m.state.InUse, KnownVersion)
 }
 
 func (m *Machine) raiseVersion(command RaiseVersion) {
@@ -50,8 +50,8 @@
 	}
 	m.state.InUse = command.Version
 	for _, id := range command.Silenced {
-		if incarnation := IncarnationOf(id); m.isNewestGone(incarnation) {
-			m.state.Silenced[incarnation.Name] = incarnation.Born
+		if incarnation := IncarnationFromID(id); m.isNewestGone(incarnation) {
+			m.state.Silenced[incarnation.Name] = incarnation.StartTime
 		}
 	}
 }
@@ -59,11 +59,11 @@
 // isNewestGone tells whether the incarnation is the newest of its name that has left.
 func (m *Machine) isNewestGone(incarnation Incarnation) bool {
 	_, isRegistered := m.byName[incarnation.Name]
-	return !isRegistered && m.Gone(incarnation) && m.state.GoneBorn[incarnation.Name] == incarnation.Born
+	return !isRegistered && m.IsRemoved(incarnation) && m.state.GoneBorn[incarnation.Name] == incarnation.StartTime
 }
 
-// IncarnationOf returns the incarnation that has the ID.
-func IncarnationOf(id string) Incarnation {
+// IncarnationFromID returns the incarnation that has the ID.
+func IncarnationFromID(id string) Incarnation {
 	name, birth, found := strings.Cut(id, birthSeparator)
 	if !found {
 		return Incarnation{Name: id}
@@ -72,27 +72,27 @@
 	if err != nil {
 		return Incarnation{Name: id}
 	}
-	return Incarnation{Name: name, Born: born}
+	return Incarnation{Name: name, StartTime: born}
 }
 
 // MayReturn tells whether the incarnation was taken out only because nobody heard it, and has not
 // left since.
 func (m *Machine) MayReturn(incarnation Incarnation) bool {
 	born, silenced := m.state.Silenced[incarnation.Name]
-	return silenced && born == incarnation.Born
+	return silenced && born == incarnation.StartTime
 }
 
 // noteSilenced remembers that a backend which was taken out may come back. One that drained was
 // about to leave, and stays out.
 func (m *Machine) noteSilenced(known Backend) {
 	if m.state.InUse >= ReturnVersion && !known.Draining {
-		m.state.Silenced[known.OwnName()] = known.Born
+		m.state.Silenced[known.NameOrID()] = known.Born
 	}
 }
 
 // forgetSilenced has what was silenced under the name stay out, if it was born by then.
 func (m *Machine) forgetSilenced(incarnation Incarnation) {
-	if born, silenced := m.state.Silenced[incarnation.Name]; silenced && born <= incarnation.Born {
+	if born, silenced := m.state.Silenced[incarnation.Name]; silenced && born <= incarnation.StartTime {
 		delete(m.state.Silenced, incarnation.Name)
 	}
 }
--- a/directory/version_test.go
+++ b/directory/version_test.go
@@ -95,8 +95,8 @@
 	apply(t, m, raised)
 	apply(t, m, Command{RaiseVersion: &RaiseVersion{Version: 0}})
 	apply(t, m, Command{RaiseVersion: &RaiseVersion{Version: ReturnVersion, Silenced: []string{"i/100"}}})
-	require.Equal(t, ReturnVersion, m.InUse())
-	require.False(t, m.MayReturn(Incarnation{Name: "i", Born: 100}))
+	require.Equal(t, ReturnVersion, m.VersionInUse())
+	require.False(t, m.MayReturn(Incarnation{Name: "i", StartTime: 100}))
 }
 
 // TestLaterVersionIsRefused: a build that does not know the version in use applies nothing more, and
@@ -206,9 +206,9 @@
 	for _, command := range []Command{raised, born, silenced} {
 		apply(t, m, command)
 	}
-	require.True(t, m.MayReturn(Incarnation{Name: "i", Born: 100}))
+	require.True(t, m.MayReturn(Incarnation{Name: "i", StartTime: 100}))
 	apply(t, m, bornLater)
-	require.False(t, m.MayReturn(Incarnation{Name: "i", Born: 100}))
+	require.False(t, m.MayReturn(Incarnation{Name: "i", StartTime: 100}))
 }
 
 // TestSnapshotIsOfItsMoment: what is applied while it is written is not in it.
--- a/directory/watch.go
+++ b/directory/watch.go
@@ -167,15 +167,15 @@
 // AllBackends returns the backends in any order. They must not be changed.
 func (c *Catalog) AllBackends() iter.Seq[*Backend] { return c.backends.all() }
 
-// HasEnded tells whether the backend is known to have ended under a request. It is still
+// HasCrashed tells whether the backend is known to have ended under a request. It is still
 // listed until it is given up, or another one registers at its address.
-func (c *Catalog) HasEnded(id string) bool { return c.ended[id] }
+func (c *Catalog) HasCrashed(id string) bool { return c.ended[id] }
 
 // HasTenants tells whether requests need a key.
 func (c *Catalog) HasTenants() bool { return len(c.tenants) > 0 }
 
-// TenantOfKey returns the tenant that holds the key, and whether there is one.
-func (c *Catalog) TenantOfKey(key string) (routing.Tenant, bool) {
+// TenantByKey returns the tenant that holds the key, and whether there is one.
+func (c *Catalog) TenantByKey(key string) (routing.Tenant, bool) {
 	tenant, ok := c.byKey[key]
 	return tenant, ok
 }
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -60,7 +60,7 @@
 }
 
 // Has tells whether the backend has ended.
-func (e Ends) Has(id string) bool { return e.seen[id] || e.catalog.HasEnded(id) }
+func (e Ends) Has(id string) bool { return e.seen[id] || e.catalog.HasCrashed(id) }
 
 // backendForSuspect returns the backend with the fewest requests of those that run suspects. While
 // there is room for one more and each of these has as many requests as slots, it is the first other
--- a/scheduler/weights.go
+++ b/scheduler/weights.go
@@ -227,7 +227,7 @@
 	for _, e := range s.sortedEngines {
 		version := e.versions[model.name]
 		if version == 0 || version >= model.newest || e.loading != nil || e.backend.Draining ||
-			now < e.avoidedUntil || now < s.loadsDeferredUntil[e.backend.OwnName()] {
+			now < e.avoidedUntil || now < s.loadsDeferredUntil[e.backend.NameOrID()] {
 			continue
 		}
 		if cost := s.loadCost(e, model); best == nil || cost < bestCost {
--- a/scheduler/workingset.go
+++ b/scheduler/workingset.go
@@ -96,7 +96,7 @@
 		if w.selected[backend.ID] || !isHealthy(backend) {
 			continue
 		}
-		c := candidate{backend: backend, preferred: w.preferred[backend.OwnName()], rank: rendezvous.Score(backend.Service, backend.ID)}
+		c := candidate{backend: backend, preferred: w.preferred[backend.NameOrID()], rank: rendezvous.Score(backend.Service, backend.ID)}
 		for _, held := range backend.Models {
 			c.versions += held.Version
 		}
--- a/server/admission.go
+++ b/server/admission.go
@@ -66,7 +66,7 @@
 	if !catalog.HasTenants() {
 		return nil, nil
 	}
-	tenant, ok := catalog.TenantOfKey(key)
+	tenant, ok := catalog.TenantByKey(key)
 	if !ok {
 		return nil, ErrUnauthenticated.New("no tenant has the key")
 	}
--- a/server/directory.go
+++ b/server/directory.go
@@ -183,7 +183,7 @@
 // Leave takes out a backend that ends. Without a birth it is whichever incarnation is registered
 // under the name.
 func (d *Directory) Leave(ctx context.Context, leaving directory.Incarnation) error {
-	_, err := d.call(ctx, directoryCall{Leave: leaving.Name, LeaveBorn: leaving.Born})
+	_, err := d.call(ctx, directoryCall{Leave: leaving.Name, LeaveBorn: leaving.StartTime})
 	return err
 }
 
--- a/server/directory_watch.go
+++ b/server/directory_watch.go
@@ -52,7 +52,7 @@
 // not is told of them at once, though there is no other revision.
 func (d *Directory) holdsScope(watch directory.Watch) bool {
 	holds := false
-	d.replica.Do(func() { holds = d.machine.Holds(watch) })
+	d.replica.Do(func() { holds = d.machine.IsScopeCurrent(watch) })
 	return holds
 }
 
--- a/server/duty_keeper.go
+++ b/server/duty_keeper.go
@@ -65,7 +65,7 @@
 
 // noteActs has every replica learn when others have acted.
 func (k *dutyKeeper) noteActs() {
-	k.replica.Do(func() { k.acts.Observe(nowMillis(), k.machine.Acts()) })
+	k.replica.Do(func() { k.acts.Observe(nowMillis(), k.machine.Actions()) })
 }
 
 // mayAct tells whether this replica leads and nobody else may be acting for the subject.
--- a/server/duty_keeper_test.go
+++ b/server/duty_keeper_test.go
@@ -31,7 +31,7 @@
 	var recorded []int
 	d.duties.wait = func(wait time.Duration) {
 		waits = append(waits, wait)
-		d.replica.Do(func() { recorded = append(recorded, len(d.machine.Acts())) })
+		d.replica.Do(func() { recorded = append(recorded, len(d.machine.Actions())) })
 	}
 	for _, subject := range []string{"one", "two", "three"} {
 		outcome, err := d.duties.act(subject, nil, func(context.Context, DutySend) DutyOutcome { return DutyTaken })
--- a/server/feed.go
+++ b/server/feed.go
@@ -143,7 +143,7 @@
 // hasUrgent tells whether the machine holds an urgent change that the view does not.
 func (d *Directory) hasUrgent() bool {
 	urgent := uint64(0)
-	d.replica.Do(func() { urgent = d.machine.Urgent() })
+	d.replica.Do(func() { urgent = d.machine.UrgentRevision() })
 	return urgent > d.view.Load().Revision
 }
 
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -181,9 +181,9 @@
 // replica's loop.
 func (d *Directory) registeredFor(backend directory.Backend) registered {
 	var r registered
-	r.named, r.isNamed = d.machine.BackendNamed(backend.OwnName())
-	r.holder, r.hasHeld = d.machine.BackendAt(backend.Address)
-	r.gone = d.machine.Gone(backend.Incarnation())
+	r.named, r.isNamed = d.machine.BackendByName(backend.NameOrID())
+	r.holder, r.hasHeld = d.machine.BackendByAddress(backend.Address)
+	r.gone = d.machine.IsRemoved(backend.Incarnation())
 	r.mayReturn = d.machine.MayReturn(backend.Incarnation())
 	return r
 }
@@ -204,7 +204,7 @@
 
 // isContested tells whether another one keeps the address that the backend names.
 func (d *Directory) isContested(known registered, backend directory.Backend) bool {
-	if !known.hasHeld || known.holder.OwnName() == backend.OwnName() || !d.keepsAddress(known.holder, backend) {
+	if !known.hasHeld || known.holder.NameOrID() == backend.NameOrID() || !d.keepsAddress(known.holder, backend) {
 		return false
 	}
 	event.AddressConflict.On(d.logger).Str("backend", backend.ID).Str("holder", known.holder.ID).Str("address", backend.Address).Send()
--- a/server/load.go
+++ b/server/load.go
@@ -105,7 +105,7 @@
 
 // orderSubject names the engine whose holders of orders are kept apart: all lives under one name
 // count as one engine, so that a new leader waits for the lease whether or not it has started again.
-func orderSubject(backend directory.Backend) string { return backend.OwnName() }
+func orderSubject(backend directory.Backend) string { return backend.NameOrID() }
 
 // isSameLife tells whether a report is of the life that an order was meant for. What a later one
 // holds is told by its own registration, and its count of orders has begun anew.
--- a/server/quarantine.go
+++ b/server/quarantine.go
@@ -98,7 +98,7 @@
 
 // crashesKnown returns the crashes in the form that every member reads alike in the version in use.
 func crashesKnown(crashes []quarantine.Crash, inUse uint64) []quarantine.Crash {
-	if inUse >= directory.EndsVersion {
+	if inUse >= directory.CrashReportVersion {
 		return crashes
 	}
 	known := slices.Clone(crashes)
@@ -165,7 +165,7 @@
 func (s *suspectSince) uncounted() int { return s.early - s.trying }
 
 // due returns the suspects that are to be tried or forgotten, and forgets those that are gone.
-func (c *suspectClock) due(now time.Time, suspects map[quarantine.Fingerprint]suspectAt) (try, forget []directory.SuspectAt) {
+func (c *suspectClock) due(now time.Time, suspects map[quarantine.Fingerprint]suspectAt) (try, forget []directory.SuspectRevision) {
 	known := make(map[quarantine.Fingerprint]suspectSince, len(suspects))
 	for fingerprint, one := range suspects {
 		since, ok := c.since[fingerprint]
@@ -180,7 +180,7 @@
 		}
 		since.suspect = one.suspect
 		known[fingerprint] = since
-		at := directory.SuspectAt{Fingerprint: fingerprint, Revision: one.revision}
+		at := directory.SuspectRevision{Fingerprint: fingerprint, Revision: one.revision}
 		switch age := now.Sub(since.at); {
 		case !one.suspect.IsQuarantined() && age >= quarantine.ForgetAfter:
 			forget = append(forget, at)
--- a/server/quarantine_simulation_test.go
+++ b/server/quarantine_simulation_test.go
@@ -214,7 +214,7 @@
 	named := directory.NewCatalog().With(s.machine.DeltaSince(0))
 	for _, b := range named.Backends(simService) {
 		at, known := s.knownAt[b.ID]
-		if known && at+simNews <= s.now && named.HasEnded(b.ID) {
+		if known && at+simNews <= s.now && named.HasCrashed(b.ID) {
 			away++
 		}
 	}
@@ -243,7 +243,7 @@
 	s.started++
 	life := directory.Incarnation{Name: fmt.Sprint("b", s.started)}
 	if b.keepsName {
-		life = directory.Incarnation{Name: b.address, Born: s.now + 1}
+		life = directory.Incarnation{Name: b.address, StartTime: s.now + 1}
 	}
 	earlier := b.life
 	b.life, b.id, b.up, b.runs = life, life.ID(), true, map[*simRun]bool{}
@@ -268,7 +268,7 @@
 
 // put registers a life of the backend.
 func (s *simulation) put(b *simBackend, life directory.Incarnation) {
-	backend := directory.Backend{Service: simService, Address: b.address, Slots: 1}.Named(life)
+	backend := directory.Backend{Service: simService, Address: b.address, Slots: 1}.WithIncarnation(life)
 	s.apply(directory.Command{PutBackend: &backend})
 }
 
--- a/server/quarantine_trace_test.go
+++ b/server/quarantine_trace_test.go
@@ -212,8 +212,8 @@
 // none is written so.
 func TestCrashesAreWrittenAsAllReadThem(t *testing.T) {
 	told := []quarantine.Crash{{Fingerprint: "f", Backend: "b", Known: 1, Of: "c", Exact: true}}
-	require.Equal(t, told, crashesKnown(told, directory.EndsVersion))
-	require.Equal(t, []quarantine.Crash{{Fingerprint: "f", Backend: "b", Known: 1, Of: "c"}}, crashesKnown(told, directory.EndsVersion-1))
+	require.Equal(t, told, crashesKnown(told, directory.CrashReportVersion))
+	require.Equal(t, []quarantine.Crash{{Fingerprint: "f", Backend: "b", Known: 1, Of: "c"}}, crashesKnown(told, directory.CrashReportVersion-1))
 	require.True(t, told[0].Exact)
 }
 
--- a/server/returning_test.go
+++ b/server/returning_test.go
@@ -77,7 +77,7 @@
 
 func inUse(d *Directory) uint64 {
 	version := uint64(0)
-	d.replica.Do(func() { version = d.machine.InUse() })
+	d.replica.Do(func() { version = d.machine.VersionInUse() })
 	return version
 }
 
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -130,7 +130,7 @@
 	gauge(emit, "directory_watches", "Watches that are held.", float64(d.evidence.watches()))
 	gauge(emit, "directory_backends", "Backends that are registered.", float64(d.view.Load().BackendCount()))
 	d.replica.Do(func() {
-		gauge(emit, "directory_version_in_use", "Version of the directory's commands that is in use.", float64(d.machine.InUse()))
+		gauge(emit, "directory_version_in_use", "Version of the directory's commands that is in use.", float64(d.machine.VersionInUse()))
 		gauge(emit, "directory_usage_untold", "Windows of usage that are fixed and were not taken yet.", float64(len(d.machine.Usage().Untold)))
 		suspects, held := 0, 0
 		d.machine.Suspects(func(suspect quarantine.Suspect, _ uint64) {
--- a/server/scale_keeper_test.go
+++ b/server/scale_keeper_test.go
@@ -111,7 +111,7 @@
 		order.Number = number
 		taker.answer = func(send ScaleSend) DutyOutcome {
 			require.Equal(t, []capacity.Order{order}, keptOrders(d))
-			d.replica.Do(func() { require.Equal(t, "d", d.machine.Acts()["scale/s/z"].Holder) })
+			d.replica.Do(func() { require.Equal(t, "d", d.machine.Actions()["scale/s/z"].Holder) })
 			require.Equal(t, ScaleSend{DutySend: send.DutySend, Wish: order.Wish}, send)
 			require.Equal(t, d.Status().Term, send.Fence)
 			require.Equal(t, "d", send.Holder)
--- a/server/version_keeper.go
+++ b/server/version_keeper.go
@@ -86,7 +86,7 @@
 		k.silenced[removal.ID] = true
 	default:
 		for id := range k.silenced {
-			if directory.IncarnationOf(id).Name == removal.Name {
+			if directory.IncarnationFromID(id).Name == removal.Name {
 				delete(k.silenced, id)
 			}
 		}
@@ -96,7 +96,7 @@
 // follow takes in which version is in use, and has only those let in that know it.
 func (k *versionKeeper) follow() {
 	inUse := uint64(0)
-	k.replica.Do(func() { inUse = k.machine.InUse() })
+	k.replica.Do(func() { inUse = k.machine.VersionInUse() })
 	if k.inUse.Swap(inUse) != inUse {
 		event.CommandVersionChanged.On(k.logger).Uint("version", inUse).Uint("known", k.own.Knows).Send()
 		k.replica.Require(inUse)
