--- a/directory/backends.go
+++ b/directory/backends.go
@@ -9,22 +9,22 @@
 
 // indexBackends makes the indexes of backends anew, and begins a journal of their changes.
 func (m *Machine) indexBackends() {
-	m.journal, m.urgent, m.versionAt = journal{floor: m.state.Revision}, m.state.Revision, m.state.Revision
-	m.forwarded = forwardedBy(m.state.Routes)
+	m.journal, m.urgentRevision, m.versionRevision = journal{floor: m.state.Revision}, m.state.Revision, m.state.Revision
+	m.forwarded = newForwarded(m.state.Routes)
 	m.byName, m.byAddress = map[string]string{}, map[string]string{}
-	for id, known := range m.state.Backends {
-		m.byName[known.Object.NameOrID()] = id
-		m.byAddress[known.Object.Address] = id
+	for id, stored := range m.state.Backends {
+		m.byName[stored.Object.NameOrID()] = id
+		m.byAddress[stored.Object.Address] = id
 	}
 }
 
 // Backend returns a registered backend, and whether there is one.
 func (m *Machine) Backend(id string) (Backend, bool) {
-	known := m.state.Backends[id]
-	if known == nil {
+	stored := m.state.Backends[id]
+	if stored == nil {
 		return Backend{}, false
 	}
-	return known.Object, true
+	return stored.Object, true
 }
 
 // BackendByAddress returns the backend that is registered at the address, and whether there is one.
@@ -36,14 +36,14 @@
 func (m *Machine) BackendByName(name string) (Backend, bool) { return m.Backend(m.byName[name]) }
 
 // IsRemoved reports whether the incarnation has left, or is an earlier life than one that has.
-func (m *Machine) IsRemoved(incarnation Incarnation) bool { return m.departures().has(incarnation) }
+func (m *Machine) IsRemoved(incarnation Incarnation) bool { return m.removals().contains(incarnation) }
 
-func (m *Machine) departures() departures {
-	return departures{at: m.state.Gone, born: m.state.GoneBorn}
+func (m *Machine) removals() removals {
+	return removals{revisions: m.state.Gone, startTimes: m.state.GoneBorn}
 }
 
 // Backends returns the registered backends, ordered by ID.
-func (m *Machine) Backends() []Backend { return objects(m.state.Backends) }
+func (m *Machine) Backends() []Backend { return sortedObjects(m.state.Backends) }
 
 // putBackend registers a backend or changes it. What has left stays out, an earlier life under the
 // same name changes nothing, and an address belongs to the newest that names it.
@@ -51,31 +51,31 @@
 	if m.IsRemoved(backend.Incarnation()) {
 		return
 	}
-	known, ok := m.BackendByName(backend.NameOrID())
+	existing, isRegistered := m.BackendByName(backend.NameOrID())
 	switch {
-	case ok && known.ID == backend.ID:
-		backend.Draining = backend.Draining || known.Draining
-		if reflect.DeepEqual(known, backend) {
+	case isRegistered && existing.ID == backend.ID:
+		backend.Draining = backend.Draining || existing.Draining
+		if reflect.DeepEqual(existing, backend) {
 			return
 		}
-		delete(m.byAddress, known.Address)
-		if known.Service != backend.Service {
+		delete(m.byAddress, existing.Address)
+		if existing.Service != backend.Service {
 			// Whoever follows only its earlier service is told that it has gone.
-			m.bury(KindBackend, known.ID)
+			m.addTombstone(KindBackend, existing.ID)
 		}
-	case ok && !backend.Incarnation().follows(known.Born):
+	case isRegistered && !backend.Incarnation().startedAfter(existing.Born):
 		return
-	case ok:
-		m.takeOut(known)
+	case isRegistered:
+		m.unregister(existing)
 	}
 	m.releaseAddress(backend)
 	delete(m.state.Silenced, backend.NameOrID())
-	next := m.nextPatient
-	if backend.Draining && !known.Draining {
-		next = m.next
+	newRevision := m.nextRevision
+	if backend.Draining && !existing.Draining {
+		newRevision = m.nextUrgentRevision
 	}
-	m.state.Backends[backend.ID] = &versioned[Backend]{Revision: next(), Object: backend}
-	m.journal.note(m.state.Revision, backend.ID)
+	m.state.Backends[backend.ID] = &versioned[Backend]{Revision: newRevision(), Object: backend}
+	m.journal.record(m.state.Revision, backend.ID)
 	m.byName[backend.NameOrID()] = backend.ID
 	m.byAddress[backend.Address] = backend.ID
 }
@@ -83,9 +83,9 @@
 // releaseAddress takes out another backend that has the address of this one. It may return: a late
 // heartbeat of one that has ended takes the address of a living one that is not heard for a moment.
 func (m *Machine) releaseAddress(backend Backend) {
-	if earlier, ok := m.BackendByAddress(backend.Address); ok && earlier.ID != backend.ID {
-		m.takeOut(earlier)
-		m.noteSilenced(earlier)
+	if holder, ok := m.BackendByAddress(backend.Address); ok && holder.ID != backend.ID {
+		m.unregister(holder)
+		m.recordSilentRemoval(holder)
 	}
 }
 
@@ -93,50 +93,50 @@
 // its last heartbeat may still be on its way.
 func (m *Machine) removeBackend(command RemoveBackend) {
 	if command.Name == "" {
-		m.removeSilent(command.ID)
+		m.removeSilentBackend(command.ID)
 		return
 	}
-	known, ok := m.BackendByName(command.Name)
+	existing, isRegistered := m.BackendByName(command.Name)
 	switch {
-	case !ok:
-		m.noteGone(Incarnation{Name: command.Name, StartTime: cmp.Or(command.Born, command.LatestBirth)})
-	case command.Born == 0 || known.Born <= command.Born:
-		m.takeOut(known)
+	case !isRegistered:
+		m.recordRemoval(Incarnation{Name: command.Name, StartTime: cmp.Or(command.Born, command.LatestBirth)})
+	case command.Born == 0 || existing.Born <= command.Born:
+		m.unregister(existing)
 	}
 }
 
 // removeSilent takes out a backend that nobody hears. Whoever reviews them may not know yet that it
 // has been taken out already.
-func (m *Machine) removeSilent(id string) {
-	known, ok := m.Backend(id)
+func (m *Machine) removeSilentBackend(id string) {
+	existing, isRegistered := m.Backend(id)
 	switch {
-	case ok:
-		m.takeOut(known)
-		m.noteSilenced(known)
+	case isRegistered:
+		m.unregister(existing)
+		m.recordSilentRemoval(existing)
 	case m.state.InUse < ReturnVersion:
-		m.noteGone(Incarnation{Name: id})
+		m.recordRemoval(Incarnation{Name: id})
 	}
 }
 
 // takeOut removes a registered backend, which stays out unless it may return.
-func (m *Machine) takeOut(known Backend) {
-	delete(m.state.Backends, known.ID)
-	delete(m.byName, known.NameOrID())
-	delete(m.byAddress, known.Address)
-	m.bury(KindBackend, known.ID)
-	m.noteGone(known.Incarnation())
+func (m *Machine) unregister(backend Backend) {
+	delete(m.state.Backends, backend.ID)
+	delete(m.byName, backend.NameOrID())
+	delete(m.byAddress, backend.Address)
+	m.addTombstone(KindBackend, backend.ID)
+	m.recordRemoval(backend.Incarnation())
 }
 
 // noteGone remembers that the incarnation has left.
-func (m *Machine) noteGone(incarnation Incarnation) {
-	m.forgetSilenced(incarnation)
+func (m *Machine) recordRemoval(incarnation Incarnation) {
+	m.forgetSilentRemoval(incarnation)
 	if m.IsRemoved(incarnation) {
 		return
 	}
-	m.departures().note(incarnation, m.state.Revision)
+	m.removals().record(incarnation, m.state.Revision)
 	if len(m.state.Gone) > maxTombstones {
 		revisions := slices.Sorted(maps.Values(m.state.Gone))
-		m.departures().forget(revisions[len(revisions)/2])
+		m.removals().forgetBefore(revisions[len(revisions)/2])
 		maps.DeleteFunc(m.state.Silenced, func(name string, _ int64) bool { return m.state.Gone[name] == 0 })
 	}
 }
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -56,21 +56,21 @@
 			golden.WriteJSON(t, file, goldenDeltas{hex.EncodeToString(full), hex.EncodeToString(partial)})
 			return
 		}
-		var told goldenDeltas
-		golden.ReadJSON(t, file, &told)
-		requireTold(t, golden.DecodeHex(t, told.Full), full)
-		requireTold(t, golden.DecodeHex(t, told.Partial), partial)
+		var expected goldenDeltas
+		golden.ReadJSON(t, file, &expected)
+		requireSameDelta(t, golden.DecodeHex(t, expected.Full), full)
+		requireSameDelta(t, golden.DecodeHex(t, expected.Partial), partial)
 	})
 }
 
 // requireTold fails unless both deltas say the same.
-func requireTold(t *testing.T, written, made []byte) {
-	require.Equal(t, golden.CanonicalSet(t, written), golden.CanonicalSet(t, made))
+func requireSameDelta(t *testing.T, expected, actual []byte) {
+	require.Equal(t, golden.CanonicalSet(t, expected), golden.CanonicalSet(t, actual))
 	var delta Delta
-	require.NoError(t, cbor.Unmarshal(written, &delta))
-	again, err := cbor.Marshal(delta)
+	require.NoError(t, cbor.Unmarshal(expected, &delta))
+	reencoded, err := cbor.Marshal(delta)
 	require.NoError(t, err)
-	require.Equal(t, golden.Canonical(t, written), golden.Canonical(t, again))
+	require.Equal(t, golden.Canonical(t, expected), golden.Canonical(t, reencoded))
 }
 
 func goldenEntries() [][]byte {
@@ -123,17 +123,17 @@
 }
 
 func goldenBackends() []Command {
-	backend := func(name string, born int64) Backend {
-		made := Backend{Service: "chat", Address: name + ":1", Zone: "a", Slots: 4, Name: name, Born: born, Models: []ModelVersion{{Model: "model", Version: 2}}}
-		made.ID = made.Name + "-1"
-		return made
+	backend := func(name string, startTime int64) Backend {
+		backend := Backend{Service: "chat", Address: name + ":1", Zone: "a", Slots: 4, Name: name, Born: startTime, Models: []ModelVersion{{Model: "model", Version: 2}}}
+		backend.ID = backend.Name + "-1"
+		return backend
 	}
-	draining, silent, again := backend("one", 10), backend("two", 10), backend("one", 20)
-	draining.Draining, silent.Silent, again.ID = true, true, "one-2"
+	draining, silent, restarted := backend("one", 10), backend("two", 10), backend("one", 20)
+	draining.Draining, silent.Silent, restarted.ID = true, true, "one-2"
 	return []Command{
 		{PutBackend: &Backend{ID: "plain", Service: "engine", Address: "plain:1", Zone: "b", Slots: 1}},
 		{Batch: []Command{{PutBackend: ptr(backend("one", 10))}, {PutBackend: ptr(backend("two", 10))}, {PutBackend: ptr(backend("three", 10))}}},
-		{PutBackend: &draining}, {PutBackend: &silent}, {PutBackend: &again}, {PutBackend: ptr(backend("one", 10))},
+		{PutBackend: &draining}, {PutBackend: &silent}, {PutBackend: &restarted}, {PutBackend: ptr(backend("one", 10))},
 		{RemoveBackend: &RemoveBackend{ID: "plain"}},
 		{RemoveBackend: &RemoveBackend{Name: "three", Born: 10}},
 		{RemoveBackend: &RemoveBackend{Name: "four", LatestBirth: 30}},
@@ -159,8 +159,8 @@
 
 // goldenSuspects come first to revisions that the offers name.
 func goldenSuspects() []Command {
-	crash := func(request, backend string, known int, of string) Command {
-		return Command{Crashes: []quarantine.Crash{{Fingerprint: quarantine.Fingerprint(request), Backend: backend, Known: known, Of: quarantine.Fingerprint(of)}}}
+	crash := func(request, backend string, known int, content string) Command {
+		return Command{Crashes: []quarantine.Crash{{Fingerprint: quarantine.Fingerprint(request), Backend: backend, Known: known, Of: quarantine.Fingerprint(content)}}}
 	}
 	commands := []Command{
 		crash("content", "a", 0, ""), crash("content", "b", 1, ""), crash("content", "c", 2, ""), crash("content", "c", 3, ""),
--- a/directory/incarnation.go
+++ b/directory/incarnation.go
@@ -15,19 +15,19 @@
 
 // birthSeparator stands between name and birth in an ID. Names come out of paths, of which they
 // are one part, so none holds it.
-const birthSeparator = "/"
+const startTimeSeparator = "/"
 
 // ID returns what names the incarnation among all backends.
 func (i Incarnation) ID() string {
 	if i.StartTime == 0 {
 		return i.Name
 	}
-	return i.Name + birthSeparator + strconv.FormatInt(i.StartTime, 10)
+	return i.Name + startTimeSeparator + strconv.FormatInt(i.StartTime, 10)
 }
 
 // follows tells whether the incarnation is a later life under the name than one born at the time.
 // One that does not say when it was born is no later than any.
-func (i Incarnation) follows(born int64) bool { return i.StartTime > born }
+func (i Incarnation) startedAfter(startTime int64) bool { return i.StartTime > startTime }
 
 // WithIncarnation returns the backend as that incarnation.
 func (b Backend) WithIncarnation(incarnation Incarnation) Backend {
@@ -51,38 +51,38 @@
 
 // departures remember the backends that have left, so that a late heartbeat does not bring one
 // back. A zero departures remembers none and must not be added to.
-type departures struct {
+type removals struct {
 	// at holds the directory's revision at which a name's newest life left.
-	at map[string]uint64
+	revisions map[string]uint64
 	// born holds that life's birth, where it is known.
-	born map[string]int64
+	startTimes map[string]int64
 }
 
 // has tells whether the incarnation has left, or is an earlier life than one that has.
-func (d departures) has(incarnation Incarnation) bool {
-	_, left := d.at[incarnation.Name]
-	return left && !incarnation.follows(d.born[incarnation.Name])
+func (d removals) contains(incarnation Incarnation) bool {
+	_, removed := d.revisions[incarnation.Name]
+	return removed && !incarnation.startedAfter(d.startTimes[incarnation.Name])
 }
 
 // note takes in that the incarnation has left, which had not.
-func (d departures) note(incarnation Incarnation, revision uint64) {
-	d.at[incarnation.Name] = revision
+func (d removals) record(incarnation Incarnation, revision uint64) {
+	d.revisions[incarnation.Name] = revision
 	if incarnation.StartTime != 0 {
-		d.born[incarnation.Name] = incarnation.StartTime
+		d.startTimes[incarnation.Name] = incarnation.StartTime
 	}
 }
 
 // drop forgets whatever has left under the name.
-func (d departures) drop(name string) {
-	delete(d.at, name)
-	delete(d.born, name)
+func (d removals) forget(name string) {
+	delete(d.revisions, name)
+	delete(d.startTimes, name)
 }
 
 // forget drops the names whose newest life left before the revision.
-func (d departures) forget(revision uint64) {
-	for name, left := range d.at {
-		if left < revision {
-			d.drop(name)
+func (d removals) forgetBefore(revision uint64) {
+	for name, removedAt := range d.revisions {
+		if removedAt < revision {
+			d.forget(name)
 		}
 	}
 }
--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -13,71 +13,71 @@
 	_ "github.com/dillchute/dillchute/internal/fixedseed"
 )
 
-func life(name string, born int64, address string) *Backend {
-	backend := Backend{Service: "s", Address: address}.WithIncarnation(Incarnation{Name: name, StartTime: born})
+func newIncarnation(name string, startTime int64, address string) *Backend {
+	backend := Backend{Service: "s", Address: address}.WithIncarnation(Incarnation{Name: name, StartTime: startTime})
 	return &backend
 }
 
-func ids(m *Machine) []string {
-	var list []string
+func backendIDs(m *Machine) []string {
+	var ids []string
 	for _, backend := range m.Backends() {
-		list = append(list, backend.ID)
+		ids = append(ids, backend.ID)
 	}
-	return list
+	return ids
 }
 
 // TestLaterLifeEndsTheEarlier: a backend that starts again under its name is another one for all
 // who follow the directory, whatever was known of the one before.
-func TestLaterLifeEndsTheEarlier(t *testing.T) {
+func TestLaterIncarnationReplacesEarlier(t *testing.T) {
 	m := NewMachine()
-	first := life("i", 100, "a:1")
-	first.Draining, first.Silent = true, true
-	first.Models = []ModelVersion{{Model: "m", Version: 7}}
-	apply(t, m, Command{PutBackend: first})
+	earlier := newIncarnation("i", 100, "a:1")
+	earlier.Draining, earlier.Silent = true, true
+	earlier.Models = []ModelVersion{{Model: "m", Version: 7}}
+	apply(t, m, Command{PutBackend: earlier})
 	before := m.Revision()
-	apply(t, m, Command{PutBackend: life("i", 200, "a:2")})
-	require.Equal(t, []string{"i/200"}, ids(m))
-	known, _ := m.BackendByName("i")
-	require.False(t, known.Draining || known.Silent)
-	require.Empty(t, known.Models)
+	apply(t, m, Command{PutBackend: newIncarnation("i", 200, "a:2")})
+	require.Equal(t, []string{"i/200"}, backendIDs(m))
+	registered, _ := m.BackendByName("i")
+	require.False(t, registered.Draining || registered.Silent)
+	require.Empty(t, registered.Models)
 	delta := m.DeltaSince(before)
 	require.Equal(t, []Removed{{Kind: KindBackend, Name: "i/100"}}, delta.Removed)
 	require.Equal(t, "i", delta.Backends[0].NameOrID())
-	_, held := m.BackendByAddress("a:1")
-	require.False(t, held, "the address of the earlier life is free")
+	_, isUsed := m.BackendByAddress("a:1")
+	require.False(t, isUsed, "the address of the earlier life is free")
 
-	apply(t, m, Command{PutBackend: first})
-	require.Equal(t, []string{"i/200"}, ids(m), "an earlier life that comes late changes nothing")
-	apply(t, m, Command{PutBackend: life("i", 0, "a:3")})
-	require.Equal(t, []string{"i/200"}, ids(m), "one that does not say when it was born replaces none that does")
+	apply(t, m, Command{PutBackend: earlier})
+	require.Equal(t, []string{"i/200"}, backendIDs(m), "an earlier life that comes late changes nothing")
+	apply(t, m, Command{PutBackend: newIncarnation("i", 0, "a:3")})
+	require.Equal(t, []string{"i/200"}, backendIDs(m), "one that does not say when it was born replaces none that does")
 }
 
 // TestLeavingLives: an ID that left and starts again later is a new life; one that left and only
 // sends a late heartbeat of that same life stays out.
-func TestLeavingLives(t *testing.T) {
+func TestRemovedIncarnations(t *testing.T) {
 	m := NewMachine()
-	apply(t, m, Command{PutBackend: life("i", 100, "a:1")})
+	apply(t, m, Command{PutBackend: newIncarnation("i", 100, "a:1")})
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{Name: "i", LatestBirth: 5000}})
-	apply(t, m, Command{PutBackend: life("i", 100, "a:1")})
-	require.Empty(t, ids(m))
-	apply(t, m, Command{PutBackend: life("i", 101, "a:1")})
-	require.Equal(t, []string{"i/101"}, ids(m))
+	apply(t, m, Command{PutBackend: newIncarnation("i", 100, "a:1")})
+	require.Empty(t, backendIDs(m))
+	apply(t, m, Command{PutBackend: newIncarnation("i", 101, "a:1")})
+	require.Equal(t, []string{"i/101"}, backendIDs(m))
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{Name: "i", Born: 100}})
-	require.Equal(t, []string{"i/101"}, ids(m), "it was an earlier life that left")
+	require.Equal(t, []string{"i/101"}, backendIDs(m), "it was an earlier life that left")
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{ID: "i/101"}})
-	require.Empty(t, ids(m))
+	require.Empty(t, backendIDs(m))
 	require.True(t, m.IsRemoved(Incarnation{Name: "i", StartTime: 101}))
 
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{Name: "unknown", LatestBirth: 5000}})
-	apply(t, m, Command{PutBackend: life("unknown", 4999, "a:2")})
-	require.Empty(t, ids(m), "its heartbeat was overtaken by its leaving")
-	apply(t, m, Command{PutBackend: life("unknown", 5001, "a:2")})
-	require.Equal(t, []string{"unknown/5001"}, ids(m))
+	apply(t, m, Command{PutBackend: newIncarnation("unknown", 4999, "a:2")})
+	require.Empty(t, backendIDs(m), "its heartbeat was overtaken by its leaving")
+	apply(t, m, Command{PutBackend: newIncarnation("unknown", 5001, "a:2")})
+	require.Equal(t, []string{"unknown/5001"}, backendIDs(m))
 }
 
 // TestStateBeforeBirths: a snapshot and commands from before births were known are read; a name
 // that left then is out until a life says when it was born.
-func TestStateBeforeBirths(t *testing.T) {
+func TestSnapshotWithoutStartTimes(t *testing.T) {
 	type earlier struct {
 		Revision uint64                         `cbor:"1,keyasint"`
 		Backends map[string]*versioned[Backend] `cbor:"7,keyasint"`
@@ -91,55 +91,55 @@
 	require.NoError(t, err)
 	m := NewMachine()
 	require.NoError(t, m.Restore(bytes.NewReader(data)))
-	known, ok := m.BackendByAddress("a:1")
+	backend, ok := m.BackendByAddress("a:1")
 	require.True(t, ok)
-	require.Equal(t, Incarnation{Name: "i"}, known.Incarnation())
-	apply(t, m, Command{PutBackend: life("left", 0, "a:2")})
-	require.Equal(t, []string{"i"}, ids(m))
+	require.Equal(t, Incarnation{Name: "i"}, backend.Incarnation())
+	apply(t, m, Command{PutBackend: newIncarnation("left", 0, "a:2")})
+	require.Equal(t, []string{"i"}, backendIDs(m))
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{ID: "i"}})
-	apply(t, m, Command{PutBackend: life("i", 0, "a:1")})
-	require.Empty(t, ids(m))
-	apply(t, m, Command{PutBackend: life("left", 50, "a:2")})
-	require.Equal(t, []string{"left/50"}, ids(m))
+	apply(t, m, Command{PutBackend: newIncarnation("i", 0, "a:1")})
+	require.Empty(t, backendIDs(m))
+	apply(t, m, Command{PutBackend: newIncarnation("left", 50, "a:2")})
+	require.Equal(t, []string{"left/50"}, backendIDs(m))
 }
 
 // TestLivesFollowTheModel draws starts, late heartbeats, leaves and contests of addresses in any
 // order, through snapshots: of each name the latest life is registered that has not left, no
 // address belongs to two, and nothing that was passed comes back.
-func TestLivesFollowTheModel(t *testing.T) {
+func TestIncarnationsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
-		latest, left, registered := map[string]int64{}, map[string]int64{}, map[string]*Backend{}
-		takeOut := func(name string) {
-			left[name] = max(left[name], registered[name].Born)
+		latest, removed, registered := map[string]int64{}, map[string]int64{}, map[string]*Backend{}
+		remove := func(name string) {
+			removed[name] = max(removed[name], registered[name].Born)
 			delete(registered, name)
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
-			born := rapid.Int64Range(1, 6).Draw(t, "born")
+			startTime := rapid.Int64Range(1, 6).Draw(t, "born")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				backend := life(name, born, rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "address"))
+				backend := newIncarnation(name, startTime, rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "address"))
 				apply(t, m, Command{PutBackend: backend})
-				if born <= left[name] || registered[name] != nil && born < registered[name].Born {
+				if startTime <= removed[name] || registered[name] != nil && startTime < registered[name].Born {
 					break
 				}
-				if registered[name] != nil && born > registered[name].Born {
-					takeOut(name)
+				if registered[name] != nil && startTime > registered[name].Born {
+					remove(name)
 				}
 				for _, other := range slices.Sorted(maps.Keys(registered)) {
 					if other != name && registered[other].Address == backend.Address {
-						takeOut(other)
+						remove(other)
 					}
 				}
 				registered[name] = backend
-				latest[name] = max(latest[name], born)
+				latest[name] = max(latest[name], startTime)
 			case 2:
-				apply(t, m, Command{RemoveBackend: &RemoveBackend{Name: name, LatestBirth: born}})
+				apply(t, m, Command{RemoveBackend: &RemoveBackend{Name: name, LatestBirth: startTime}})
 				if registered[name] != nil {
-					takeOut(name)
+					remove(name)
 				} else {
-					left[name] = max(left[name], born)
+					removed[name] = max(removed[name], startTime)
 				}
 			case 3:
 				var written bytes.Buffer
@@ -147,16 +147,16 @@
 				m = NewMachine()
 				require.NoError(t, m.Restore(&written))
 			}
-			var wanted []string
+			var expected []string
 			for _, backend := range registered {
-				wanted = append(wanted, backend.ID)
+				expected = append(expected, backend.ID)
 			}
-			slices.Sort(wanted)
-			require.Equal(t, wanted, ids(m))
+			slices.Sort(expected)
+			require.Equal(t, expected, backendIDs(m))
 			for name, backend := range registered {
 				require.Equal(t, latest[name], backend.Born)
-				at, ok := m.BackendByAddress(backend.Address)
-				require.True(t, ok && at.ID == backend.ID)
+				holder, ok := m.BackendByAddress(backend.Address)
+				require.True(t, ok && holder.ID == backend.ID)
 			}
 		}
 	})
--- a/directory/journal.go
+++ b/directory/journal.go
@@ -4,7 +4,7 @@
 
 // maxJournal bounds the changes that are remembered, at some 30 bytes each. A watcher that trails
 // by more costs a look at all backends.
-const maxJournal = 20000
+const maxJournalEntries = 20000
 
 // journal lists the latest changes of backends, so that what a watcher is to be told is found in
 // the time that the changes take and not in that of all backends: 0.5 microseconds instead of 230
@@ -22,12 +22,12 @@
 }
 
 // note takes in a change.
-func (j *journal) note(revision uint64, id string) {
+func (j *journal) record(revision uint64, id string) {
 	j.changes = append(j.changes, journalEntry{revision: revision, id: id})
-	if len(j.changes) > maxJournal {
-		surplus := len(j.changes) - maxJournal/2
-		j.floor = j.changes[surplus-1].revision
-		j.changes = slices.Clone(j.changes[surplus:])
+	if len(j.changes) > maxJournalEntries {
+		excess := len(j.changes) - maxJournalEntries/2
+		j.floor = j.changes[excess-1].revision
+		j.changes = slices.Clone(j.changes[excess:])
 	}
 }
 
@@ -37,8 +37,8 @@
 	if revision < j.floor {
 		return nil, false
 	}
-	first, _ := slices.BinarySearchFunc(j.changes, revision+1, func(entry journalEntry, wanted uint64) int {
-		if entry.revision < wanted {
+	first, _ := slices.BinarySearchFunc(j.changes, revision+1, func(entry journalEntry, target uint64) int {
+		if entry.revision < target {
 			return -1
 		}
 		return 1
--- a/directory/journal_test.go
+++ b/directory/journal_test.go
@@ -10,21 +10,21 @@
 
 // TestJournalTellsWhatAScanTells: whatever a watcher knows, also when the journal reaches back less
 // far than the watcher trails, it is told of the same backends as by a look at all of them.
-func TestJournalTellsWhatAScanTells(t *testing.T) {
+func TestJournalMatchesScan(t *testing.T) {
 	m := NewMachine()
 	const names = 300
-	for number := range maxJournal + maxJournal/4 {
+	for number := range maxJournalEntries + maxJournalEntries/4 {
 		backend := Backend{ID: fmt.Sprint(number % names), Service: "s", Address: fmt.Sprint(number % names), Slots: number}
 		apply(t, m, Command{PutBackend: &backend})
 	}
 	require.Greater(t, m.journal.floor, uint64(0))
-	require.LessOrEqual(t, len(m.journal.changes), maxJournal)
+	require.LessOrEqual(t, len(m.journal.changes), maxJournalEntries)
 	for _, since := range []uint64{0, 1, m.journal.floor - 1, m.journal.floor, m.Revision() - names - 5, m.Revision() - 1, m.Revision()} {
-		byID := func(backends []Backend) []Backend {
+		sorted := func(backends []Backend) []Backend {
 			slices.SortFunc(backends, func(a, b Backend) int { return a.Slots - b.Slots })
 			return backends
 		}
-		require.Equal(t, byID(changed(m.state.Backends, since)), byID(m.DeltaSince(since).Backends), "since %d", since)
+		require.Equal(t, sorted(changedSince(m.state.Backends, since)), sorted(m.DeltaSince(since).Backends), "since %d", since)
 	}
 }
 
@@ -33,9 +33,9 @@
 func TestUrgentChanges(t *testing.T) {
 	m := NewMachine()
 	for _, c := range []struct {
-		what    string
-		command Command
-		urgent  bool
+		name     string
+		command  Command
+		isUrgent bool
 	}{
 		{"a configuration", Command{PutConfiguration: configuration(1, "/a/")}, true},
 		{"a registration", Command{PutBackend: &Backend{ID: "a", Address: "1"}}, false},
@@ -49,7 +49,7 @@
 	} {
 		before := m.Revision()
 		apply(t, m, c.command)
-		require.Greater(t, m.Revision(), before, c.what)
-		require.Equal(t, c.urgent, m.UrgentRevision() > before, c.what)
+		require.Greater(t, m.Revision(), before, c.name)
+		require.Equal(t, c.isUrgent, m.UrgentRevision() > before, c.name)
 	}
 }
--- a/directory/machine.go
+++ b/directory/machine.go
@@ -98,18 +98,18 @@
 	journal journal
 	// urgent is the revision of the newest change that is urgent, see UrgentRevision, and versionAt that
 	// at which the configuration's version changed, or a later one.
-	urgent, versionAt uint64
-	forwarded         forwarded
+	urgentRevision, versionRevision uint64
+	forwarded                       forwarded
 }
 
 // NewMachine returns the state before the first command.
 func NewMachine() *Machine {
 	m := &Machine{}
-	m.clear()
+	m.reset()
 	return m
 }
 
-func (m *Machine) clear() {
+func (m *Machine) reset() {
 	m.state = contents{
 		Routes:   map[string]*versioned[routing.Route]{},
 		Services: map[string]*versioned[routing.Service]{},
@@ -145,7 +145,7 @@
 // Restore replaces the state by a written one; nothing to read is the state
 // before the first command. It returns an ErrUnknownVersion error for one of a later build.
 func (m *Machine) Restore(reader io.Reader) error {
-	m.clear()
+	m.reset()
 	err := cbor.NewDecoder(reader).Decode(&m.state)
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -162,7 +162,7 @@
 
 // UrgentRevision returns the revision of the newest change that must not wait for others on its way to
 // watchers: all but registrations, which let a backend be used that nobody misses yet.
-func (m *Machine) UrgentRevision() uint64 { return m.urgent }
+func (m *Machine) UrgentRevision() uint64 { return m.urgentRevision }
 
 // Version returns the version of the configuration in force.
 func (m *Machine) Version() uint64 { return m.state.Version }
@@ -172,15 +172,15 @@
 
 // Store returns a registered store, and whether there is one.
 func (m *Machine) Store(name string) (Store, bool) {
-	known := m.state.Stores[name]
-	if known == nil {
+	stored := m.state.Stores[name]
+	if stored == nil {
 		return Store{}, false
 	}
-	return known.Object, true
+	return stored.Object, true
 }
 
 // Stores returns the registered stores, ordered by name.
-func (m *Machine) Stores() []Store { return objects(m.state.Stores) }
+func (m *Machine) Stores() []Store { return sortedObjects(m.state.Stores) }
 
 // Group returns the ledger's group.
 func (m *Machine) Group() Group { return m.state.Group.Object }
@@ -191,10 +191,10 @@
 // Actions returns the newest actions of duties, by subject. It must not be changed.
 func (m *Machine) Actions() map[string]duty.Action { return m.state.Acts }
 
-func objects[T any](known map[string]*versioned[T]) []T {
-	list := make([]T, 0, len(known))
-	for _, name := range slices.Sorted(maps.Keys(known)) {
-		list = append(list, known[name].Object)
+func sortedObjects[T any](stored map[string]*versioned[T]) []T {
+	list := make([]T, 0, len(stored))
+	for _, name := range slices.Sorted(maps.Keys(stored)) {
+		list = append(list, stored[name].Object)
 	}
 	return list
 }
@@ -260,23 +260,23 @@
 	return 0
 }
 
-func (m *Machine) next() uint64 {
-	m.urgent = m.nextPatient()
-	return m.urgent
+func (m *Machine) nextUrgentRevision() uint64 {
+	m.urgentRevision = m.nextRevision()
+	return m.urgentRevision
 }
 
 // nextPatient is next for a change that is not urgent.
-func (m *Machine) nextPatient() uint64 {
+func (m *Machine) nextRevision() uint64 {
 	m.state.Revision++
 	return m.state.Revision
 }
 
-func (m *Machine) bury(kind ObjectKind, name string) {
-	m.state.Removed = append(m.state.Removed, tombstone{Revision: m.next(), Kind: kind, Name: name})
+func (m *Machine) addTombstone(kind ObjectKind, name string) {
+	m.state.Removed = append(m.state.Removed, tombstone{Revision: m.nextUrgentRevision(), Kind: kind, Name: name})
 	if len(m.state.Removed) > maxTombstones {
-		surplus := len(m.state.Removed) - keptTombstones
-		m.state.Floor = m.state.Removed[surplus-1].Revision
-		m.state.Removed = slices.Clone(m.state.Removed[surplus:])
+		excess := len(m.state.Removed) - keptTombstones
+		m.state.Floor = m.state.Removed[excess-1].Revision
+		m.state.Removed = slices.Clone(m.state.Removed[excess:])
 	}
 }
 
@@ -287,7 +287,7 @@
 		return
 	}
 	m.state.Version, m.state.Source = configuration.Version, command.Source
-	m.versionAt = m.next()
+	m.versionRevision = m.nextUrgentRevision()
 	routes := make(map[string]routing.Route, len(configuration.Routes))
 	for _, route := range configuration.Routes {
 		routes[route.Key()] = route
@@ -302,55 +302,55 @@
 	}
 	syncObjects(m, m.state.Tenants, tenants, KindTenant)
 	syncObjects(m, m.state.Routes, routes, KindRoute)
-	m.forwarded = forwardedBy(m.state.Routes)
+	m.forwarded = newForwarded(m.state.Routes)
 	syncObjects(m, m.state.Services, services, KindService)
-	m.forgetOrders()
+	m.removeObsoleteOrders()
 	if m.state.Limits.Object != configuration.Limits {
-		m.state.Limits = versioned[routing.Limits]{Revision: m.next(), Object: configuration.Limits}
+		m.state.Limits = versioned[routing.Limits]{Revision: m.nextUrgentRevision(), Object: configuration.Limits}
 	}
 }
 
 // syncObjects makes the known objects those wanted, with as few changes as
 // that takes, in the order of their names.
-func syncObjects[T any](m *Machine, known map[string]*versioned[T], wanted map[string]T, kind ObjectKind) {
-	for _, name := range slices.Sorted(maps.Keys(known)) {
-		if _, ok := wanted[name]; !ok {
-			delete(known, name)
-			m.bury(kind, name)
+func syncObjects[T any](m *Machine, stored map[string]*versioned[T], desired map[string]T, kind ObjectKind) {
+	for _, name := range slices.Sorted(maps.Keys(stored)) {
+		if _, ok := desired[name]; !ok {
+			delete(stored, name)
+			m.addTombstone(kind, name)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(wanted)) {
-		object := wanted[name]
-		if current := known[name]; current == nil || !reflect.DeepEqual(current.Object, object) {
-			known[name] = &versioned[T]{Revision: m.next(), Object: object}
+	for _, name := range slices.Sorted(maps.Keys(desired)) {
+		object := desired[name]
+		if current := stored[name]; current == nil || !reflect.DeepEqual(current.Object, object) {
+			stored[name] = &versioned[T]{Revision: m.nextUrgentRevision(), Object: object}
 		}
 	}
 }
 
-func (m *Machine) nameVersion(named ModelVersion) {
-	if current := m.state.Models[named.Model]; current != nil && current.Object >= named.Version {
+func (m *Machine) nameVersion(version ModelVersion) {
+	if current := m.state.Models[version.Model]; current != nil && current.Object >= version.Version {
 		return
 	}
-	m.state.Models[named.Model] = &versioned[uint64]{Revision: m.next(), Object: named.Version}
+	m.state.Models[version.Model] = &versioned[uint64]{Revision: m.nextUrgentRevision(), Object: version.Version}
 }
 
 // putStore registers a store. One that comes back empty is another replica, and
 // whatever was decided about the earlier one does not concern it.
 func (m *Machine) putStore(store Store) {
-	if known, ok := m.Store(store.Name); ok && known.Replica == store.Replica {
-		store.Retiring, store.Retired = known.Retiring, known.Retired
-		if known == store {
+	if existing, ok := m.Store(store.Name); ok && existing.Replica == store.Replica {
+		store.Retiring, store.Retired = existing.Retiring, existing.Retired
+		if existing == store {
 			return
 		}
 	}
-	m.state.Stores[store.Name] = &versioned[Store]{Revision: m.next(), Object: store}
+	m.state.Stores[store.Name] = &versioned[Store]{Revision: m.nextUrgentRevision(), Object: store}
 }
 
 func (m *Machine) formGroup(group Group) {
 	if len(m.state.Group.Object.Members) > 0 {
 		return
 	}
-	m.state.Group = versioned[Group]{Revision: m.next(), Object: group}
+	m.state.Group = versioned[Group]{Revision: m.nextUrgentRevision(), Object: group}
 }
 
 // reportGroup takes in the group's membership, and marks retiring stores that
@@ -359,12 +359,12 @@
 	if group.Number < m.state.Group.Object.Number {
 		return
 	}
-	m.state.Group = versioned[Group]{Revision: m.next(), Object: group}
+	m.state.Group = versioned[Group]{Revision: m.nextUrgentRevision(), Object: group}
 	for _, store := range m.Stores() {
 		isMember := slices.ContainsFunc(group.Members, func(member consensus.Member) bool { return member.ID == store.Replica })
 		if store.Retiring && !store.Retired && !isMember {
 			store.Retired = true
-			m.state.Stores[store.Name] = &versioned[Store]{Revision: m.next(), Object: store}
+			m.state.Stores[store.Name] = &versioned[Store]{Revision: m.nextUrgentRevision(), Object: store}
 		}
 	}
 }
@@ -388,6 +388,6 @@
 		return RetireTooFew
 	}
 	store.Retiring = true
-	m.state.Stores[store.Name] = &versioned[Store]{Revision: m.next(), Object: store}
+	m.state.Stores[store.Name] = &versioned[Store]{Revision: m.nextUrgentRevision(), Object: store}
 	return RetireAccepted
 }
--- a/directory/machine_test.go
+++ b/directory/machine_test.go
@@ -36,7 +36,7 @@
 
 // TestHighestVersionHolds: a version that does not exceed the one held leaves
 // everything unchanged, also with other content under the same number.
-func TestHighestVersionHolds(t *testing.T) {
+func TestHighestConfigurationVersionWins(t *testing.T) {
 	m := NewMachine()
 	require.Equal(t, uint64(5), apply(t, m, Command{PutConfiguration: configuration(5, "/a/")}).Version)
 	revision := m.Revision()
@@ -49,7 +49,7 @@
 
 // TestBackendThatLeftStaysOut: neither a late heartbeat nor a late mark of
 // being ready brings back what has left or drains.
-func TestBackendThatLeftStaysOut(t *testing.T) {
+func TestRemovedBackendStaysRemoved(t *testing.T) {
 	m := NewMachine()
 	ready := Backend{ID: "i", Service: "s", Address: "a:1"}
 	draining := ready
@@ -57,8 +57,8 @@
 	apply(t, m, Command{PutBackend: &ready})
 	apply(t, m, Command{PutBackend: &draining})
 	apply(t, m, Command{PutBackend: &ready})
-	known, ok := m.Backend("i")
-	require.True(t, ok && known.Draining)
+	backend, ok := m.Backend("i")
+	require.True(t, ok && backend.Draining)
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{ID: "i"}})
 	apply(t, m, Command{PutBackend: &ready})
 	_, ok = m.Backend("i")
@@ -67,7 +67,7 @@
 
 // TestAddressBelongsToTheNewest: a backend that registers takes the address
 // from the one that had it, which must be gone.
-func TestAddressBelongsToTheNewest(t *testing.T) {
+func TestNewestBackendOwnsAddress(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, Command{PutBackend: &Backend{ID: "old", Service: "s", Address: "a:1"}})
 	apply(t, m, Command{PutBackend: &Backend{ID: "new", Service: "other", Address: "a:1"}})
@@ -112,7 +112,7 @@
 
 // TestCatalogFollowsMachine: whatever happens, and however far a watcher
 // trails, its copy after a delta is that of a watcher that starts anew.
-func TestCatalogFollowsMachine(t *testing.T) {
+func TestCatalogMatchesMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, catalog, version := NewMachine(), NewCatalog(), uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
--- a/directory/orders.go
+++ b/directory/orders.go
@@ -13,8 +13,8 @@
 // was held up.
 func (m *Machine) putOrder(order capacity.Order) {
 	key := orderKey(order.Wish)
-	held, known := m.state.Orders[key]
-	if order.Number < held.Number || known && order.Number == held.Number && order.Wish != held.Wish {
+	current, exists := m.state.Orders[key]
+	if order.Number < current.Number || exists && order.Number == current.Number && order.Wish != current.Wish {
 		return
 	}
 	m.state.Orders[key] = order
@@ -37,7 +37,7 @@
 }
 
 // forgetOrders drops the orders of services that are not there any more.
-func (m *Machine) forgetOrders() {
+func (m *Machine) removeObsoleteOrders() {
 	maps.DeleteFunc(m.state.Orders, func(_ string, order capacity.Order) bool {
 		return m.state.Services[order.Wish.Service] == nil
 	})
--- a/directory/orders_test.go
+++ b/directory/orders_test.go
@@ -20,13 +20,13 @@
 	revision := m.Revision()
 	order := func(service, zone string, reclaimable bool, count int, number uint64, answer capacity.Answer) capacity.Order {
 		wish := capacity.Wish{Service: service, Zone: zone, Reclaimable: reclaimable, Count: count}
-		kept := capacity.Order{Wish: wish, Number: number, Before: 2, Answer: answer}
-		apply(t, m, Command{Order: &kept})
-		return kept
+		recorded := capacity.Order{Wish: wish, Number: number, Before: 2, Answer: answer}
+		apply(t, m, Command{Order: &recorded})
+		return recorded
 	}
 	order("s", "a", false, 3, 1, capacity.Open)
 	answered := order("s", "a", false, 3, 1, capacity.Taken)
-	cheap := order("s", "a", true, 5, 1, capacity.Exhausted)
+	reclaimable := order("s", "a", true, 5, 1, capacity.Exhausted)
 	order("s", "b", false, 4, 1, capacity.Open)
 	newer := order("s", "b", false, 6, 2, capacity.Open)
 	order("s", "b", false, 4, 1, capacity.Taken)
@@ -36,13 +36,13 @@
 	require.NoError(t, m.Snapshot()(&snapshot))
 	restored := NewMachine()
 	require.NoError(t, restored.Restore(&snapshot))
-	for _, held := range []*Machine{m, restored} {
-		require.Equal(t, []capacity.Order{answered, cheap, newer}, held.Orders("s"))
-		require.Equal(t, []capacity.Order{other}, held.Orders("t"))
-		require.Equal(t, revision, held.Revision(), "no watcher is told")
+	for _, machine := range []*Machine{m, restored} {
+		require.Equal(t, []capacity.Order{answered, reclaimable, newer}, machine.Orders("s"))
+		require.Equal(t, []capacity.Order{other}, machine.Orders("t"))
+		require.Equal(t, revision, machine.Revision(), "no watcher is told")
 	}
 	require.Equal(t, 3, answered.Count())
-	require.Equal(t, 2, cheap.Count(), "it was refused")
+	require.Equal(t, 2, reclaimable.Count(), "it was refused")
 
 	apply(t, m, Command{PutConfiguration: &PutConfiguration{Configuration: routing.Configuration{Version: 2, Services: services[:1]}}})
 	require.Len(t, m.Orders("s"), 3)
@@ -51,7 +51,7 @@
 
 // TestOrdersOfTheSameNumber: another wish under a number that is taken comes from a holder that was
 // held up, and changes nothing; the same one is an answer.
-func TestOrdersOfTheSameNumber(t *testing.T) {
+func TestOrdersWithSameNumber(t *testing.T) {
 	m := NewMachine()
 	order := func(count int, answer capacity.Answer) {
 		wish := capacity.Wish{Service: "s", Zone: "a", Count: count}
--- a/directory/scope.go
+++ b/directory/scope.go
@@ -40,7 +40,7 @@
 }
 
 // forwardedBy returns the services to which the routes send single requests.
-func forwardedBy(routes map[string]*versioned[routing.Route]) forwarded {
+func newForwarded(routes map[string]*versioned[routing.Route]) forwarded {
 	f := forwarded{services: map[string]bool{}}
 	var names []string
 	for _, route := range routes {
@@ -65,7 +65,7 @@
 }
 
 // held returns what a watcher of the scope holds once it has taken in a delta made now.
-func (m *Machine) held(scope Scope) string {
+func (m *Machine) scopeKey(scope Scope) string {
 	if scope == ScopeForwarded {
 		return string(scope) + "-" + m.forwarded.digest
 	}
@@ -73,7 +73,7 @@
 }
 
 // IsScopeCurrent reports whether the watcher holds the backends that are in its scope now.
-func (m *Machine) IsScopeCurrent(watch Watch) bool { return m.held(watch.Scope) == watch.Held }
+func (m *Machine) IsScopeCurrent(watch Watch) bool { return m.scopeKey(watch.Scope) == watch.Held }
 
 // DeltaFor returns what a watcher is to be told.
 func (m *Machine) DeltaFor(watch Watch) Delta {
@@ -82,7 +82,7 @@
 		since = 0
 	}
 	delta := m.DeltaSince(since)
-	delta.Held = m.held(watch.Scope)
+	delta.Held = m.scopeKey(watch.Scope)
 	switch watch.Scope {
 	case ScopeNone:
 		delta.Backends, delta.Models = nil, nil
@@ -99,14 +99,14 @@
 
 // IsEmpty tells whether the delta says nothing but that there is another revision.
 func (d Delta) IsEmpty() bool {
-	return !d.Full && !d.otherVersion && d.Limits == nil && d.Group == nil && len(d.Routes) == 0 && len(d.Services) == 0 &&
+	return !d.Full && !d.versionChanged && d.Limits == nil && d.Group == nil && len(d.Routes) == 0 && len(d.Services) == 0 &&
 		len(d.Backends) == 0 && len(d.Models) == 0 && len(d.Stores) == 0 && len(d.Removed) == 0 && len(d.Tenants) == 0 &&
 		len(d.Suspects) == 0 && len(d.Zones) == 0
 }
 
 // putZone notes where a replica of the directory is.
-func (m *Machine) putZone(at ReplicaZone) {
-	if known := m.state.Zones[at.Address]; known == nil || known.Object != at.Zone {
-		m.state.Zones[at.Address] = &versioned[string]{Revision: m.next(), Object: at.Zone}
+func (m *Machine) putZone(replica ReplicaZone) {
+	if stored := m.state.Zones[replica.Address]; stored == nil || stored.Object != replica.Zone {
+		m.state.Zones[replica.Address] = &versioned[string]{Revision: m.nextUrgentRevision(), Object: replica.Zone}
 	}
 }
--- a/directory/scope_test.go
+++ b/directory/scope_test.go
@@ -27,14 +27,14 @@
 }
 
 // follower is a watcher of one scope.
-type follower struct {
+type scopedWatcher struct {
 	scope   Scope
 	catalog *Catalog
 }
 
-func (f *follower) take(m *Machine) Delta {
-	delta := m.DeltaFor(Watch{Since: f.catalog.Revision, Scope: f.scope, Held: f.catalog.Held})
-	f.catalog = f.catalog.With(delta)
+func (w *scopedWatcher) update(m *Machine) Delta {
+	delta := m.DeltaFor(Watch{Since: w.catalog.Revision, Scope: w.scope, Held: w.catalog.Held})
+	w.catalog = w.catalog.With(delta)
 	return delta
 }
 
@@ -43,9 +43,9 @@
 func TestScopes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
-		followers := []*follower{{scope: ScopeAll}, {scope: ScopeForwarded}, {scope: ScopeNone}}
-		for _, f := range followers {
-			f.catalog = NewCatalog()
+		watchers := []*scopedWatcher{{scope: ScopeAll}, {scope: ScopeForwarded}, {scope: ScopeNone}}
+		for _, w := range watchers {
+			w.catalog = NewCatalog()
 		}
 		names := []string{"plain", "other", "engines"}
 		routed := map[string]bool{}
@@ -68,18 +68,18 @@
 			case 3:
 				apply(t, m, Command{RemoveBackend: &RemoveBackend{ID: id}})
 			}
-			for _, f := range followers {
+			for _, w := range watchers {
 				if rapid.Bool().Draw(t, "looks") {
 					continue
 				}
-				f.take(m)
-				require.Equal(t, m.Version(), f.catalog.Version)
-				require.Equal(t, m.Revision(), f.catalog.Revision)
+				w.update(m)
+				require.Equal(t, m.Version(), w.catalog.Version)
+				require.Equal(t, m.Revision(), w.catalog.Revision)
 				for _, backend := range m.Backends() {
-					held, ok := f.catalog.Backend(backend.ID)
-					wanted := f.scope == ScopeAll || f.scope == ScopeForwarded && routed[backend.Service]
-					require.Equal(t, wanted, ok, "%s of %s in %q", backend.ID, backend.Service, f.scope)
-					require.Equal(t, f.scope == ScopeAll, len(held.Models) > 0)
+					copied, ok := w.catalog.Backend(backend.ID)
+					expected := w.scope == ScopeAll || w.scope == ScopeForwarded && routed[backend.Service]
+					require.Equal(t, expected, ok, "%s of %s in %q", backend.ID, backend.Service, w.scope)
+					require.Equal(t, w.scope == ScopeAll, len(copied.Models) > 0)
 				}
 			}
 		}
@@ -87,15 +87,15 @@
 }
 
 // TestScopedWatchersSleep: what is out of a watcher's scope is no news to it.
-func TestScopedWatchersSleep(t *testing.T) {
+func TestScopeFiltersDeltas(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, Command{PutConfiguration: routesTo(1, "plain")})
-	gateway, runner := &follower{scope: ScopeForwarded, catalog: NewCatalog()}, &follower{scope: ScopeNone, catalog: NewCatalog()}
-	require.False(t, gateway.take(m).IsEmpty())
-	require.False(t, runner.take(m).IsEmpty())
+	gateway, runner := &scopedWatcher{scope: ScopeForwarded, catalog: NewCatalog()}, &scopedWatcher{scope: ScopeNone, catalog: NewCatalog()}
+	require.False(t, gateway.update(m).IsEmpty())
+	require.False(t, runner.update(m).IsEmpty())
 	for _, c := range []struct {
-		command         Command
-		gateway, runner bool
+		command                         Command
+		gatewayNotified, runnerNotified bool
 	}{
 		{Command{PutBackend: &Backend{ID: "e", Address: "1", Service: "engines"}}, false, false},
 		{Command{NameVersion: &ModelVersion{Model: "m", Version: 2}}, false, false},
@@ -106,8 +106,8 @@
 		{Command{PutConfiguration: routesTo(3, "plain", "engines")}, true, true},
 	} {
 		apply(t, m, c.command)
-		require.Equal(t, c.gateway, !gateway.take(m).IsEmpty(), "%+v", c.command)
-		require.Equal(t, c.runner, !runner.take(m).IsEmpty(), "%+v", c.command)
+		require.Equal(t, c.gatewayNotified, !gateway.update(m).IsEmpty(), "%+v", c.command)
+		require.Equal(t, c.runnerNotified, !runner.update(m).IsEmpty(), "%+v", c.command)
 	}
 	_, ok := gateway.catalog.Backend("e")
 	require.True(t, ok, "a service that gateways forward to by now")
--- a/directory/services.go
+++ b/directory/services.go
@@ -8,25 +8,25 @@
 
 // fewChanges is the number of changed backends up to which the lists of services are changed
 // in their places instead of being made anew.
-const fewChanges = 32
+const minRebuildChanges = 32
 
 // manyParts is the part of all backends, as its inverse, beyond which changing the lists in their
 // places costs more than making them anew.
-const manyParts = 20
+const rebuildDivisor = 20
 
 // indexBackends makes the lists of services' backends; base is the catalog before the delta.
 func (c *Catalog) indexBackends(base *Catalog, delta Delta) {
-	removed := delta.removed(KindBackend)
+	removed := delta.removedNames(KindBackend)
 	switch changes := len(delta.Backends) + len(removed); {
-	case delta.Full || changes > fewChanges && changes*manyParts > c.backends.count:
-		c.listAllBackends()
+	case delta.Full || changes > minRebuildChanges && changes*rebuildDivisor > c.backends.count:
+		c.rebuildLists()
 	case changes > 0:
-		c.byService = changeLists(base, c, delta.Backends, removed)
+		c.byService = updatedLists(base, c, delta.Backends, removed)
 	}
 }
 
 // listAllBackends makes all lists anew.
-func (c *Catalog) listAllBackends() {
+func (c *Catalog) rebuildLists() {
 	c.byService = map[string][]*Backend{}
 	for backend := range c.backends.all() {
 		c.byService[backend.Service] = append(c.byService[backend.Service], backend)
@@ -38,19 +38,19 @@
 
 // changeLists returns the lists of the base after the changes. Lists that nothing concerns
 // are shared, and the others copied: others may be reading those of the base.
-func changeLists(base, next *Catalog, changed []Backend, removed []string) map[string][]*Backend {
-	lists := serviceLists{byService: maps.Clone(base.byService), own: map[string]bool{}}
+func updatedLists(base, next *Catalog, changed []Backend, removed []string) map[string][]*Backend {
+	lists := serviceLists{byService: maps.Clone(base.byService), copied: map[string]bool{}}
 	if lists.byService == nil {
 		lists.byService = map[string][]*Backend{}
 	}
 	for _, id := range removed {
-		if earlier := base.backends.get(id); earlier != nil {
-			lists.remove(earlier)
+		if previous := base.backends.get(id); previous != nil {
+			lists.remove(previous)
 		}
 	}
 	for _, backend := range changed {
-		if earlier := base.backends.get(backend.ID); earlier != nil {
-			lists.remove(earlier)
+		if previous := base.backends.get(backend.ID); previous != nil {
+			lists.remove(previous)
 		}
 		lists.add(next.backends.get(backend.ID))
 	}
@@ -60,7 +60,7 @@
 // serviceLists are lists of backends under change. Those that are own were copied.
 type serviceLists struct {
 	byService map[string][]*Backend
-	own       map[string]bool
+	copied    map[string]bool
 }
 
 // find returns the place of the backend in the list of its service, and whether it is there.
@@ -72,31 +72,31 @@
 
 // copyList makes the service's list one that may be changed.
 func (l serviceLists) copyList(service string) {
-	if !l.own[service] {
+	if !l.copied[service] {
 		l.byService[service] = slices.Clone(l.byService[service])
-		l.own[service] = true
+		l.copied[service] = true
 	}
 }
 
 func (l serviceLists) remove(backend *Backend) {
-	place, ok := l.find(backend)
+	index, ok := l.find(backend)
 	if !ok {
 		return
 	}
 	l.copyList(backend.Service)
-	list := slices.Delete(l.byService[backend.Service], place, place+1)
+	list := slices.Delete(l.byService[backend.Service], index, index+1)
 	l.byService[backend.Service] = list
 	if len(list) == 0 {
 		delete(l.byService, backend.Service)
-		delete(l.own, backend.Service)
+		delete(l.copied, backend.Service)
 	}
 }
 
 func (l serviceLists) add(backend *Backend) {
-	place, ok := l.find(backend)
+	index, ok := l.find(backend)
 	if ok {
 		return
 	}
 	l.copyList(backend.Service)
-	l.byService[backend.Service] = slices.Insert(l.byService[backend.Service], place, backend)
+	l.byService[backend.Service] = slices.Insert(l.byService[backend.Service], index, backend)
 }
--- a/directory/services_test.go
+++ b/directory/services_test.go
@@ -12,7 +12,7 @@
 
 // TestListsOfServicesFollowChanges: a catalog that took in changes bit by bit lists the same
 // backends as one that took in all at once, and no earlier catalog changes.
-func TestListsOfServicesFollowChanges(t *testing.T) {
+func TestServiceListsMatchFullDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := NewMachine()
 		catalog := NewCatalog()
@@ -29,23 +29,23 @@
 					apply(t, machine, Command{PutBackend: &backend})
 				}
 			}
-			before, listed := catalog, lists(catalog)
+			before, listed := catalog, describeLists(catalog)
 			catalog = catalog.With(machine.DeltaSince(catalog.Revision))
-			whole := NewCatalog().With(machine.DeltaSince(0))
-			require.Equal(t, whole.byService, catalog.byService)
-			require.Equal(t, whole.BackendCount(), catalog.BackendCount())
-			for backend := range whole.backends.all() {
-				same, ok := catalog.Backend(backend.ID)
+			full := NewCatalog().With(machine.DeltaSince(0))
+			require.Equal(t, full.byService, catalog.byService)
+			require.Equal(t, full.BackendCount(), catalog.BackendCount())
+			for backend := range full.backends.all() {
+				incremental, ok := catalog.Backend(backend.ID)
 				require.True(t, ok)
-				require.Equal(t, *backend, same)
+				require.Equal(t, *backend, incremental)
 			}
-			require.Equal(t, listed, lists(before))
+			require.Equal(t, listed, describeLists(before))
 		}
 	})
 }
 
 // lists returns what the catalog lists, in words.
-func lists(catalog *Catalog) string {
+func describeLists(catalog *Catalog) string {
 	text := ""
 	for _, service := range slices.Sorted(maps.Keys(catalog.byService)) {
 		for _, backend := range catalog.byService[service] {
--- a/directory/shards.go
+++ b/directory/shards.go
@@ -15,23 +15,23 @@
 
 // shards are backends by their IDs. They are immutable; with returns the next ones, which share
 // with these whatever has not changed.
-type shards struct {
+type backendShards struct {
 	parts [shardCount]map[string]*Backend
 	count int
 }
 
-func shardOf(id string) int { return int(maphash.String(shardSeed, id) % shardCount) }
+func shardIndex(id string) int { return int(maphash.String(shardSeed, id) % shardCount) }
 
 // get returns the backend of the ID, or nil. It must not be changed.
-func (s *shards) get(id string) *Backend {
+func (s *backendShards) get(id string) *Backend {
 	if s == nil {
 		return nil
 	}
-	return s.parts[shardOf(id)][id]
+	return s.parts[shardIndex(id)][id]
 }
 
 // all returns the backends in any order.
-func (s *shards) all() iter.Seq[*Backend] {
+func (s *backendShards) all() iter.Seq[*Backend] {
 	return func(yield func(*Backend) bool) {
 		if s == nil {
 			return
@@ -47,25 +47,25 @@
 }
 
 // with returns the backends after some were removed and then others put.
-func (s *shards) with(put []Backend, removed []string) *shards {
+func (s *backendShards) with(put []Backend, removed []string) *backendShards {
 	if len(put) == 0 && len(removed) == 0 && s != nil {
 		return s
 	}
-	next := &shards{}
+	next := &backendShards{}
 	if s != nil {
 		*next = *s
 	}
-	var own [shardCount]bool
+	var copied [shardCount]bool
 	part := func(id string) map[string]*Backend {
-		place := shardOf(id)
-		if !own[place] {
-			own[place] = true
-			next.parts[place] = maps.Clone(next.parts[place])
-			if next.parts[place] == nil {
-				next.parts[place] = map[string]*Backend{}
+		index := shardIndex(id)
+		if !copied[index] {
+			copied[index] = true
+			next.parts[index] = maps.Clone(next.parts[index])
+			if next.parts[index] == nil {
+				next.parts[index] = map[string]*Backend{}
 			}
 		}
-		return next.parts[place]
+		return next.parts[index]
 	}
 	for _, id := range removed {
 		delete(part(id), id)
--- a/directory/suspects.go
+++ b/directory/suspects.go
@@ -11,25 +11,25 @@
 // Suspect returns what is known of a request, with the revision of its last change, and whether
 // anything is.
 func (m *Machine) Suspect(fingerprint quarantine.Fingerprint) (quarantine.Suspect, uint64, bool) {
-	known := m.state.Suspects[fingerprint]
-	if known == nil {
+	stored := m.state.Suspects[fingerprint]
+	if stored == nil {
 		return quarantine.Suspect{}, 0, false
 	}
-	return known.Object, known.Revision, true
+	return stored.Object, stored.Revision, true
 }
 
 // Suspects calls the function with each suspect and the revision of its last change.
 func (m *Machine) Suspects(each func(suspect quarantine.Suspect, revision uint64)) {
-	for _, known := range m.state.Suspects {
-		each(known.Object, known.Revision)
+	for _, stored := range m.state.Suspects {
+		each(stored.Object, stored.Revision)
 	}
 }
 
 // applySuspects carries out what a command says of suspects.
 func (m *Machine) applySuspects(command Command) {
 	for _, crash := range command.Crashes {
-		known, _, _ := m.Suspect(crash.Fingerprint)
-		if next, news := known.WithCrash(crash); news {
+		suspect, _, _ := m.Suspect(crash.Fingerprint)
+		if next, isChanged := suspect.WithCrash(crash); isChanged {
 			m.putSuspect(next)
 		}
 	}
@@ -37,8 +37,8 @@
 		m.removeSuspect(fingerprint)
 	}
 	if offer := command.OfferTrial; offer != nil {
-		if known, revision, ok := m.Suspect(offer.Fingerprint); ok && revision == offer.Revision {
-			m.putSuspect(known.WithTrialOffered())
+		if suspect, revision, ok := m.Suspect(offer.Fingerprint); ok && revision == offer.Revision {
+			m.putSuspect(suspect.WithTrialOffered())
 		}
 	}
 	if forget := command.ForgetSuspect; forget != nil {
@@ -50,39 +50,39 @@
 
 // takeTrial gives the trial of a request to whoever asks first.
 func (m *Machine) takeTrial(fingerprint quarantine.Fingerprint) bool {
-	known, _, ok := m.Suspect(fingerprint)
-	if !ok || !known.Offered {
+	suspect, _, ok := m.Suspect(fingerprint)
+	if !ok || !suspect.Offered {
 		return false
 	}
-	m.putSuspect(known.WithTrialTaken())
+	m.putSuspect(suspect.WithTrialTaken())
 	return true
 }
 
 func (m *Machine) putSuspect(suspect quarantine.Suspect) {
 	if m.state.Suspects[suspect.Fingerprint] == nil && len(m.state.Suspects) >= maxSuspects {
-		m.removeSuspect(m.leastSuspect())
+		m.removeSuspect(m.suspectToEvict())
 	}
-	m.state.Suspects[suspect.Fingerprint] = &versioned[quarantine.Suspect]{Revision: m.next(), Object: suspect}
+	m.state.Suspects[suspect.Fingerprint] = &versioned[quarantine.Suspect]{Revision: m.nextUrgentRevision(), Object: suspect}
 }
 
 // leastSuspect returns the suspect to be given up for another: one that is not held back goes
 // first, and among alike the one that changed longest ago. Revisions differ, so each replica
 // chooses the same.
-func (m *Machine) leastSuspect() quarantine.Fingerprint {
-	var least *versioned[quarantine.Suspect]
-	for _, known := range m.state.Suspects {
-		if least == nil || goesBefore(known, least) {
-			least = known
+func (m *Machine) suspectToEvict() quarantine.Fingerprint {
+	var candidate *versioned[quarantine.Suspect]
+	for _, stored := range m.state.Suspects {
+		if candidate == nil || evictsBefore(stored, candidate) {
+			candidate = stored
 		}
 	}
-	return least.Object.Fingerprint
+	return candidate.Object.Fingerprint
 }
 
-func goesBefore(one, other *versioned[quarantine.Suspect]) bool {
-	if one.Object.IsQuarantined() != other.Object.IsQuarantined() {
-		return other.Object.IsQuarantined()
+func evictsBefore(a, b *versioned[quarantine.Suspect]) bool {
+	if a.Object.IsQuarantined() != b.Object.IsQuarantined() {
+		return b.Object.IsQuarantined()
 	}
-	return one.Revision < other.Revision
+	return a.Revision < b.Revision
 }
 
 func (m *Machine) removeSuspect(fingerprint quarantine.Fingerprint) {
@@ -90,5 +90,5 @@
 		return
 	}
 	delete(m.state.Suspects, fingerprint)
-	m.bury(KindSuspect, string(fingerprint))
+	m.addTombstone(KindSuspect, string(fingerprint))
 }
--- a/directory/suspects_test.go
+++ b/directory/suspects_test.go
@@ -10,30 +10,30 @@
 	"github.com/dillchute/dillchute/quarantine"
 )
 
-const deadly = quarantine.Fingerprint("deadly")
+const crashing = quarantine.Fingerprint("deadly")
 
 // crashTimes has a request end backends one after the other.
-func crashTimes(m *Machine, fingerprint quarantine.Fingerprint, times int) {
-	for number := range times {
+func reportCrashes(m *Machine, fingerprint quarantine.Fingerprint, count int) {
+	for number := range count {
 		m.Apply(Command{Crashes: []quarantine.Crash{{Fingerprint: fingerprint, Backend: fmt.Sprint(number), Known: number}}}.Encode())
 	}
 }
 
 // TestSuspectsOutliveTheirProcesses: what is known of a request is in snapshots, and reaches
 // watchers that trail as well as those that start; so does its end.
-func TestSuspectsOutliveTheirProcesses(t *testing.T) {
+func TestSuspectsInSnapshotsAndDeltas(t *testing.T) {
 	m := NewMachine()
 	trailing := NewCatalog().With(m.DeltaSince(0))
-	crashTimes(m, deadly, quarantine.CrashThreshold)
+	reportCrashes(m, crashing, quarantine.CrashThreshold)
 	var written bytes.Buffer
 	require.NoError(t, m.Snapshot()(&written))
 	restored := NewMachine()
 	require.NoError(t, restored.Restore(&written))
 	trailing = trailing.With(restored.DeltaSince(trailing.Revision))
-	started := NewCatalog().With(restored.DeltaSince(0))
-	require.True(t, trailing.Suspects[deadly].IsQuarantined())
-	require.True(t, started.Suspects[deadly].IsQuarantined())
-	restored.Apply(Command{Answered: []quarantine.Fingerprint{deadly}}.Encode())
+	fresh := NewCatalog().With(restored.DeltaSince(0))
+	require.True(t, trailing.Suspects[crashing].IsQuarantined())
+	require.True(t, fresh.Suspects[crashing].IsQuarantined())
+	restored.Apply(Command{Answered: []quarantine.Fingerprint{crashing}}.Encode())
 	trailing = trailing.With(restored.DeltaSince(trailing.Revision))
 	require.Empty(t, trailing.Suspects)
 }
@@ -42,41 +42,41 @@
 // by a state that has passed has no effect.
 func TestTrialIsTakenOnce(t *testing.T) {
 	m := NewMachine()
-	crashTimes(m, deadly, quarantine.CrashThreshold)
-	_, revision, _ := m.Suspect(deadly)
+	reportCrashes(m, crashing, quarantine.CrashThreshold)
+	_, revision, _ := m.Suspect(crashing)
 	take := func() bool {
-		result, err := DecodeResult(m.Apply(Command{TakeTrial: deadly}.Encode()))
+		result, err := DecodeResult(m.Apply(Command{TakeTrial: crashing}.Encode()))
 		require.NoError(t, err)
 		return result.Granted
 	}
 	require.False(t, take(), "none is offered")
-	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: deadly, Revision: revision}}.Encode())
+	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: crashing, Revision: revision}}.Encode())
 	require.True(t, take())
 	require.False(t, take())
-	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: deadly, Revision: revision}}.Encode())
+	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: crashing, Revision: revision}}.Encode())
 	require.False(t, take(), "a resent offer of an earlier state")
-	m.Apply(Command{ForgetSuspect: &SuspectRevision{Fingerprint: deadly, Revision: revision}}.Encode())
-	_, _, known := m.Suspect(deadly)
+	m.Apply(Command{ForgetSuspect: &SuspectRevision{Fingerprint: crashing, Revision: revision}}.Encode())
+	_, _, known := m.Suspect(crashing)
 	require.True(t, known, "it has changed since")
 }
 
 // TestSuspectsAreBounded: beyond the bound those that are not held back go first.
 func TestSuspectsAreBounded(t *testing.T) {
 	m := NewMachine()
-	crashTimes(m, deadly, quarantine.CrashThreshold)
+	reportCrashes(m, crashing, quarantine.CrashThreshold)
 	for number := range maxSuspects + 10 {
-		crashTimes(m, quarantine.Fingerprint(fmt.Sprint("other-", number)), 1)
+		reportCrashes(m, quarantine.Fingerprint(fmt.Sprint("other-", number)), 1)
 	}
 	require.Len(t, m.state.Suspects, maxSuspects)
-	known, _, ok := m.Suspect(deadly)
+	suspect, _, ok := m.Suspect(crashing)
 	require.True(t, ok)
-	require.True(t, known.IsQuarantined())
+	require.True(t, suspect.IsQuarantined())
 	_, _, ok = m.Suspect("other-0")
 	require.False(t, ok)
 }
 
 // TestKindsOutliveTheirProcesses: what is known of a kind is in snapshots and reaches watchers.
-func TestKindsOutliveTheirProcesses(t *testing.T) {
+func TestKindsInSnapshotsAndDeltas(t *testing.T) {
 	m := NewMachine()
 	for number := range quarantine.CrashThreshold {
 		m.Apply(Command{Crashes: []quarantine.Crash{{
@@ -87,6 +87,6 @@
 	require.NoError(t, m.Snapshot()(&written))
 	restored := NewMachine()
 	require.NoError(t, restored.Restore(&written))
-	started := NewCatalog().With(restored.DeltaSince(0))
-	require.True(t, started.Suspects["kind"].IsQuarantined())
+	fresh := NewCatalog().With(restored.DeltaSince(0))
+	require.True(t, fresh.Suspects["kind"].IsQuarantined())
 }
--- a/directory/version.go
+++ b/directory/version.go
@@ -50,49 +50,49 @@
 	}
 	m.state.InUse = command.Version
 	for _, id := range command.Silenced {
-		if incarnation := IncarnationFromID(id); m.isNewestGone(incarnation) {
+		if incarnation := IncarnationFromID(id); m.isNewestRemoved(incarnation) {
 			m.state.Silenced[incarnation.Name] = incarnation.StartTime
 		}
 	}
 }
 
 // isNewestGone tells whether the incarnation is the newest of its name that has left.
-func (m *Machine) isNewestGone(incarnation Incarnation) bool {
+func (m *Machine) isNewestRemoved(incarnation Incarnation) bool {
 	_, isRegistered := m.byName[incarnation.Name]
 	return !isRegistered && m.IsRemoved(incarnation) && m.state.GoneBorn[incarnation.Name] == incarnation.StartTime
 }
 
 // IncarnationFromID returns the incarnation that has the ID.
 func IncarnationFromID(id string) Incarnation {
-	name, birth, found := strings.Cut(id, birthSeparator)
+	name, startText, found := strings.Cut(id, startTimeSeparator)
 	if !found {
 		return Incarnation{Name: id}
 	}
-	born, err := strconv.ParseInt(birth, 10, 64)
+	startTime, err := strconv.ParseInt(startText, 10, 64)
 	if err != nil {
 		return Incarnation{Name: id}
 	}
-	return Incarnation{Name: name, StartTime: born}
+	return Incarnation{Name: name, StartTime: startTime}
 }
 
 // MayReturn tells whether the incarnation was taken out only because nobody heard it, and has not
 // left since.
 func (m *Machine) MayReturn(incarnation Incarnation) bool {
-	born, silenced := m.state.Silenced[incarnation.Name]
-	return silenced && born == incarnation.StartTime
+	startTime, isSilent := m.state.Silenced[incarnation.Name]
+	return isSilent && startTime == incarnation.StartTime
 }
 
 // noteSilenced remembers that a backend which was taken out may come back. One that drained was
 // about to leave, and stays out.
-func (m *Machine) noteSilenced(known Backend) {
-	if m.state.InUse >= ReturnVersion && !known.Draining {
-		m.state.Silenced[known.NameOrID()] = known.Born
+func (m *Machine) recordSilentRemoval(backend Backend) {
+	if m.state.InUse >= ReturnVersion && !backend.Draining {
+		m.state.Silenced[backend.NameOrID()] = backend.Born
 	}
 }
 
 // forgetSilenced has what was silenced under the name stay out, if it was born by then.
-func (m *Machine) forgetSilenced(incarnation Incarnation) {
-	if born, silenced := m.state.Silenced[incarnation.Name]; silenced && born <= incarnation.StartTime {
+func (m *Machine) forgetSilentRemoval(incarnation Incarnation) {
+	if startTime, isSilent := m.state.Silenced[incarnation.Name]; isSilent && startTime <= incarnation.StartTime {
 		delete(m.state.Silenced, incarnation.Name)
 	}
 }
@@ -103,6 +103,6 @@
 	if !m.MayReturn(incarnation) {
 		return
 	}
-	m.departures().drop(incarnation.Name)
+	m.removals().forget(incarnation.Name)
 	m.putBackend(backend)
 }
--- a/directory/watch.go
+++ b/directory/watch.go
@@ -34,7 +34,7 @@
 	Held string `cbor:"16,keyasint,omitempty"`
 
 	// otherVersion is set where the configuration's version has changed.
-	otherVersion bool
+	versionChanged bool
 }
 
 // Removed names an object that is there no more.
@@ -47,17 +47,17 @@
 // DeltaSince returns what changed after the revision.
 func (m *Machine) DeltaSince(since uint64) Delta {
 	s := &m.state
-	delta := Delta{Revision: s.Revision, Version: s.Version, otherVersion: m.versionAt > since}
+	delta := Delta{Revision: s.Revision, Version: s.Version, versionChanged: m.versionRevision > since}
 	if since < s.Floor || since > s.Revision {
 		delta.Full, since = true, 0
 	}
 	delta.Full = delta.Full || since == 0
-	delta.Routes = changed(s.Routes, since)
-	delta.Services = changed(s.Services, since)
+	delta.Routes = changedSince(s.Routes, since)
+	delta.Services = changedSince(s.Services, since)
 	delta.Backends = m.changedBackends(since)
-	delta.Stores = changed(s.Stores, since)
-	delta.Tenants = changed(s.Tenants, since)
-	delta.Suspects = changed(s.Suspects, since)
+	delta.Stores = changedSince(s.Stores, since)
+	delta.Tenants = changedSince(s.Tenants, since)
+	delta.Suspects = changedSince(s.Suspects, since)
 	if s.Limits.Revision > since {
 		limits := s.Limits.Object
 		delta.Limits = &limits
@@ -86,9 +86,9 @@
 
 // changedBackends returns the backends that have changed after the revision.
 func (m *Machine) changedBackends(since uint64) []Backend {
-	entries, known := m.journal.since(since)
-	if !known {
-		return changed(m.state.Backends, since)
+	entries, isComplete := m.journal.since(since)
+	if !isComplete {
+		return changedSince(m.state.Backends, since)
 	}
 	var list []Backend
 	for _, entry := range entries {
@@ -100,9 +100,9 @@
 	return list
 }
 
-func changed[K comparable, T any](known map[K]*versioned[T], since uint64) []T {
+func changedSince[K comparable, T any](stored map[K]*versioned[T], since uint64) []T {
 	var list []T
-	for _, object := range known {
+	for _, object := range stored {
 		if object.Revision > since {
 			list = append(list, object.Object)
 		}
@@ -131,13 +131,13 @@
 	Held string
 
 	routes    map[string]routing.Route
-	backends  *shards
+	backends  *backendShards
 	byService map[string][]*Backend
 	// ended are the backends that have ended under the suspects.
-	ended   map[string]bool
+	crashed map[string]bool
 	tenants map[string]routing.Tenant
 	// byKey holds the tenant of each key.
-	byKey map[string]routing.Tenant
+	tenantByKey map[string]routing.Tenant
 }
 
 // NewCatalog returns a catalog that holds nothing.
@@ -169,14 +169,14 @@
 
 // HasCrashed tells whether the backend is known to have ended under a request. It is still
 // listed until it is given up, or another one registers at its address.
-func (c *Catalog) HasCrashed(id string) bool { return c.ended[id] }
+func (c *Catalog) HasCrashed(id string) bool { return c.crashed[id] }
 
 // HasTenants tells whether requests need a key.
 func (c *Catalog) HasTenants() bool { return len(c.tenants) > 0 }
 
 // TenantByKey returns the tenant that holds the key, and whether there is one.
 func (c *Catalog) TenantByKey(key string) (routing.Tenant, bool) {
-	tenant, ok := c.byKey[key]
+	tenant, ok := c.tenantByKey[key]
 	return tenant, ok
 }
 
@@ -188,13 +188,13 @@
 	}
 	next := &Catalog{
 		Revision: delta.Revision, Version: delta.Version, Limits: base.Limits, Group: base.Group,
-		Table: base.Table, Replicas: c.Replicas, byService: base.byService, byKey: base.byKey, ended: base.ended, Held: delta.Held,
+		Table: base.Table, Replicas: c.Replicas, byService: base.byService, tenantByKey: base.tenantByKey, crashed: base.crashed, Held: delta.Held,
 	}
-	next.routes = merge(base.routes, delta.Routes, routing.Route.Key, delta.removed(KindRoute))
-	next.Services = merge(base.Services, delta.Services, func(s routing.Service) string { return s.Name }, delta.removed(KindService))
-	next.backends = base.backends.with(delta.Backends, delta.removed(KindBackend))
-	next.tenants = merge(base.tenants, delta.Tenants, func(t routing.Tenant) string { return t.Name }, delta.removed(KindTenant))
-	next.Suspects = merge(base.Suspects, delta.Suspects, suspectKey, removedAs[quarantine.Fingerprint](delta, KindSuspect))
+	next.routes = merge(base.routes, delta.Routes, routing.Route.Key, delta.removedNames(KindRoute))
+	next.Services = merge(base.Services, delta.Services, func(s routing.Service) string { return s.Name }, delta.removedNames(KindService))
+	next.backends = base.backends.with(delta.Backends, delta.removedNames(KindBackend))
+	next.tenants = merge(base.tenants, delta.Tenants, func(t routing.Tenant) string { return t.Name }, delta.removedNames(KindTenant))
+	next.Suspects = merge(base.Suspects, delta.Suspects, suspectKey, removedKeys[quarantine.Fingerprint](delta, KindSuspect))
 	next.Stores = merge(base.Stores, delta.Stores, func(s Store) string { return s.Name }, nil)
 	next.Zones = merge(base.Zones, delta.Zones, func(z ReplicaZone) string { return z.Address }, nil)
 	next.Models = mergeModels(base.Models, delta.Models)
@@ -207,13 +207,13 @@
 	if len(delta.Replicas) > 0 {
 		next.Replicas = delta.Replicas
 	}
-	next.index(base, delta)
+	next.updateIndexes(base, delta)
 	return next
 }
 
 // index makes the tables anew that the delta concerns; base is the catalog before it.
-func (c *Catalog) index(base *Catalog, delta Delta) {
-	if delta.Full || len(delta.Routes) > 0 || len(delta.removed(KindRoute)) > 0 {
+func (c *Catalog) updateIndexes(base *Catalog, delta Delta) {
+	if delta.Full || len(delta.Routes) > 0 || len(delta.removedNames(KindRoute)) > 0 {
 		routes := make([]routing.Route, 0, len(c.routes))
 		for _, route := range c.routes {
 			routes = append(routes, route)
@@ -221,51 +221,51 @@
 		c.Table = routing.NewTable(routes)
 	}
 	c.indexBackends(base, delta)
-	if len(delta.Suspects) > 0 || len(delta.removed(KindSuspect)) > 0 {
-		c.ended = endedUnder(c.Suspects)
+	if len(delta.Suspects) > 0 || len(delta.removedNames(KindSuspect)) > 0 {
+		c.crashed = crashedBackends(c.Suspects)
 	}
-	if delta.Full || len(delta.Tenants) > 0 || len(delta.removed(KindTenant)) > 0 {
-		c.byKey = map[string]routing.Tenant{}
+	if delta.Full || len(delta.Tenants) > 0 || len(delta.removedNames(KindTenant)) > 0 {
+		c.tenantByKey = map[string]routing.Tenant{}
 		for _, tenant := range c.tenants {
 			for _, key := range tenant.Keys {
-				c.byKey[key] = tenant
+				c.tenantByKey[key] = tenant
 			}
 		}
 	}
 }
 
 // endedUnder returns the backends that have ended under the suspects.
-func endedUnder(suspects map[quarantine.Fingerprint]quarantine.Suspect) map[string]bool {
-	ended := map[string]bool{}
+func crashedBackends(suspects map[quarantine.Fingerprint]quarantine.Suspect) map[string]bool {
+	crashed := map[string]bool{}
 	for _, suspect := range suspects {
 		for _, backend := range suspect.Ended {
-			ended[backend] = true
+			crashed[backend] = true
 		}
 	}
-	return ended
+	return crashed
 }
 
-func (d Delta) removed(kind ObjectKind) []string { return removedAs[string](d, kind) }
+func (d Delta) removedNames(kind ObjectKind) []string { return removedKeys[string](d, kind) }
 
 // removedAs returns the names of the removed objects of the kind.
-func removedAs[K ~string](d Delta, kind ObjectKind) []K {
-	var names []K
+func removedKeys[K ~string](d Delta, kind ObjectKind) []K {
+	var keys []K
 	for _, removed := range d.Removed {
 		if removed.Kind == kind {
-			names = append(names, K(removed.Name))
+			keys = append(keys, K(removed.Name))
 		}
 	}
-	return names
+	return keys
 }
 
 func suspectKey(suspect quarantine.Suspect) quarantine.Fingerprint { return suspect.Fingerprint }
 
 // merge returns the objects after the changes. Without any it returns the same map.
-func merge[K comparable, T any](known map[K]T, changes []T, key func(T) K, removed []K) map[K]T {
+func merge[K comparable, T any](base map[K]T, changes []T, key func(T) K, removed []K) map[K]T {
 	if len(changes) == 0 && len(removed) == 0 {
-		return known
+		return base
 	}
-	merged := maps.Clone(known)
+	merged := maps.Clone(base)
 	if merged == nil {
 		merged = make(map[K]T, len(changes))
 	}
@@ -278,12 +278,12 @@
 	return merged
 }
 
-func mergeModels(known map[string]uint64, changes []ModelVersion) map[string]uint64 {
+func mergeModels(base map[string]uint64, changes []ModelVersion) map[string]uint64 {
 	if len(changes) == 0 {
-		return known
+		return base
 	}
-	merged := make(map[string]uint64, len(known)+len(changes))
-	for model, version := range known {
+	merged := make(map[string]uint64, len(base)+len(changes))
+	for model, version := range base {
 		merged[model] = version
 	}
 	for _, change := range changes {
--- a/directory/watch_bench_test.go
+++ b/directory/watch_bench_test.go
@@ -28,9 +28,9 @@
 
 // sizes are numbers of backends: what a change costs must not grow with those that it does not
 // concern.
-var sizes = []int{100, 1000, 10000}
+var backendCounts = []int{100, 1000, 10000}
 
-func backendsOf(count int) []Backend {
+func newBackends(count int) []Backend {
 	var backends []Backend
 	for number := range count {
 		backends = append(backends, Backend{
@@ -42,7 +42,7 @@
 }
 
 // registered returns a machine in which that many backends are registered.
-func registered(b *testing.B, backends []Backend) *Machine {
+func newMachineWith(b *testing.B, backends []Backend) *Machine {
 	m := NewMachine()
 	for _, backend := range backends {
 		m.Apply(Command{PutBackend: &backend}.Encode())
@@ -52,10 +52,10 @@
 
 // BenchmarkRegister registers one backend more, which takes over an address.
 func BenchmarkRegister(b *testing.B) {
-	for _, size := range sizes {
+	for _, size := range backendCounts {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			backends := backendsOf(size)
-			m := registered(b, backends)
+			backends := newBackends(size)
+			m := newMachineWith(b, backends)
 			for number := 0; b.Loop(); number++ {
 				backend := backends[number%size]
 				backend.ID = fmt.Sprint("next-", number)
@@ -67,9 +67,9 @@
 
 // BenchmarkDeltaOfOneChange finds out what a watcher is to be told after one change.
 func BenchmarkDeltaOfOneChange(b *testing.B) {
-	for _, size := range sizes {
+	for _, size := range backendCounts {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			m := registered(b, backendsOf(size))
+			m := newMachineWith(b, newBackends(size))
 			for b.Loop() {
 				m.DeltaSince(m.Revision() - 1)
 			}
@@ -78,10 +78,10 @@
 }
 
 // BenchmarkTakeOneChange takes one change into a watcher's copy.
-func BenchmarkTakeOneChange(b *testing.B) {
-	for _, size := range sizes {
+func BenchmarkApplyOneChange(b *testing.B) {
+	for _, size := range backendCounts {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			backends := backendsOf(size)
+			backends := newBackends(size)
 			catalog := NewCatalog().With(Delta{Revision: 1, Full: true, Backends: backends})
 			b.ReportAllocs()
 			for number := 0; b.Loop(); number++ {
