--- a/directory/backends.go
+++ b/directory/backends.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// indexBackends makes the indexes of backends anew, and begins a journal of their changes.
+// indexBackends rebuilds what is derived from the stored state and starts an empty journal.
 func (m *Machine) indexBackends() {
 	m.journal, m.urgentRevision, m.versionRevision = journal{floor: m.state.Revision}, m.state.Revision, m.state.Revision
 	m.forwarded = newForwarded(m.state.Routes)
@@ -18,7 +18,7 @@
 	}
 }
 
-// Backend returns a registered backend, and whether there is one.
+// Backend returns the registered backend with the ID, and whether it exists.
 func (m *Machine) Backend(id string) (Backend, bool) {
 	stored := m.state.Backends[id]
 	if stored == nil {
@@ -27,15 +27,15 @@
 	return stored.Object, true
 }
 
-// BackendByAddress returns the backend that is registered at the address, and whether there is one.
+// BackendByAddress returns the backend registered at the address, and whether it exists.
 func (m *Machine) BackendByAddress(address string) (Backend, bool) {
 	return m.Backend(m.byAddress[address])
 }
 
-// BackendByName returns the incarnation that is registered under the name, and whether there is one.
+// BackendByName returns the incarnation registered under the name, and whether it exists.
 func (m *Machine) BackendByName(name string) (Backend, bool) { return m.Backend(m.byName[name]) }
 
-// IsRemoved reports whether the incarnation has left, or is an earlier life than one that has.
+// IsRemoved reports whether the incarnation, or a later one of the same name, was removed.
 func (m *Machine) IsRemoved(incarnation Incarnation) bool { return m.removals().contains(incarnation) }
 
 func (m *Machine) removals() removals {
@@ -45,8 +45,8 @@
 // Backends returns the registered backends, ordered by ID.
 func (m *Machine) Backends() []Backend { return sortedObjects(m.state.Backends) }
 
-// putBackend registers a backend or changes it. What has left stays out, an earlier life under the
-// same name changes nothing, and an address belongs to the newest that names it.
+// putBackend registers or updates a backend. It ignores removed incarnations and those that are older
+// than the one registered under the name. An address belongs to the backend that registered it last.
 func (m *Machine) putBackend(backend Backend) {
 	if m.IsRemoved(backend.Incarnation()) {
 		return
@@ -60,7 +60,7 @@
 		}
 		delete(m.byAddress, existing.Address)
 		if existing.Service != backend.Service {
-			// Whoever follows only its earlier service is told that it has gone.
+			// Watchers of its previous service only must remove it.
 			m.addTombstone(KindBackend, existing.ID)
 		}
 	case isRegistered && !backend.Incarnation().startedAfter(existing.Born):
@@ -80,8 +80,8 @@
 	m.byAddress[backend.Address] = backend.ID
 }
 
-// releaseAddress takes out another backend that has the address of this one. It may return: a late
-// heartbeat of one that has ended takes the address of a living one that is not heard for a moment.
+// releaseAddress removes another backend that is registered at the address of this one. It may return:
+// a late heartbeat of a terminated backend can take the address of a running one that is briefly silent.
 func (m *Machine) releaseAddress(backend Backend) {
 	if holder, ok := m.BackendByAddress(backend.Address); ok && holder.ID != backend.ID {
 		m.unregister(holder)
@@ -89,8 +89,8 @@
 	}
 }
 
-// removeBackend carries out a command. A name that nobody is registered under stays out, too:
-// its last heartbeat may still be on its way.
+// removeBackend applies the command. The removal of a name that is not registered is recorded too,
+// because a heartbeat of it may still arrive.
 func (m *Machine) removeBackend(command RemoveBackend) {
 	if command.Name == "" {
 		m.removeSilentBackend(command.ID)
@@ -105,8 +105,8 @@
 	}
 }
 
-// removeSilent takes out a backend that nobody hears. Whoever reviews them may not know yet that it
-// has been taken out already.
+// removeSilentBackend removes a backend that sends no heartbeats. It may be removed already: the command
+// may result from a stale copy of the directory.
 func (m *Machine) removeSilentBackend(id string) {
 	existing, isRegistered := m.Backend(id)
 	switch {
@@ -118,7 +118,7 @@
 	}
 }
 
-// takeOut removes a registered backend, which stays out unless it may return.
+// unregister removes a registered backend. It stays removed unless it may return.
 func (m *Machine) unregister(backend Backend) {
 	delete(m.state.Backends, backend.ID)
 	delete(m.byName, backend.NameOrID())
@@ -127,7 +127,8 @@
 	m.recordRemoval(backend.Incarnation())
 }
 
-// noteGone remembers that the incarnation has left.
+// recordRemoval records that the incarnation was removed. If there are too many records, it drops the
+// older half.
 func (m *Machine) recordRemoval(incarnation Incarnation) {
 	m.forgetSilentRemoval(incarnation)
 	if m.IsRemoved(incarnation) {
--- a/directory/command.go
+++ b/directory/command.go
@@ -1,7 +1,6 @@
-// Package directory is the replicated state machine that tells which backends
-// exist and how requests reach them: the routing configuration, registered
-// backends, the newest versions of models' weights, and the members of the
-// ledger's groups. Apply is a pure function of state and command.
+// Package directory implements the replicated state machine that holds the routing configuration,
+// the registered backends, the newest versions of models' weights and the members of the ledger's
+// group. Apply is deterministic: the result depends only on the state and the command.
 package directory
 
 import (
@@ -15,7 +14,7 @@
 	"github.com/dillchute/dillchute/usage"
 )
 
-// Command is one entry of the replicated log. Exactly one field is set.
+// Command is an entry of the replicated log. Exactly one field is set.
 type Command struct {
 	PutConfiguration *PutConfiguration `cbor:"1,keyasint,omitempty"`
 	PutBackend       *Backend          `cbor:"2,keyasint,omitempty"`
@@ -25,89 +24,88 @@
 	FormGroup        *Group            `cbor:"6,keyasint,omitempty"`
 	ReportGroup      *Group            `cbor:"7,keyasint,omitempty"`
 	Retire           *Retire           `cbor:"8,keyasint,omitempty"`
-	// CountUsage holds totals of gateways, FixUsage a window that is closed, and ToldUsage
-	// one that was reported.
+	// CountUsage adds the totals of gateways, FixUsage closes a window, and ToldUsage removes the
+	// report of a window after it was delivered.
 	CountUsage []usage.Totals `cbor:"9,keyasint,omitempty"`
 	FixUsage   int64          `cbor:"10,keyasint,omitempty"`
 	ToldUsage  int64          `cbor:"11,keyasint,omitempty"`
-	// Act says that its holder is about to carry out a duty.
+	// Act records that the holder of a duty is about to act.
 	Act *duty.Action `cbor:"12,keyasint,omitempty"`
-	// Crashes and Answered are what processes tell of requests that may crash backends.
+	// Crashes are reported crashes, and Answered the suspects that got a response.
 	Crashes  []quarantine.Crash       `cbor:"13,keyasint,omitempty"`
 	Answered []quarantine.Fingerprint `cbor:"14,keyasint,omitempty"`
-	// OfferTrial and TakeTrial let a request that is held back be sent once, and ForgetSuspect
-	// drops one that is not.
+	// OfferTrial and TakeTrial allow one send of a quarantined request. ForgetSuspect removes a
+	// suspect that is not quarantined.
 	OfferTrial    *SuspectRevision       `cbor:"15,keyasint,omitempty"`
 	TakeTrial     quarantine.Fingerprint `cbor:"16,keyasint,omitempty"`
 	ForgetSuspect *SuspectRevision       `cbor:"17,keyasint,omitempty"`
-	// Batch are changes of backends, carried out in their order.
+	// Batch holds changes of backends, which are applied in order.
 	Batch []Command `cbor:"18,keyasint,omitempty"`
-	// PutZone tells where a replica of the directory is.
+	// PutZone records the zone of a replica of the directory.
 	PutZone *ReplicaZone `cbor:"19,keyasint,omitempty"`
-	// Order is an order of backends that is about to be sent, or has been answered.
+	// Order is a capacity order that is about to be sent or was answered.
 	Order *capacity.Order `cbor:"20,keyasint,omitempty"`
-	// RaiseVersion has later meanings of commands used.
+	// RaiseVersion raises the version of the commands' meaning.
 	RaiseVersion *RaiseVersion `cbor:"21,keyasint,omitempty"`
-	// ReturnBackend registers a backend again that was taken out only because nobody heard it. It
-	// is written from ReturnVersion on.
+	// ReturnBackend registers a backend again that was removed because it was silent. It is written
+	// from ReturnVersion on.
 	ReturnBackend *Backend `cbor:"22,keyasint,omitempty"`
 }
 
-// ReplicaZone tells in which zone the replica of the directory at an address is.
+// ReplicaZone is the zone of the replica of the directory at an address.
 type ReplicaZone struct {
 	_       struct{} `cbor:",toarray"`
 	Address string
 	Zone    string
 }
 
-// SuspectRevision names a suspect as of a revision: a command about it has no effect once it has
-// changed.
+// SuspectRevision identifies a suspect at a revision. A command with it has no effect if the suspect has
+// changed since.
 type SuspectRevision struct {
 	Fingerprint quarantine.Fingerprint `cbor:"1,keyasint"`
 	Revision    uint64                 `cbor:"2,keyasint"`
 }
 
-// PutConfiguration puts a configuration into force if its version is higher
-// than the one held.
+// PutConfiguration replaces the configuration if its version is higher than the current one.
 type PutConfiguration struct {
 	Configuration routing.Configuration `cbor:"1,keyasint"`
-	// Source is the document as it was received, which reads return unchanged.
+	// Source is the document as received. Reads return it unchanged.
 	Source []byte `cbor:"2,keyasint"`
 }
 
-// RemoveBackend takes out a backend. Either the ID of one incarnation is set or a name.
+// RemoveBackend removes a backend, identified by either ID or Name.
 type RemoveBackend struct {
-	// ID takes out an incarnation that nobody hears. From ReturnVersion on it may return; before
-	// it does not come back, as one that is named never does.
+	// ID identifies a silent incarnation. From ReturnVersion on it may return. Before, and if the
+	// backend is removed by Name, it may not.
 	ID string `cbor:"1,keyasint"`
-	// Name takes out whichever incarnation is registered under it.
+	// Name identifies the incarnation that is registered under it.
 	Name string `cbor:"2,keyasint,omitempty"`
-	// Born is when the incarnation of that name started, in milliseconds since 1970, or 0 if it
-	// does not say.
+	// Born is the start time of the incarnation in Unix milliseconds, or 0 if unknown. An
+	// incarnation that started later is not removed.
 	Born int64 `cbor:"3,keyasint,omitempty"`
-	// LatestBirth is the latest birth under that name that stays out if none is registered and
-	// Born is not known.
+	// LatestBirth replaces Born if that is 0 and no incarnation is registered under the name: those
+	// that started no later cannot register.
 	LatestBirth int64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Backend is one incarnation of a process that serves requests.
 type Backend struct {
-	// ID names the incarnation, see Incarnation.ID.
+	// ID identifies the incarnation, see Incarnation.ID.
 	ID      string `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint"`
 	Address string `cbor:"3,keyasint"`
 	Zone    string `cbor:"4,keyasint"`
 	Slots   int    `cbor:"5,keyasint"`
-	// Draining backends get no new requests; the mark is never taken back.
+	// Draining backends get no new requests. An incarnation never stops draining.
 	Draining bool `cbor:"6,keyasint"`
-	// Silent backends have sent no heartbeat for some time.
+	// Silent backends have not sent a heartbeat for some time.
 	Silent bool           `cbor:"7,keyasint"`
 	Models []ModelVersion `cbor:"8,keyasint"`
-	// Name is what the backend calls itself, empty where that is its ID, and Born when it
-	// started, in milliseconds since 1970, or 0 if it does not say.
+	// Name is the name that the backend reports, empty if it equals ID. Born is its start time in
+	// Unix milliseconds, or 0 if unknown.
 	Name string `cbor:"9,keyasint,omitempty"`
 	Born int64  `cbor:"10,keyasint,omitempty"`
-	// Reclaimable backends may be taken away at short notice.
+	// Reclaimable backends may be withdrawn at short notice.
 	Reclaimable bool `cbor:"11,keyasint,omitempty"`
 }
 
@@ -118,39 +116,38 @@
 	Version uint64
 }
 
-// Store is a process that keeps a replica of the ledger.
+// Store is a process with a replica of the ledger.
 type Store struct {
 	Name    string              `cbor:"1,keyasint"`
 	Address string              `cbor:"2,keyasint"`
 	Zone    string              `cbor:"3,keyasint"`
 	Replica consensus.ReplicaID `cbor:"4,keyasint"`
-	// Fresh is set on a store that has never held data and may be a first
-	// member of a group.
+	// Fresh is set if the store never held data, so that it may be an initial member of a group.
 	Fresh bool `cbor:"5,keyasint"`
-	// Retiring is an operator's wish to empty the store; Retired says that it
-	// holds nothing that the group needs.
+	// Retiring is set once an operator has requested to retire the store, and Retired once it is no
+	// longer a member of the group.
 	Retiring bool `cbor:"6,keyasint"`
 	Retired  bool `cbor:"7,keyasint"`
 }
 
-// Group is the membership of a group of ledger replicas, as last reported.
+// Group is the last reported membership of a group of ledger replicas.
 type Group struct {
 	Members []consensus.Member `cbor:"1,keyasint"`
-	// Number grows with each report, so that a late one is ignored.
+	// Number increases with each report, so that stale reports are ignored.
 	Number uint64 `cbor:"2,keyasint"`
 }
 
-// Retire asks for a store to be emptied.
+// Retire requests that a store leaves the group.
 type Retire struct {
 	Name string `cbor:"1,keyasint"`
-	// Replicas is the least number of stores that must remain.
+	// Replicas is the minimum number of stores that must remain.
 	Replicas int `cbor:"2,keyasint"`
 }
 
-// RetireOutcome tells what became of a Retire.
+// RetireOutcome is the outcome of a Retire command.
 type RetireOutcome uint8
 
-// The outcomes.
+// Outcomes of a Retire command: accepted, unknown store, too few stores would remain.
 const (
 	RetireAccepted RetireOutcome = iota + 1
 	RetireUnknown
@@ -159,31 +156,31 @@
 
 // Result is the outcome of a command.
 type Result struct {
-	// Version is the configuration's version held after the command.
+	// Version is the version of the configuration after the command.
 	Version uint64        `cbor:"1,keyasint"`
 	Retire  RetireOutcome `cbor:"2,keyasint"`
-	// Granted says that a trial was taken.
+	// Granted reports whether a trial was taken.
 	Granted bool `cbor:"3,keyasint,omitempty"`
 }
 
 var deterministic = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic("directory: encoder options: " + err.Error())
+		panic("directory: creating the encoder: " + err.Error())
 	}
 	return mode
 }()
 
-// Encode returns the command as bytes for the log.
+// Encode returns the command encoded for the log.
 func (c Command) Encode() []byte {
 	data, err := deterministic.Marshal(c)
 	if err != nil {
-		panic("directory: a command must encode: " + err.Error())
+		panic("directory: encoding a command: " + err.Error())
 	}
 	return data
 }
 
-// DecodeResult reads a command's outcome.
+// DecodeResult decodes the result of Apply.
 func DecodeResult(data []byte) (Result, error) {
 	var result Result
 	err := cbor.Unmarshal(data, &result)
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -16,7 +16,7 @@
 	"github.com/dillchute/dillchute/usage"
 )
 
-// TestGoldenCommands reads each command of earlier builds, and what they keep.
+// TestGoldenCommands checks that commands, results and snapshots of earlier builds can be read.
 func TestGoldenCommands(t *testing.T) {
 	decode := func(data []byte, into any) error { return cbor.Unmarshal(data, into) }
 	encode := func(value any) []byte {
@@ -33,16 +33,16 @@
 	})
 }
 
-// goldenSince is the revision after which the partial delta tells.
+// goldenSince is the revision after which the partial delta holds changes.
 const goldenSince = 20
 
-// goldenDeltas are what watchers are told after a golden log.
+// goldenDeltas are the encoded deltas after a golden log.
 type goldenDeltas struct {
 	Full    string `json:"full"`
 	Partial string `json:"partial"`
 }
 
-// TestGoldenLog applies the logs of earlier builds, and tells watchers what these told them.
+// TestGoldenLog checks that logs of earlier builds yield the deltas that these builds sent.
 func TestGoldenLog(t *testing.T) {
 	newMachine := func() golden.Machine { return NewMachine() }
 	golden.CheckLog(t, newMachine, goldenEntries(), func(t *testing.T, file string, applied golden.Machine) {
@@ -63,7 +63,7 @@
 	})
 }
 
-// requireTold fails unless both deltas say the same.
+// requireSameDelta fails unless both encoded deltas are equal, regardless of the order in lists.
 func requireSameDelta(t *testing.T, expected, actual []byte) {
 	require.Equal(t, golden.CanonicalSet(t, expected), golden.CanonicalSet(t, actual))
 	var delta Delta
@@ -81,7 +81,7 @@
 	return entries
 }
 
-// goldenCommands use each command, with and without an effect.
+// goldenCommands returns commands of each kind, with and without an effect.
 func goldenCommands() []Command {
 	var commands []Command
 	commands = append(commands, goldenConfigurations()...)
@@ -124,9 +124,9 @@
 
 func goldenBackends() []Command {
 	backend := func(name string, startTime int64) Backend {
-		backend := Backend{Service: "chat", Address: name + ":1", Zone: "a", Slots: 4, Name: name, Born: startTime, Models: []ModelVersion{{Model: "model", Version: 2}}}
-		backend.ID = backend.Name + "-1"
-		return backend
+		created := Backend{Service: "chat", Address: name + ":1", Zone: "a", Slots: 4, Name: name, Born: startTime, Models: []ModelVersion{{Model: "model", Version: 2}}}
+		created.ID = created.Name + "-1"
+		return created
 	}
 	draining, silent, restarted := backend("one", 10), backend("two", 10), backend("one", 20)
 	draining.Draining, silent.Silent, restarted.ID = true, true, "one-2"
@@ -157,7 +157,7 @@
 	}
 }
 
-// goldenSuspects come first to revisions that the offers name.
+// goldenSuspects returns crashes, and the commands that refer to suspects by revision.
 func goldenSuspects() []Command {
 	crash := func(request, backend string, known int, content string) Command {
 		return Command{Crashes: []quarantine.Crash{{Fingerprint: quarantine.Fingerprint(request), Backend: backend, Known: known, Of: quarantine.Fingerprint(content)}}}
@@ -168,7 +168,7 @@
 		crash("answered", "a", 0, ""), crash("forgotten", "a", 0, ""),
 		{Answered: []quarantine.Fingerprint{"answered", "unknown"}},
 	}
-	// Offers and takings name every revision that the suspects may have.
+	// The commands name every revision that the suspects may have.
 	for revision := uint64(1); revision < 60; revision++ {
 		commands = append(commands,
 			Command{ForgetSuspect: &SuspectRevision{Fingerprint: "forgotten", Revision: revision}},
--- a/directory/incarnation.go
+++ b/directory/incarnation.go
@@ -2,22 +2,20 @@
 
 import "strconv"
 
-// Incarnation is one life of a backend. A backend may start again under the name that it had; it
-// then holds and knows nothing of before, so that it is another one for whoever remembers what
-// the earlier one held, ran or answered.
+// Incarnation is one run of a backend process under its name. A restarted backend keeps its name but
+// none of its state, so anything known of its loaded models, requests or responses no longer applies.
 type Incarnation struct {
-	// Name is what the backend calls itself.
 	Name string
-	// Born is when it started, in milliseconds since 1970 by its own clock, or 0 if it does not
-	// say: such a backend takes another name at each start.
+	// StartTime is in Unix milliseconds on the backend's clock. It is 0 for a backend that does not
+	// report it and uses a new name at each start.
 	StartTime int64
 }
 
-// birthSeparator stands between name and birth in an ID. Names come out of paths, of which they
-// are one part, so none holds it.
+// startTimeSeparator separates name and start time in an ID. Names are single path segments, so they
+// cannot contain it.
 const startTimeSeparator = "/"
 
-// ID returns what names the incarnation among all backends.
+// ID returns the ID of the incarnation, which is unique among all backends.
 func (i Incarnation) ID() string {
 	if i.StartTime == 0 {
 		return i.Name
@@ -25,11 +23,11 @@
 	return i.Name + startTimeSeparator + strconv.FormatInt(i.StartTime, 10)
 }
 
-// follows tells whether the incarnation is a later life under the name than one born at the time.
-// One that does not say when it was born is no later than any.
+// startedAfter reports whether the incarnation started after the time. One without a start time did
+// not.
 func (i Incarnation) startedAfter(startTime int64) bool { return i.StartTime > startTime }
 
-// WithIncarnation returns the backend as that incarnation.
+// WithIncarnation returns the backend with the ID, name and start time of the incarnation.
 func (b Backend) WithIncarnation(incarnation Incarnation) Backend {
 	b.ID, b.Born = incarnation.ID(), incarnation.StartTime
 	if incarnation.StartTime != 0 {
@@ -38,10 +36,10 @@
 	return b
 }
 
-// Incarnation returns which life of which backend this is.
+// Incarnation returns the incarnation that the backend is.
 func (b Backend) Incarnation() Incarnation { return Incarnation{Name: b.NameOrID(), StartTime: b.Born} }
 
-// NameOrID returns what the backend calls itself, by which requests to it name it.
+// NameOrID returns the name of the backend, which is its ID if Name is empty.
 func (b Backend) NameOrID() string {
 	if b.Name == "" {
 		return b.ID
@@ -49,40 +47,40 @@
 	return b.Name
 }
 
-// departures remember the backends that have left, so that a late heartbeat does not bring one
-// back. A zero departures remembers none and must not be added to.
+// removals records the removed backends, so that a late heartbeat does not register one again. The
+// zero value is empty and read-only.
 type removals struct {
-	// at holds the directory's revision at which a name's newest life left.
+	// revisions holds, by name, the revision at which the newest incarnation was removed.
 	revisions map[string]uint64
-	// born holds that life's birth, where it is known.
+	// startTimes holds the start time of that incarnation, if known.
 	startTimes map[string]int64
 }
 
-// has tells whether the incarnation has left, or is an earlier life than one that has.
-func (d removals) contains(incarnation Incarnation) bool {
-	_, removed := d.revisions[incarnation.Name]
-	return removed && !incarnation.startedAfter(d.startTimes[incarnation.Name])
+// contains reports whether the incarnation, or a later one of the same name, was removed.
+func (r removals) contains(incarnation Incarnation) bool {
+	_, removed := r.revisions[incarnation.Name]
+	return removed && !incarnation.startedAfter(r.startTimes[incarnation.Name])
 }
 
-// note takes in that the incarnation has left, which had not.
-func (d removals) record(incarnation Incarnation, revision uint64) {
-	d.revisions[incarnation.Name] = revision
+// record adds an incarnation that is not contained yet.
+func (r removals) record(incarnation Incarnation, revision uint64) {
+	r.revisions[incarnation.Name] = revision
 	if incarnation.StartTime != 0 {
-		d.startTimes[incarnation.Name] = incarnation.StartTime
+		r.startTimes[incarnation.Name] = incarnation.StartTime
 	}
 }
 
-// drop forgets whatever has left under the name.
-func (d removals) forget(name string) {
-	delete(d.revisions, name)
-	delete(d.startTimes, name)
+// forget drops the removals of the name.
+func (r removals) forget(name string) {
+	delete(r.revisions, name)
+	delete(r.startTimes, name)
 }
 
-// forget drops the names whose newest life left before the revision.
-func (d removals) forgetBefore(revision uint64) {
-	for name, removedAt := range d.revisions {
+// forgetBefore drops the removals before the revision.
+func (r removals) forgetBefore(revision uint64) {
+	for name, removedAt := range r.revisions {
 		if removedAt < revision {
-			d.forget(name)
+			r.forget(name)
 		}
 	}
 }
--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -26,8 +26,8 @@
 	return ids
 }
 
-// TestLaterLifeEndsTheEarlier: a backend that starts again under its name is another one for all
-// who follow the directory, whatever was known of the one before.
+// TestLaterIncarnationReplacesEarlier: a restarted backend replaces the earlier incarnation, and inherits
+// none of its state.
 func TestLaterIncarnationReplacesEarlier(t *testing.T) {
 	m := NewMachine()
 	earlier := newIncarnation("i", 100, "a:1")
@@ -44,16 +44,16 @@
 	require.Equal(t, []Removed{{Kind: KindBackend, Name: "i/100"}}, delta.Removed)
 	require.Equal(t, "i", delta.Backends[0].NameOrID())
 	_, isUsed := m.BackendByAddress("a:1")
-	require.False(t, isUsed, "the address of the earlier life is free")
+	require.False(t, isUsed, "the address of the earlier incarnation is free")
 
 	apply(t, m, Command{PutBackend: earlier})
-	require.Equal(t, []string{"i/200"}, backendIDs(m), "an earlier life that comes late changes nothing")
+	require.Equal(t, []string{"i/200"}, backendIDs(m), "a late registration of an earlier incarnation is ignored")
 	apply(t, m, Command{PutBackend: newIncarnation("i", 0, "a:3")})
-	require.Equal(t, []string{"i/200"}, backendIDs(m), "one that does not say when it was born replaces none that does")
+	require.Equal(t, []string{"i/200"}, backendIDs(m), "an incarnation without a start time replaces none that has one")
 }
 
-// TestLeavingLives: an ID that left and starts again later is a new life; one that left and only
-// sends a late heartbeat of that same life stays out.
+// TestRemovedIncarnations: a late heartbeat of a removed incarnation is ignored, but a restarted backend
+// registers.
 func TestRemovedIncarnations(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, Command{PutBackend: newIncarnation("i", 100, "a:1")})
@@ -63,20 +63,20 @@
 	apply(t, m, Command{PutBackend: newIncarnation("i", 101, "a:1")})
 	require.Equal(t, []string{"i/101"}, backendIDs(m))
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{Name: "i", Born: 100}})
-	require.Equal(t, []string{"i/101"}, backendIDs(m), "it was an earlier life that left")
+	require.Equal(t, []string{"i/101"}, backendIDs(m), "an earlier incarnation left")
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{ID: "i/101"}})
 	require.Empty(t, backendIDs(m))
 	require.True(t, m.IsRemoved(Incarnation{Name: "i", StartTime: 101}))
 
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{Name: "unknown", LatestBirth: 5000}})
 	apply(t, m, Command{PutBackend: newIncarnation("unknown", 4999, "a:2")})
-	require.Empty(t, backendIDs(m), "its heartbeat was overtaken by its leaving")
+	require.Empty(t, backendIDs(m), "the heartbeat arrived after the removal")
 	apply(t, m, Command{PutBackend: newIncarnation("unknown", 5001, "a:2")})
 	require.Equal(t, []string{"unknown/5001"}, backendIDs(m))
 }
 
-// TestStateBeforeBirths: a snapshot and commands from before births were known are read; a name
-// that left then is out until a life says when it was born.
+// TestSnapshotWithoutStartTimes: snapshots and commands of builds without start times are read. A name
+// removed then can register only with a start time.
 func TestSnapshotWithoutStartTimes(t *testing.T) {
 	type earlier struct {
 		Revision uint64                         `cbor:"1,keyasint"`
@@ -103,9 +103,9 @@
 	require.Equal(t, []string{"left/50"}, backendIDs(m))
 }
 
-// TestLivesFollowTheModel draws starts, late heartbeats, leaves and contests of addresses in any
-// order, through snapshots: of each name the latest life is registered that has not left, no
-// address belongs to two, and nothing that was passed comes back.
+// TestIncarnationsMatchModel draws starts, late heartbeats, removals, address conflicts and restores in
+// any order. The newest incarnation of a name that was not removed is registered, and no address belongs
+// to two backends.
 func TestIncarnationsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
--- a/directory/journal.go
+++ b/directory/journal.go
@@ -2,26 +2,25 @@
 
 import "slices"
 
-// maxJournal bounds the changes that are remembered, at some 30 bytes each. A watcher that trails
-// by more costs a look at all backends.
+// maxJournalEntries limits the journal's memory, at about 30 bytes per entry. A delta for a watcher
+// that is further behind is found by a scan of all backends.
 const maxJournalEntries = 20000
 
-// journal lists the latest changes of backends, so that what a watcher is to be told is found in
-// the time that the changes take and not in that of all backends: 0.5 microseconds instead of 230
-// for one change among 10,000.
+// journal lists the latest changes of backends by revision, so that the time to compute a delta
+// depends on the number of changes and not on that of all backends.
 type journal struct {
 	changes []journalEntry
-	// floor is the revision from which on all changes are listed.
+	// floor is the revision after which all changes are listed.
 	floor uint64
 }
 
-// journalEntry says that a backend has changed.
+// journalEntry is a change of a backend.
 type journalEntry struct {
 	revision uint64
 	id       string
 }
 
-// note takes in a change.
+// record appends a change, and drops the older half of the entries if there are too many.
 func (j *journal) record(revision uint64, id string) {
 	j.changes = append(j.changes, journalEntry{revision: revision, id: id})
 	if len(j.changes) > maxJournalEntries {
@@ -31,8 +30,8 @@
 	}
 }
 
-// since returns the IDs of backends that have changed after the revision, some of which may have
-// left or be named more than once, and whether that is known.
+// since returns the changes after the revision, and false if the journal does not reach back that
+// far. A backend may be listed more than once or have been removed.
 func (j *journal) since(revision uint64) ([]journalEntry, bool) {
 	if revision < j.floor {
 		return nil, false
--- a/directory/journal_test.go
+++ b/directory/journal_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestJournalTellsWhatAScanTells: whatever a watcher knows, also when the journal reaches back less
-// far than the watcher trails, it is told of the same backends as by a look at all of them.
+// TestJournalMatchesScan: a delta holds the same backends as a scan of all of them, also if the journal
+// does not reach back far enough.
 func TestJournalMatchesScan(t *testing.T) {
 	m := NewMachine()
 	const names = 300
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestUrgentChanges: whatever takes something from callers, or tells them to do otherwise, does not
-// wait; that a backend can be used, or what it holds, does.
+// TestUrgentChanges: registrations of backends and updates of their models are not urgent, all other
+// changes are.
 func TestUrgentChanges(t *testing.T) {
 	m := NewMachine()
 	for _, c := range []struct {
--- a/directory/machine.go
+++ b/directory/machine.go
@@ -17,22 +17,22 @@
 	"github.com/dillchute/dillchute/usage"
 )
 
-// maxTombstones bounds the removed objects that are remembered, beyond which
-// watchers that trail far take in the whole state.
+// maxTombstones limits the number of removed objects recorded. Watchers that are further behind receive
+// a full delta.
 const maxTombstones = 20000
 
-// keptTombstones are left when there are too many, so that the rest is copied once in many
-// removals.
+// keptTombstones is the number of tombstones that remain after pruning. It is well below maxTombstones,
+// so that pruning, which copies them, is rare.
 const keptTombstones = maxTombstones / 2
 
-// versioned is an object with the revision at which it last changed.
+// versioned is an object with the revision of its last change.
 type versioned[T any] struct {
 	_        struct{} `cbor:",toarray"`
 	Revision uint64
 	Object   T
 }
 
-// tombstone is a removed object.
+// tombstone records the removal of an object.
 type tombstone struct {
 	_        struct{} `cbor:",toarray"`
 	Revision uint64
@@ -40,10 +40,10 @@
 	Name     string
 }
 
-// ObjectKind is a kind of objects that a watcher follows.
+// ObjectKind is the kind of a removed object.
 type ObjectKind uint8
 
-// The kinds that can be removed.
+// Kinds of objects that can be removed.
 const (
 	KindRoute ObjectKind = iota + 1
 	KindService
@@ -52,7 +52,7 @@
 	KindSuspect
 )
 
-// contents is what a snapshot holds.
+// contents is the replicated state as stored in snapshots.
 type contents struct {
 	Revision uint64                                 `cbor:"1,keyasint"`
 	Version  uint64                                 `cbor:"2,keyasint"`
@@ -64,52 +64,50 @@
 	Models   map[string]*versioned[uint64]          `cbor:"8,keyasint"`
 	Stores   map[string]*versioned[Store]           `cbor:"9,keyasint"`
 	Group    versioned[Group]                       `cbor:"10,keyasint"`
-	// Removed lists tombstones by revision; Floor is the revision up to which
-	// some have been forgotten.
+	// Removed lists tombstones by revision. Floor is the revision up to which they were pruned.
 	Removed []tombstone `cbor:"11,keyasint"`
 	Floor   uint64      `cbor:"12,keyasint"`
-	// Gone are the names of backends that have left, see departures, and GoneBorn the births of
-	// the lives that have.
+	// Gone holds the revisions at which backends were removed, by name, and GoneBorn the start times
+	// of these backends, see removals.
 	Gone map[string]uint64 `cbor:"13,keyasint"`
-	// Tenants are those of the configuration in force, by name.
+	// Tenants are those of the current configuration, by name.
 	Tenants map[string]*versioned[routing.Tenant] `cbor:"14,keyasint,omitempty"`
 	Usage   usage.WindowStore                     `cbor:"15,keyasint"`
-	// Acts are the newest acts of duties, by subject.
+	// Acts holds the newest action of each duty, by subject.
 	Acts map[string]duty.Action `cbor:"16,keyasint,omitempty"`
-	// Suspects are requests under which backends have ended.
+	// Suspects are requests that ran on crashed backends.
 	Suspects map[quarantine.Fingerprint]*versioned[quarantine.Suspect] `cbor:"17,keyasint,omitempty"`
 	GoneBorn map[string]int64                                          `cbor:"18,keyasint,omitempty"`
-	// Zones are those of the directory's replicas, by their addresses.
+	// Zones holds the zones of the directory's replicas, by address.
 	Zones map[string]*versioned[string] `cbor:"19,keyasint,omitempty"`
-	// Orders are the newest orders of backends, by what they are about.
+	// Orders holds the newest order of each pool, see orderKey.
 	Orders map[string]capacity.Order `cbor:"20,keyasint,omitempty"`
-	// InUse is the version whose meanings commands have, see RaiseVersion.
+	// InUse is the version of the commands in use, see RaiseVersion.
 	InUse uint64 `cbor:"21,keyasint,omitempty"`
-	// Silenced are the births of the lives that may come back, by their names: nobody heard them.
+	// Silenced holds the start times of removed incarnations that may return, by name.
 	Silenced map[string]int64 `cbor:"22,keyasint,omitempty"`
 }
 
-// Machine is the replicated state. Its methods must not be called concurrently.
+// Machine is the replicated state machine. Its methods must not be called concurrently.
 type Machine struct {
 	state contents
-	// byName and byAddress hold the IDs of the registered backends.
+	// byName and byAddress map to the IDs of the registered backends.
 	byName, byAddress map[string]string
-	// journal lists the latest changes of backends.
-	journal journal
-	// urgent is the revision of the newest change that is urgent, see UrgentRevision, and versionAt that
-	// at which the configuration's version changed, or a later one.
+	journal           journal
+	// urgentRevision is explained at UrgentRevision. versionRevision is the revision at which the
+	// configuration's version last changed, or a later one after a restore.
 	urgentRevision, versionRevision uint64
 	forwarded                       forwarded
 }
 
-// NewMachine returns the state before the first command.
+// NewMachine returns a machine in its initial state.
 func NewMachine() *Machine {
 	m := &Machine{}
-	m.reset()
+	m.clear()
 	return m
 }
 
-func (m *Machine) reset() {
+func (m *Machine) clear() {
 	m.state = contents{
 		Routes:   map[string]*versioned[routing.Route]{},
 		Services: map[string]*versioned[routing.Service]{},
@@ -128,8 +126,8 @@
 	m.indexBackends()
 }
 
-// Snapshot returns a function that writes the state as it is now. Objects are
-// replaced and never changed, so copies of the maps that hold them do.
+// Snapshot returns a function that writes the current state, and may run concurrently with other
+// methods. Stored objects are replaced and never changed, so copies of the maps suffice.
 func (m *Machine) Snapshot() func(io.Writer) error {
 	state := m.state
 	state.Routes, state.Services = maps.Clone(state.Routes), maps.Clone(state.Services)
@@ -142,10 +140,10 @@
 	return func(writer io.Writer) error { return deterministic.NewEncoder(writer).Encode(state) }
 }
 
-// Restore replaces the state by a written one; nothing to read is the state
-// before the first command. It returns an ErrUnknownVersion error for one of a later build.
+// Restore replaces the state by that of a snapshot. An empty snapshot is the initial state. It returns
+// an ErrUnknownVersion error if this build does not support the snapshot's version.
 func (m *Machine) Restore(reader io.Reader) error {
-	m.reset()
+	m.clear()
 	err := cbor.NewDecoder(reader).Decode(&m.state)
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -157,20 +155,20 @@
 	return m.Err()
 }
 
-// Revision grows with each change of an object.
+// Revision returns the revision of the state, which increases with each change of an object.
 func (m *Machine) Revision() uint64 { return m.state.Revision }
 
-// UrgentRevision returns the revision of the newest change that must not wait for others on its way to
-// watchers: all but registrations, which let a backend be used that nobody misses yet.
+// UrgentRevision returns the revision of the newest change that must be sent to watchers without delay.
+// Registrations and updates of backends can be delayed and sent together, but not the start of draining.
 func (m *Machine) UrgentRevision() uint64 { return m.urgentRevision }
 
-// Version returns the version of the configuration in force.
+// Version returns the version of the current configuration.
 func (m *Machine) Version() uint64 { return m.state.Version }
 
-// Source returns the document of the configuration in force, or nil.
+// Source returns the document of the current configuration, or nil.
 func (m *Machine) Source() []byte { return m.state.Source }
 
-// Store returns a registered store, and whether there is one.
+// Store returns the registered store with the name, and whether it exists.
 func (m *Machine) Store(name string) (Store, bool) {
 	stored := m.state.Stores[name]
 	if stored == nil {
@@ -185,10 +183,10 @@
 // Group returns the ledger's group.
 func (m *Machine) Group() Group { return m.state.Group.Object }
 
-// Usage returns the record of usage. It must not be changed.
+// Usage returns the recorded usage. It must not be changed.
 func (m *Machine) Usage() *usage.WindowStore { return &m.state.Usage }
 
-// Actions returns the newest actions of duties, by subject. It must not be changed.
+// Actions returns the newest action of each duty, by subject. The map must not be changed.
 func (m *Machine) Actions() map[string]duty.Action { return m.state.Acts }
 
 func sortedObjects[T any](stored map[string]*versioned[T]) []T {
@@ -199,8 +197,8 @@
 	return list
 }
 
-// Apply carries out an encoded command and returns the encoded Result. An entry
-// that cannot be decoded has no effect.
+// Apply applies an encoded command and returns the encoded Result. An entry that cannot be decoded has
+// no effect.
 func (m *Machine) Apply(data []byte) []byte {
 	var command Command
 	result := Result{}
@@ -211,7 +209,7 @@
 	result.Version = m.state.Version
 	encoded, err := deterministic.Marshal(result)
 	if err != nil {
-		panic("directory: a result must encode: " + err.Error())
+		panic("directory: encoding a result: " + err.Error())
 	}
 	return encoded
 }
@@ -265,7 +263,7 @@
 	return m.urgentRevision
 }
 
-// nextPatient is next for a change that is not urgent.
+// nextRevision increments the revision for a change that is not urgent.
 func (m *Machine) nextRevision() uint64 {
 	m.state.Revision++
 	return m.state.Revision
@@ -280,7 +278,7 @@
 	}
 }
 
-// putConfiguration keeps the highest version: any other is ignored.
+// putConfiguration applies a configuration with a higher version than the current one.
 func (m *Machine) putConfiguration(command *PutConfiguration) {
 	configuration := command.Configuration
 	if configuration.Version <= m.state.Version {
@@ -310,8 +308,8 @@
 	}
 }
 
-// syncObjects makes the known objects those wanted, with as few changes as
-// that takes, in the order of their names.
+// syncObjects changes the stored objects to those desired, ordered by name. Equal objects keep their
+// revision.
 func syncObjects[T any](m *Machine, stored map[string]*versioned[T], desired map[string]T, kind ObjectKind) {
 	for _, name := range slices.Sorted(maps.Keys(stored)) {
 		if _, ok := desired[name]; !ok {
@@ -334,8 +332,8 @@
 	m.state.Models[version.Model] = &versioned[uint64]{Revision: m.nextUrgentRevision(), Object: version.Version}
 }
 
-// putStore registers a store. One that comes back empty is another replica, and
-// whatever was decided about the earlier one does not concern it.
+// putStore registers a store. A store that lost its data returns as another replica, to which an
+// earlier retirement does not apply.
 func (m *Machine) putStore(store Store) {
 	if existing, ok := m.Store(store.Name); ok && existing.Replica == store.Replica {
 		store.Retiring, store.Retired = existing.Retiring, existing.Retired
@@ -353,8 +351,8 @@
 	m.state.Group = versioned[Group]{Revision: m.nextUrgentRevision(), Object: group}
 }
 
-// reportGroup takes in the group's membership, and marks retiring stores that
-// are no longer part of it as retired.
+// reportGroup stores the group's membership, and marks retiring stores that are no longer members as
+// retired.
 func (m *Machine) reportGroup(group Group) {
 	if group.Number < m.state.Group.Object.Number {
 		return
--- a/directory/machine_test.go
+++ b/directory/machine_test.go
@@ -34,8 +34,8 @@
 	return put
 }
 
-// TestHighestVersionHolds: a version that does not exceed the one held leaves
-// everything unchanged, also with other content under the same number.
+// TestHighestConfigurationVersionWins: a configuration is ignored unless its version is higher than the
+// current one, also if its content differs.
 func TestHighestConfigurationVersionWins(t *testing.T) {
 	m := NewMachine()
 	require.Equal(t, uint64(5), apply(t, m, Command{PutConfiguration: configuration(5, "/a/")}).Version)
@@ -47,8 +47,8 @@
 	require.Equal(t, "5 [/a/]", string(m.Source()))
 }
 
-// TestBackendThatLeftStaysOut: neither a late heartbeat nor a late mark of
-// being ready brings back what has left or drains.
+// TestRemovedBackendStaysRemoved: a late heartbeat neither ends draining nor registers a removed backend
+// again.
 func TestRemovedBackendStaysRemoved(t *testing.T) {
 	m := NewMachine()
 	ready := Backend{ID: "i", Service: "s", Address: "a:1"}
@@ -65,8 +65,7 @@
 	require.False(t, ok)
 }
 
-// TestAddressBelongsToTheNewest: a backend that registers takes the address
-// from the one that had it, which must be gone.
+// TestNewestBackendOwnsAddress: a backend that registers at the address of another one replaces it.
 func TestNewestBackendOwnsAddress(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, Command{PutBackend: &Backend{ID: "old", Service: "s", Address: "a:1"}})
@@ -76,8 +75,8 @@
 	require.True(t, m.IsRemoved(Incarnation{Name: "old"}))
 }
 
-// TestRetire: a store retires only while enough others remain, and is retired
-// once the group has reported that it is no member any more.
+// TestRetire: a store may retire only if enough others remain, and is retired once a report of the group
+// no longer lists it.
 func TestRetire(t *testing.T) {
 	m := NewMachine()
 	var members []consensus.Member
@@ -94,24 +93,24 @@
 	require.Equal(t, RetireTooFew, retire("store-1"))
 	apply(t, m, Command{ReportGroup: &Group{Members: members, Number: 9}})
 	require.Equal(t, RetireAccepted, retire("store-1"))
-	require.Equal(t, RetireAccepted, retire("store-1"), "a repeated order")
+	require.Equal(t, RetireAccepted, retire("store-1"), "a repeated request")
 	require.Equal(t, RetireTooFew, retire("store-2"))
 	apply(t, m, Command{ReportGroup: &Group{Members: members[1:], Number: 8}})
 	store, _ := m.Store("store-1")
-	require.False(t, store.Retired, "a late report")
+	require.False(t, store.Retired, "a stale report")
 	apply(t, m, Command{ReportGroup: &Group{Members: members[1:], Number: 10}})
 	store, _ = m.Store("store-1")
 	require.True(t, store.Retired)
 
 	apply(t, m, Command{PutStore: &Store{Name: "store-5", Replica: 5}})
-	require.Equal(t, RetireAccepted, retire("store-5"), "a store that stands outside the group")
+	require.Equal(t, RetireAccepted, retire("store-5"), "a store outside the group")
 	apply(t, m, Command{ReportGroup: &Group{Members: members[1:], Number: 10}})
 	store, _ = m.Store("store-5")
-	require.True(t, store.Retired, "the leader reports once more")
+	require.True(t, store.Retired, "a repeated report")
 }
 
-// TestCatalogFollowsMachine: whatever happens, and however far a watcher
-// trails, its copy after a delta is that of a watcher that starts anew.
+// TestCatalogMatchesMachine: after any changes, a catalog updated by a delta equals one built from a full
+// delta.
 func TestCatalogMatchesMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, catalog, version := NewMachine(), NewCatalog(), uint64(0)
--- a/directory/orders.go
+++ b/directory/orders.go
@@ -8,9 +8,8 @@
 	"github.com/dillchute/dillchute/capacity"
 )
 
-// putOrder keeps an order of backends, or the answer to one. An answer that comes after a newer
-// order changes nothing, nor does another order under the same number: it comes from a holder that
-// was held up.
+// putOrder stores an order of backends or the answer to one. It ignores answers to older orders, and a
+// different order with the current number, which comes from a delayed holder of the duty.
 func (m *Machine) putOrder(order capacity.Order) {
 	key := orderKey(order.Wish)
 	current, exists := m.state.Orders[key]
@@ -24,7 +23,7 @@
 	return wish.Service + " " + wish.Pool().String()
 }
 
-// Orders returns the newest orders of the service's backends.
+// Orders returns the newest order of each of the service's pools, sorted by pool.
 func (m *Machine) Orders(service string) []capacity.Order {
 	var orders []capacity.Order
 	for _, order := range m.state.Orders {
@@ -36,7 +35,7 @@
 	return orders
 }
 
-// forgetOrders drops the orders of services that are not there any more.
+// removeObsoleteOrders drops the orders of services that no longer exist.
 func (m *Machine) removeObsoleteOrders() {
 	maps.DeleteFunc(m.state.Orders, func(_ string, order capacity.Order) bool {
 		return m.state.Services[order.Wish.Service] == nil
--- a/directory/orders_test.go
+++ b/directory/orders_test.go
@@ -11,8 +11,8 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// TestNewestOrderIsKept: by service, zone and kind, through a snapshot; an answer to an earlier one
-// changes nothing.
+// TestNewestOrderIsKept: the newest order of each pool is kept, also in snapshots, and answers to older
+// orders are ignored.
 func TestNewestOrderIsKept(t *testing.T) {
 	m := NewMachine()
 	services := []routing.Service{{Name: "s"}, {Name: "t"}}
@@ -26,7 +26,7 @@
 	}
 	order("s", "a", false, 3, 1, capacity.Open)
 	answered := order("s", "a", false, 3, 1, capacity.Taken)
-	reclaimable := order("s", "a", true, 5, 1, capacity.Exhausted)
+	reclaimableOrder := order("s", "a", true, 5, 1, capacity.Exhausted)
 	order("s", "b", false, 4, 1, capacity.Open)
 	newer := order("s", "b", false, 6, 2, capacity.Open)
 	order("s", "b", false, 4, 1, capacity.Taken)
@@ -37,20 +37,20 @@
 	restored := NewMachine()
 	require.NoError(t, restored.Restore(&snapshot))
 	for _, machine := range []*Machine{m, restored} {
-		require.Equal(t, []capacity.Order{answered, reclaimable, newer}, machine.Orders("s"))
+		require.Equal(t, []capacity.Order{answered, reclaimableOrder, newer}, machine.Orders("s"))
 		require.Equal(t, []capacity.Order{other}, machine.Orders("t"))
-		require.Equal(t, revision, machine.Revision(), "no watcher is told")
+		require.Equal(t, revision, machine.Revision(), "orders are not sent to watchers")
 	}
 	require.Equal(t, 3, answered.Count())
-	require.Equal(t, 2, reclaimable.Count(), "it was refused")
+	require.Equal(t, 2, reclaimableOrder.Count(), "the order was rejected")
 
 	apply(t, m, Command{PutConfiguration: &PutConfiguration{Configuration: routing.Configuration{Version: 2, Services: services[:1]}}})
 	require.Len(t, m.Orders("s"), 3)
-	require.Empty(t, m.Orders("t"), "the service is not there any more")
+	require.Empty(t, m.Orders("t"), "the service was removed")
 }
 
-// TestOrdersOfTheSameNumber: another wish under a number that is taken comes from a holder that was
-// held up, and changes nothing; the same one is an answer.
+// TestOrdersWithSameNumber: a different wish with the current number comes from a delayed holder and is
+// ignored; the same wish carries the answer.
 func TestOrdersWithSameNumber(t *testing.T) {
 	m := NewMachine()
 	order := func(count int, answer capacity.Answer) {
@@ -66,7 +66,7 @@
 	require.Equal(t, capacity.Taken, m.Orders("s")[0].Answer)
 }
 
-// TestSnapshotWithoutOrders: what was written before there were orders is read.
+// TestSnapshotWithoutOrders: a snapshot without orders, as earlier builds wrote it, is read.
 func TestSnapshotWithoutOrders(t *testing.T) {
 	var snapshot bytes.Buffer
 	require.NoError(t, NewMachine().Snapshot()(&snapshot))
--- a/directory/scope.go
+++ b/directory/scope.go
@@ -8,38 +8,36 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// Scope is the part of the backends that a watcher follows. All else is told to everybody.
+// Scope selects the backends that a watcher receives. All other objects are sent to every watcher.
 type Scope string
 
-// The scopes.
 const (
-	// ScopeAll is all backends: for whoever runs samples.
+	// ScopeAll selects all backends, for processes that run samples.
 	ScopeAll Scope = ""
-	// ScopeForwarded are the backends of services to which single requests go, without what they
-	// hold: for gateways, which hand the samples of steps on.
+	// ScopeForwarded selects the backends of services with routes for single requests, without their
+	// models. It is for gateways, which pass on samples instead of running them.
 	ScopeForwarded Scope = "forwarded"
-	// ScopeNone is no backend: for processes that are told with each order what it concerns.
+	// ScopeNone selects no backend, for runners, which receive the backend with each run.
 	ScopeNone Scope = "none"
 )
 
-// Watch is what a watcher knows and wants to know.
+// Watch describes a watcher's copy of the directory and the scope it requests.
 type Watch struct {
-	// Since is the revision that it knows, 0 for none.
+	// Since is the revision of the copy, 0 if there is none.
 	Since uint64
 	Scope Scope
-	// Held is the Held of the last delta that it took in. Where another would be held now, it is
-	// told everything anew.
+	// Held is Delta.Held of the last delta applied. If it differs from the current value, the
+	// watcher receives a full delta.
 	Held string
 }
 
-// forwarded are the services to which single requests go by the configuration in force, with a
-// digest of them.
+// forwarded holds the services with routes for single requests, and a digest of their names.
 type forwarded struct {
 	services map[string]bool
 	digest   string
 }
 
-// forwardedBy returns the services to which the routes send single requests.
+// newForwarded returns the services to which the routes send single requests.
 func newForwarded(routes map[string]*versioned[routing.Route]) forwarded {
 	f := forwarded{services: map[string]bool{}}
 	var names []string
@@ -57,14 +55,14 @@
 	slices.Sort(names)
 	hash := fnv.New64a()
 	for _, name := range names {
-		// Writes to a hash do not fail.
+		// Writes to a hash never fail.
 		_, _ = hash.Write([]byte(name + "\n"))
 	}
 	f.digest = strconv.FormatUint(hash.Sum64(), 36)
 	return f
 }
 
-// held returns what a watcher of the scope holds once it has taken in a delta made now.
+// scopeKey identifies the services that the scope selects now. It changes when these do.
 func (m *Machine) scopeKey(scope Scope) string {
 	if scope == ScopeForwarded {
 		return string(scope) + "-" + m.forwarded.digest
@@ -72,10 +70,10 @@
 	return string(scope)
 }
 
-// IsScopeCurrent reports whether the watcher holds the backends that are in its scope now.
+// IsScopeCurrent reports whether the watcher's copy is of the services that its scope selects now.
 func (m *Machine) IsScopeCurrent(watch Watch) bool { return m.scopeKey(watch.Scope) == watch.Held }
 
-// DeltaFor returns what a watcher is to be told.
+// DeltaFor returns the changes that the watcher lacks, limited to its scope.
 func (m *Machine) DeltaFor(watch Watch) Delta {
 	since := watch.Since
 	if !m.IsScopeCurrent(watch) {
@@ -97,14 +95,14 @@
 	return delta
 }
 
-// IsEmpty tells whether the delta says nothing but that there is another revision.
+// IsEmpty reports whether the delta changes nothing but the revision.
 func (d Delta) IsEmpty() bool {
 	return !d.Full && !d.versionChanged && d.Limits == nil && d.Group == nil && len(d.Routes) == 0 && len(d.Services) == 0 &&
 		len(d.Backends) == 0 && len(d.Models) == 0 && len(d.Stores) == 0 && len(d.Removed) == 0 && len(d.Tenants) == 0 &&
 		len(d.Suspects) == 0 && len(d.Zones) == 0
 }
 
-// putZone notes where a replica of the directory is.
+// putZone stores the zone of a replica of the directory.
 func (m *Machine) putZone(replica ReplicaZone) {
 	if stored := m.state.Zones[replica.Address]; stored == nil || stored.Object != replica.Zone {
 		m.state.Zones[replica.Address] = &versioned[string]{Revision: m.nextUrgentRevision(), Object: replica.Zone}
--- a/directory/scope_test.go
+++ b/directory/scope_test.go
@@ -10,8 +10,8 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// routesTo returns a configuration with a route of single requests to each service named, and one
-// for samples to the engines.
+// routesTo returns a configuration with a route for single requests to each service, and one for samples
+// to the engines.
 func routesTo(version uint64, services ...string) *PutConfiguration {
 	put := &PutConfiguration{Configuration: routing.Configuration{Version: version}}
 	add := func(name, service string, kind routing.Kind) {
@@ -38,8 +38,7 @@
 	return delta
 }
 
-// TestScopes: after any changes, also of routes, a watcher holds just the backends of its scope, and
-// nothing else differs.
+// TestScopes: after any changes, also of routes, a watcher holds exactly the backends in its scope.
 func TestScopes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
@@ -86,7 +85,7 @@
 	})
 }
 
-// TestScopedWatchersSleep: what is out of a watcher's scope is no news to it.
+// TestScopeFiltersDeltas: changes outside a watcher's scope yield an empty delta.
 func TestScopeFiltersDeltas(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, Command{PutConfiguration: routesTo(1, "plain")})
@@ -110,5 +109,5 @@
 		require.Equal(t, c.runnerNotified, !runner.update(m).IsEmpty(), "%+v", c.command)
 	}
 	_, ok := gateway.catalog.Backend("e")
-	require.True(t, ok, "a service that gateways forward to by now")
+	require.True(t, ok, "gateways forward to its service now")
 }
--- a/directory/services.go
+++ b/directory/services.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// fewChanges is the number of changed backends up to which the lists of services are changed
-// in their places instead of being made anew.
+// minRebuildChanges is the number of changed backends up to which the lists of services are always
+// updated incrementally.
 const minRebuildChanges = 32
 
-// manyParts is the part of all backends, as its inverse, beyond which changing the lists in their
-// places costs more than making them anew.
+// rebuildDivisor sets the fraction of all backends, 1/rebuildDivisor, above which rebuilding the lists
+// is cheaper than an incremental update.
 const rebuildDivisor = 20
 
-// indexBackends makes the lists of services' backends; base is the catalog before the delta.
+// indexBackends updates the lists of services' backends. The parameter base is the catalog before the delta.
 func (c *Catalog) indexBackends(base *Catalog, delta Delta) {
 	removed := delta.removedNames(KindBackend)
 	switch changes := len(delta.Backends) + len(removed); {
@@ -25,7 +25,7 @@
 	}
 }
 
-// listAllBackends makes all lists anew.
+// rebuildLists builds all lists from the catalog's backends.
 func (c *Catalog) rebuildLists() {
 	c.byService = map[string][]*Backend{}
 	for backend := range c.backends.all() {
@@ -36,8 +36,8 @@
 	}
 }
 
-// changeLists returns the lists of the base after the changes. Lists that nothing concerns
-// are shared, and the others copied: others may be reading those of the base.
+// updatedLists returns the lists of the base with the changes applied. Unchanged lists are shared with
+// the base. Changed lists are copied, because the base may be read concurrently.
 func updatedLists(base, next *Catalog, changed []Backend, removed []string) map[string][]*Backend {
 	lists := serviceLists{byService: maps.Clone(base.byService), copied: map[string]bool{}}
 	if lists.byService == nil {
@@ -57,20 +57,20 @@
 	return lists.byService
 }
 
-// serviceLists are lists of backends under change. Those that are own were copied.
+// serviceLists holds lists of backends during an update. Services in copied have lists that may be changed.
 type serviceLists struct {
 	byService map[string][]*Backend
 	copied    map[string]bool
 }
 
-// find returns the place of the backend in the list of its service, and whether it is there.
+// find returns the index of the backend in the list of its service, and whether it is listed.
 func (l serviceLists) find(backend *Backend) (int, bool) {
 	return slices.BinarySearchFunc(l.byService[backend.Service], backend.ID, func(listed *Backend, id string) int {
 		return cmp.Compare(listed.ID, id)
 	})
 }
 
-// copyList makes the service's list one that may be changed.
+// copyList copies the service's list before its first change.
 func (l serviceLists) copyList(service string) {
 	if !l.copied[service] {
 		l.byService[service] = slices.Clone(l.byService[service])
--- a/directory/services_test.go
+++ b/directory/services_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestListsOfServicesFollowChanges: a catalog that took in changes bit by bit lists the same
-// backends as one that took in all at once, and no earlier catalog changes.
+// TestServiceListsMatchFullDelta: a catalog updated incrementally lists the same backends as one built
+// from a full delta, and no earlier catalog changes.
 func TestServiceListsMatchFullDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := NewMachine()
@@ -44,7 +44,7 @@
 	})
 }
 
-// lists returns what the catalog lists, in words.
+// describeLists returns the catalog's lists as text.
 func describeLists(catalog *Catalog) string {
 	text := ""
 	for _, service := range slices.Sorted(maps.Keys(catalog.byService)) {
--- a/directory/shards.go
+++ b/directory/shards.go
@@ -6,15 +6,15 @@
 	"maps"
 )
 
-// shardCount is the number of parts that a catalog's backends are kept in. A change copies the
-// part that it concerns: of 10,000 backends some 80, 8 bytes each beside their IDs.
+// shardCount is the number of shards of a catalog's backends. A change copies only the shards that it
+// affects.
 const shardCount = 128
 
-// shardSeed spreads IDs over the parts; it need not be the same in two processes.
+// shardSeed seeds the hash that assigns IDs to shards. It may differ between processes.
 var shardSeed = maphash.MakeSeed()
 
-// shards are backends by their IDs. They are immutable; with returns the next ones, which share
-// with these whatever has not changed.
+// backendShards is an immutable map of backends by ID. Method with returns a changed copy, which shares
+// the unchanged shards.
 type backendShards struct {
 	parts [shardCount]map[string]*Backend
 	count int
@@ -22,7 +22,7 @@
 
 func shardIndex(id string) int { return int(maphash.String(shardSeed, id) % shardCount) }
 
-// get returns the backend of the ID, or nil. It must not be changed.
+// get returns the backend with the ID, or nil. It must not be changed.
 func (s *backendShards) get(id string) *Backend {
 	if s == nil {
 		return nil
@@ -46,7 +46,7 @@
 	}
 }
 
-// with returns the backends after some were removed and then others put.
+// with returns a copy with backends removed first and then added or replaced.
 func (s *backendShards) with(put []Backend, removed []string) *backendShards {
 	if len(put) == 0 && len(removed) == 0 && s != nil {
 		return s
@@ -71,7 +71,7 @@
 		delete(part(id), id)
 	}
 	for position := range put {
-		// A copy keeps the delta's other objects from staying in memory with this one.
+		// A pointer into the delta would keep all of its backends in memory.
 		backend := put[position]
 		part(backend.ID)[backend.ID] = &backend
 	}
--- a/directory/suspects.go
+++ b/directory/suspects.go
@@ -4,12 +4,12 @@
 	"github.com/dillchute/dillchute/quarantine"
 )
 
-// maxSuspects bounds the suspects that are kept: some hundred bytes each, several times as many
-// as there are requests under way at the backends that end on a bad day.
+// maxSuspects limits the number of suspects, at a few hundred bytes each. It is several times the
+// number of requests in flight on backends that may crash at a time.
 const maxSuspects = 4096
 
-// Suspect returns what is known of a request, with the revision of its last change, and whether
-// anything is.
+// Suspect returns the suspect with the fingerprint, the revision of its last change, and whether it
+// exists.
 func (m *Machine) Suspect(fingerprint quarantine.Fingerprint) (quarantine.Suspect, uint64, bool) {
 	stored := m.state.Suspects[fingerprint]
 	if stored == nil {
@@ -18,14 +18,14 @@
 	return stored.Object, stored.Revision, true
 }
 
-// Suspects calls the function with each suspect and the revision of its last change.
+// Suspects calls each with every suspect and the revision of its last change.
 func (m *Machine) Suspects(each func(suspect quarantine.Suspect, revision uint64)) {
 	for _, stored := range m.state.Suspects {
 		each(stored.Object, stored.Revision)
 	}
 }
 
-// applySuspects carries out what a command says of suspects.
+// applySuspects applies the parts of a command that concern suspects, except TakeTrial.
 func (m *Machine) applySuspects(command Command) {
 	for _, crash := range command.Crashes {
 		suspect, _, _ := m.Suspect(crash.Fingerprint)
@@ -48,7 +48,7 @@
 	}
 }
 
-// takeTrial gives the trial of a request to whoever asks first.
+// takeTrial takes the offered trial of a request, and reports whether there was one.
 func (m *Machine) takeTrial(fingerprint quarantine.Fingerprint) bool {
 	suspect, _, ok := m.Suspect(fingerprint)
 	if !ok || !suspect.Offered {
@@ -65,9 +65,8 @@
 	m.state.Suspects[suspect.Fingerprint] = &versioned[quarantine.Suspect]{Revision: m.nextUrgentRevision(), Object: suspect}
 }
 
-// leastSuspect returns the suspect to be given up for another: one that is not held back goes
-// first, and among alike the one that changed longest ago. Revisions differ, so each replica
-// chooses the same.
+// suspectToEvict returns the suspect to evict: one that is not quarantined if there is any, and among
+// these the one that was changed first. Revisions are unique, so every replica evicts the same one.
 func (m *Machine) suspectToEvict() quarantine.Fingerprint {
 	var candidate *versioned[quarantine.Suspect]
 	for _, stored := range m.state.Suspects {
--- a/directory/suspects_test.go
+++ b/directory/suspects_test.go
@@ -12,15 +12,15 @@
 
 const crashing = quarantine.Fingerprint("deadly")
 
-// crashTimes has a request end backends one after the other.
+// reportCrashes reports that the request crashed count backends one after the other.
 func reportCrashes(m *Machine, fingerprint quarantine.Fingerprint, count int) {
 	for number := range count {
 		m.Apply(Command{Crashes: []quarantine.Crash{{Fingerprint: fingerprint, Backend: fmt.Sprint(number), Known: number}}}.Encode())
 	}
 }
 
-// TestSuspectsOutliveTheirProcesses: what is known of a request is in snapshots, and reaches
-// watchers that trail as well as those that start; so does its end.
+// TestSuspectsInSnapshotsAndDeltas: suspects and their removal are in snapshots, full deltas and
+// incremental deltas.
 func TestSuspectsInSnapshotsAndDeltas(t *testing.T) {
 	m := NewMachine()
 	trailing := NewCatalog().With(m.DeltaSince(0))
@@ -38,8 +38,7 @@
 	require.Empty(t, trailing.Suspects)
 }
 
-// TestTrialIsTakenOnce: of those who ask for a trial one gets it, and an offer that was decided
-// by a state that has passed has no effect.
+// TestTrialIsTakenOnce: an offered trial is granted once, and offers for an earlier revision are ignored.
 func TestTrialIsTakenOnce(t *testing.T) {
 	m := NewMachine()
 	reportCrashes(m, crashing, quarantine.CrashThreshold)
@@ -49,18 +48,18 @@
 		require.NoError(t, err)
 		return result.Granted
 	}
-	require.False(t, take(), "none is offered")
+	require.False(t, take(), "no trial is offered")
 	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: crashing, Revision: revision}}.Encode())
 	require.True(t, take())
 	require.False(t, take())
 	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: crashing, Revision: revision}}.Encode())
-	require.False(t, take(), "a resent offer of an earlier state")
+	require.False(t, take(), "an offer for an earlier revision")
 	m.Apply(Command{ForgetSuspect: &SuspectRevision{Fingerprint: crashing, Revision: revision}}.Encode())
-	_, _, known := m.Suspect(crashing)
-	require.True(t, known, "it has changed since")
+	_, _, exists := m.Suspect(crashing)
+	require.True(t, exists, "the suspect has changed since")
 }
 
-// TestSuspectsAreBounded: beyond the bound those that are not held back go first.
+// TestSuspectsAreBounded: above the limit, suspects that are not quarantined are evicted first.
 func TestSuspectsAreBounded(t *testing.T) {
 	m := NewMachine()
 	reportCrashes(m, crashing, quarantine.CrashThreshold)
@@ -75,7 +74,7 @@
 	require.False(t, ok)
 }
 
-// TestKindsOutliveTheirProcesses: what is known of a kind is in snapshots and reaches watchers.
+// TestKindsInSnapshotsAndDeltas: suspected kinds are in snapshots and deltas.
 func TestKindsInSnapshotsAndDeltas(t *testing.T) {
 	m := NewMachine()
 	for number := range quarantine.CrashThreshold {
--- a/directory/version.go
+++ b/directory/version.go
@@ -7,41 +7,40 @@
 	"github.com/joomcode/errorx"
 )
 
-// Versions of what commands mean. All replicas of a group apply a command in the same way only if
-// each of them knows its meaning, so a meaning that has come later is used from the version on that
-// is recorded in the state, which the leader raises once all members have said that they know it.
+// Versions of the commands' meaning. The state records the version in use, and the leader raises it once
+// all members of the group have reported that they support the new version. Otherwise replicas of
+// different builds would apply the same command differently.
 const (
-	// ReturnVersion is the version from which on it is recorded which backends were taken out only
-	// because nobody heard them, so that they may come back.
+	// ReturnVersion is the first version that records which backends were removed because they were
+	// silent, so that they may return.
 	ReturnVersion uint64 = 1
-	// CrashReportVersion is the version from which on an end that is told more than once counts by whoever
-	// knew most, see quarantine.Crash.
+	// CrashReportVersion is the first version with quarantine.Crash.Exact.
 	CrashReportVersion uint64 = 2
-	// KnownVersion is the newest version that this build knows.
+	// KnownVersion is the newest version that this build supports.
 	KnownVersion = CrashReportVersion
 )
 
-// ErrUnknownVersion: the state is of a later build, whose commands this one would misread.
+// ErrUnknownVersion is returned if the state uses a version that this build does not support.
 var ErrUnknownVersion = errorx.NewNamespace("directory").NewType("later_version")
 
-// RaiseVersion has the meanings of a version used. A version is never lowered.
+// RaiseVersion raises the version in use. It is never lowered.
 type RaiseVersion struct {
 	Version uint64 `cbor:"1,keyasint"`
-	// Silenced are the IDs of backends that the leader has taken out before, only because nobody
-	// heard them.
+	// Silenced are the IDs of silent backends that the leader removed before this command. They may
+	// return.
 	Silenced []string `cbor:"2,keyasint,omitempty"`
 }
 
-// VersionInUse returns the version whose meanings are used, 0 where none was ever raised.
+// VersionInUse returns the version of the commands in use, 0 if it was never raised.
 func (m *Machine) VersionInUse() uint64 { return m.state.InUse }
 
-// Err returns an ErrUnknownVersion error if the log has raised a version that this build does not
-// know. Nothing is applied any more then.
+// Err returns an ErrUnknownVersion error if this build does not support the version in use. Apply
+// ignores all commands then.
 func (m *Machine) Err() error {
 	if m.state.InUse <= KnownVersion {
 		return nil
 	}
-	return ErrUnknownVersion.New("the directory is in use with version %d of its commands; this build knows %d", m.state.InUse, KnownVersion)
+	return ErrUnknownVersion.New("the directory uses command version %d, but this build supports only versions up to %d", m.state.InUse, KnownVersion)
 }
 
 func (m *Machine) raiseVersion(command RaiseVersion) {
@@ -56,13 +55,13 @@
 	}
 }
 
-// isNewestGone tells whether the incarnation is the newest of its name that has left.
+// isNewestRemoved reports whether the incarnation is the newest of its name, and removed.
 func (m *Machine) isNewestRemoved(incarnation Incarnation) bool {
 	_, isRegistered := m.byName[incarnation.Name]
 	return !isRegistered && m.IsRemoved(incarnation) && m.state.GoneBorn[incarnation.Name] == incarnation.StartTime
 }
 
-// IncarnationFromID returns the incarnation that has the ID.
+// IncarnationFromID is the inverse of Incarnation.ID.
 func IncarnationFromID(id string) Incarnation {
 	name, startText, found := strings.Cut(id, startTimeSeparator)
 	if !found {
@@ -75,29 +74,28 @@
 	return Incarnation{Name: name, StartTime: startTime}
 }
 
-// MayReturn tells whether the incarnation was taken out only because nobody heard it, and has not
-// left since.
+// MayReturn reports whether the incarnation was removed because it was silent or lost its address, and
+// has not left since.
 func (m *Machine) MayReturn(incarnation Incarnation) bool {
 	startTime, isSilent := m.state.Silenced[incarnation.Name]
 	return isSilent && startTime == incarnation.StartTime
 }
 
-// noteSilenced remembers that a backend which was taken out may come back. One that drained was
-// about to leave, and stays out.
+// recordSilentRemoval records that a removed backend may return. Draining backends may not.
 func (m *Machine) recordSilentRemoval(backend Backend) {
 	if m.state.InUse >= ReturnVersion && !backend.Draining {
 		m.state.Silenced[backend.NameOrID()] = backend.Born
 	}
 }
 
-// forgetSilenced has what was silenced under the name stay out, if it was born by then.
+// forgetSilentRemoval prevents the return of the incarnation and of earlier ones of the same name.
 func (m *Machine) forgetSilentRemoval(incarnation Incarnation) {
 	if startTime, isSilent := m.state.Silenced[incarnation.Name]; isSilent && startTime <= incarnation.StartTime {
 		delete(m.state.Silenced, incarnation.Name)
 	}
 }
 
-// returnBackend registers a backend again that was only not heard.
+// returnBackend registers a removed backend again if it may return.
 func (m *Machine) returnBackend(backend Backend) {
 	incarnation := backend.Incarnation()
 	if !m.MayReturn(incarnation) {
--- a/directory/version_test.go
+++ b/directory/version_test.go
@@ -22,8 +22,8 @@
 	registerLater = Command{PutBackend: newIncarnation("i", 200, "a:1")}
 )
 
-// TestWhoMayReturn: who was only not heard comes back, and whoever has left does not, in whichever
-// order it leaves and falls silent.
+// TestReturnOfSilentBackends: a backend removed because it was silent may return, and one that left may
+// not, in whichever order these happen.
 func TestReturnOfSilentBackends(t *testing.T) {
 	leave := Command{RemoveBackend: &RemoveBackend{Name: "i", Born: 100}}
 	leaveWithoutStartTime := Command{RemoveBackend: &RemoveBackend{Name: "i", LatestBirth: 100}}
@@ -33,31 +33,31 @@
 		commands     []Command
 		isRegistered bool
 	}{
-		"silent":                            {[]Command{raiseVersion, register, removeSilent, returns}, true},
-		"silent twice":                      {[]Command{raiseVersion, register, removeSilent, returns, removeSilent, returns}, true},
-		"registered before the raise":       {[]Command{register, raiseVersion, removeSilent, returns}, true},
-		"silent, and taken out twice":       {[]Command{raiseVersion, register, removeSilent, removeSilent, returns}, true},
-		"silent, in a batch":                {[]Command{raiseVersion, register, {Batch: []Command{removeSilent}}, {Batch: []Command{returns}}}, true},
-		"silent, and registers":             {[]Command{raiseVersion, register, removeSilent, register}, false},
-		"silent before the raise":           {[]Command{register, removeSilent, raiseVersion, returns}, false},
-		"silent before, as the leader says": {[]Command{register, removeSilent, {RaiseVersion: &RaiseVersion{Version: ReturnVersion, Silenced: []string{"i/100"}}}, returns}, true},
-		"left before, though the leader says silent of an earlier life": {[]Command{registerLater, {RemoveBackend: &RemoveBackend{Name: "i", Born: 200}},
+		"silent":                                 {[]Command{raiseVersion, register, removeSilent, returns}, true},
+		"silent twice":                           {[]Command{raiseVersion, register, removeSilent, returns, removeSilent, returns}, true},
+		"registered before the raise":            {[]Command{register, raiseVersion, removeSilent, returns}, true},
+		"silent, and removed twice":              {[]Command{raiseVersion, register, removeSilent, removeSilent, returns}, true},
+		"silent, in a batch":                     {[]Command{raiseVersion, register, {Batch: []Command{removeSilent}}, {Batch: []Command{returns}}}, true},
+		"silent, and registers":                  {[]Command{raiseVersion, register, removeSilent, register}, false},
+		"silent before the raise":                {[]Command{register, removeSilent, raiseVersion, returns}, false},
+		"silent before, as listed by the leader": {[]Command{register, removeSilent, {RaiseVersion: &RaiseVersion{Version: ReturnVersion, Silenced: []string{"i/100"}}}, returns}, true},
+		"left before, but the leader lists an earlier incarnation as silent": {[]Command{registerLater, {RemoveBackend: &RemoveBackend{Name: "i", Born: 200}},
 			{RaiseVersion: &RaiseVersion{Version: ReturnVersion, Silenced: []string{"i/100"}}}, returns}, false},
-		"never raised":                         {[]Command{register, removeSilent, returns}, false},
-		"left":                                 {[]Command{raiseVersion, register, leave, returns}, false},
-		"left without a birth":                 {[]Command{raiseVersion, register, leaveWithoutStartTime, returns}, false},
-		"silent, then left":                    {[]Command{raiseVersion, register, removeSilent, leave, returns}, false},
-		"silent, then left without a birth":    {[]Command{raiseVersion, register, removeSilent, leaveWithoutStartTime, returns}, false},
-		"left, then taken for silent":          {[]Command{raiseVersion, register, leave, removeSilent, returns}, false},
-		"draining":                             {[]Command{raiseVersion, register, drain, removeSilent, returns}, false},
-		"never known":                          {[]Command{raiseVersion, removeSilent, returns}, false},
-		"a later life is registered":           {[]Command{raiseVersion, register, removeSilent, registerLater, returns}, false},
-		"a later life has left":                {[]Command{raiseVersion, register, removeSilent, registerLater, {RemoveBackend: &RemoveBackend{Name: "i", Born: 200}}, returns}, false},
-		"a later life is silent":               {[]Command{raiseVersion, register, removeSilent, registerLater, {RemoveBackend: &RemoveBackend{ID: "i/200"}}, returns}, false},
-		"its address is taken":                 {[]Command{raiseVersion, register, registerOther, returns}, true},
-		"its address is taken, never raised":   {[]Command{register, registerOther, returns}, false},
-		"its address is taken, then left":      {[]Command{raiseVersion, register, registerOther, leave, returns}, false},
-		"an earlier life's leaving comes late": {[]Command{raiseVersion, register, removeSilent, {RemoveBackend: &RemoveBackend{Name: "i", Born: 50}}, returns}, true},
+		"never raised":                           {[]Command{register, removeSilent, returns}, false},
+		"left":                                   {[]Command{raiseVersion, register, leave, returns}, false},
+		"left without a start time":              {[]Command{raiseVersion, register, leaveWithoutStartTime, returns}, false},
+		"silent, then left":                      {[]Command{raiseVersion, register, removeSilent, leave, returns}, false},
+		"silent, then left without a start time": {[]Command{raiseVersion, register, removeSilent, leaveWithoutStartTime, returns}, false},
+		"left, then removed as silent":           {[]Command{raiseVersion, register, leave, removeSilent, returns}, false},
+		"draining":                               {[]Command{raiseVersion, register, drain, removeSilent, returns}, false},
+		"never registered":                       {[]Command{raiseVersion, removeSilent, returns}, false},
+		"a later incarnation is registered":      {[]Command{raiseVersion, register, removeSilent, registerLater, returns}, false},
+		"a later incarnation has left":           {[]Command{raiseVersion, register, removeSilent, registerLater, {RemoveBackend: &RemoveBackend{Name: "i", Born: 200}}, returns}, false},
+		"a later incarnation is silent":          {[]Command{raiseVersion, register, removeSilent, registerLater, {RemoveBackend: &RemoveBackend{ID: "i/200"}}, returns}, false},
+		"its address is taken":                   {[]Command{raiseVersion, register, registerOther, returns}, true},
+		"its address is taken, never raised":     {[]Command{register, registerOther, returns}, false},
+		"its address is taken, then left":        {[]Command{raiseVersion, register, registerOther, leave, returns}, false},
+		"an earlier incarnation leaves late":     {[]Command{raiseVersion, register, removeSilent, {RemoveBackend: &RemoveBackend{Name: "i", Born: 50}}, returns}, true},
 	} {
 		m := NewMachine()
 		for _, command := range test.commands {
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestReturnIsTold: watchers that missed both or one of them learn that the backend is back.
+// TestReturnReachesWatchers: watchers that missed the removal, the return or both list the backend again.
 func TestReturnReachesWatchers(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, raiseVersion)
@@ -76,18 +76,18 @@
 	before := NewCatalog().With(m.DeltaSince(0))
 	apply(t, m, removeSilent)
 	between := before.With(m.DeltaSince(before.Revision))
-	_, known := between.Backend("i/100")
-	require.False(t, known)
+	_, isListed := between.Backend("i/100")
+	require.False(t, isListed)
 	apply(t, m, returns)
 	for _, catalog := range []*Catalog{NewCatalog(), before, between} {
 		after := catalog.With(m.DeltaSince(catalog.Revision))
-		_, known = after.Backend("i/100")
-		require.True(t, known)
+		_, isListed = after.Backend("i/100")
+		require.True(t, isListed)
 		require.Len(t, after.Backends("s"), 1)
 	}
 }
 
-// TestVersionIsNeverLowered: nor is one raised twice, which would take in another list.
+// TestVersionIsNeverLowered: a version that is not higher than the one in use is ignored, with its list.
 func TestVersionIsNeverLowered(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, register)
@@ -99,8 +99,8 @@
 	require.False(t, m.MayReturn(Incarnation{Name: "i", StartTime: 100}))
 }
 
-// TestLaterVersionIsRefused: a build that does not know the version in use applies nothing more, and
-// does not take in such a state.
+// TestUnknownVersionIsRejected: a build that does not support the version in use applies no further
+// commands and restores no such snapshot.
 func TestUnknownVersionIsRejected(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, register)
@@ -115,9 +115,9 @@
 	require.ErrorContains(t, NewMachine().Restore(&written), "version")
 }
 
-// TestReturnsFollowTheModel draws starts, silences, leaves, returns and the raise in any order,
-// through snapshots, on two replicas of which one restarts: they hold the same, and who is registered
-// is what a record of reasons says.
+// TestReturnsMatchModel draws registrations, removals, returns and raised versions in any order, on two
+// replicas of which one restarts from snapshots. Their states are equal, and the registered backends
+// match the model.
 func TestReturnsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		continuous, restarted := NewMachine(), NewMachine()
@@ -179,8 +179,8 @@
 	return sha256.Sum256(written.Bytes())
 }
 
-// TestStateBeforeVersions: a snapshot of a build that knows of no version is read, and one in which
-// none was raised is written as by that build.
+// TestSnapshotWithoutVersion: a snapshot of a build without versions is read, and a state whose version
+// was not raised is written in that form.
 func TestSnapshotWithoutVersion(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, register)
@@ -200,7 +200,7 @@
 	require.Equal(t, []string{"i/200"}, backendIDs(restored))
 }
 
-// TestLaterLifeEndsTheReturnOfTheEarlier: nobody waits for the earlier one any more.
+// TestLaterIncarnationPreventsReturn: a backend may not return after a later incarnation has registered.
 func TestLaterIncarnationPreventsReturn(t *testing.T) {
 	m := NewMachine()
 	for _, command := range []Command{raiseVersion, register, removeSilent} {
@@ -211,7 +211,7 @@
 	require.False(t, m.MayReturn(Incarnation{Name: "i", StartTime: 100}))
 }
 
-// TestSnapshotIsOfItsMoment: what is applied while it is written is not in it.
+// TestSnapshotIsPointInTime: commands applied after Snapshot returns are not in the snapshot.
 func TestSnapshotIsPointInTime(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, raiseVersion)
--- a/directory/watch.go
+++ b/directory/watch.go
@@ -9,8 +9,7 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// Delta is what changed after a revision. A full one replaces all that the
-// watcher knows.
+// Delta holds the changes after a revision. A full delta replaces the watcher's copy.
 type Delta struct {
 	Revision uint64            `cbor:"1,keyasint"`
 	Full     bool              `cbor:"2,keyasint,omitempty"`
@@ -23,28 +22,28 @@
 	Stores   []Store           `cbor:"9,keyasint,omitempty"`
 	Group    *Group            `cbor:"10,keyasint,omitempty"`
 	Removed  []Removed         `cbor:"11,keyasint,omitempty"`
-	// Replicas are the addresses of the directory's own replicas.
+	// Replicas are the members of the directory's own group.
 	Replicas []consensus.Member `cbor:"12,keyasint,omitempty"`
 	Tenants  []routing.Tenant   `cbor:"13,keyasint,omitempty"`
-	// Suspects are requests under which backends have ended.
+	// Suspects are requests that ran on crashed backends.
 	Suspects []quarantine.Suspect `cbor:"14,keyasint,omitempty"`
-	// Zones are those of the directory's own replicas.
+	// Zones are the zones of the directory's own replicas.
 	Zones []ReplicaZone `cbor:"15,keyasint,omitempty"`
-	// Held names the backends that a watcher of the scope holds with it, see Watch.
+	// Held identifies the services that the watcher's scope selects, see Watch.
 	Held string `cbor:"16,keyasint,omitempty"`
 
-	// otherVersion is set where the configuration's version has changed.
+	// versionChanged is set if the version of the configuration has changed.
 	versionChanged bool
 }
 
-// Removed names an object that is there no more.
+// Removed identifies a removed object.
 type Removed struct {
 	_    struct{} `cbor:",toarray"`
 	Kind ObjectKind
 	Name string
 }
 
-// DeltaSince returns what changed after the revision.
+// DeltaSince returns the changes after the revision in all objects.
 func (m *Machine) DeltaSince(since uint64) Delta {
 	s := &m.state
 	delta := Delta{Revision: s.Revision, Version: s.Version, versionChanged: m.versionRevision > since}
@@ -84,7 +83,7 @@
 	return delta
 }
 
-// changedBackends returns the backends that have changed after the revision.
+// changedBackends returns the backends that changed after the revision.
 func (m *Machine) changedBackends(since uint64) []Backend {
 	entries, isComplete := m.journal.since(since)
 	if !isComplete {
@@ -92,7 +91,7 @@
 	}
 	var list []Backend
 	for _, entry := range entries {
-		// One that has changed again is listed with its last change.
+		// Each backend is returned once, with its last change.
 		if current := m.state.Backends[entry.id]; current != nil && current.Revision == entry.revision {
 			list = append(list, current.Object)
 		}
@@ -110,11 +109,10 @@
 	return list
 }
 
-// Catalog is a watcher's copy of the directory. It is immutable; With returns
-// the next one.
+// Catalog is a watcher's copy of the directory. It is immutable; With returns an updated copy.
 type Catalog struct {
 	Revision uint64
-	// Version is that of the configuration in force, 0 before the first.
+	// Version is the version of the current configuration, 0 if there is none.
 	Version  uint64
 	Table    *routing.Table
 	Limits   routing.Limits
@@ -123,28 +121,26 @@
 	Stores   map[string]Store
 	Group    Group
 	Replicas []consensus.Member
-	// Suspects are requests under which backends have ended.
+	// Suspects are requests that ran on crashed backends.
 	Suspects map[quarantine.Fingerprint]quarantine.Suspect
-	// Zones are those of the directory's replicas, as far as they are known, by their addresses.
+	// Zones holds the known zones of the directory's replicas, by address.
 	Zones map[string]ReplicaZone
-	// Held names the backends that are held, see Watch.
+	// Held is that of the last delta, see Watch.
 	Held string
 
 	routes    map[string]routing.Route
 	backends  *backendShards
 	byService map[string][]*Backend
-	// ended are the backends that have ended under the suspects.
-	crashed map[string]bool
-	tenants map[string]routing.Tenant
-	// byKey holds the tenant of each key.
+	// crashed holds the IDs of the backends that crashed while they ran a suspect.
+	crashed     map[string]bool
+	tenants     map[string]routing.Tenant
 	tenantByKey map[string]routing.Tenant
 }
 
-// NewCatalog returns a catalog that holds nothing.
+// NewCatalog returns an empty catalog.
 func NewCatalog() *Catalog { return &Catalog{Table: routing.NewTable(nil)} }
 
-// Backends returns the service's backends, ordered by ID. The list and the backends must not be
-// changed.
+// Backends returns the service's backends, ordered by ID. The result must not be changed.
 func (c *Catalog) Backends(service string) []*Backend { return c.byService[service] }
 
 // BackendCount returns the number of all backends.
@@ -155,7 +151,7 @@
 	return c.backends.count
 }
 
-// Backend returns the backend with the ID, and whether there is one.
+// Backend returns the backend with the ID, and whether it exists.
 func (c *Catalog) Backend(id string) (Backend, bool) {
 	backend := c.backends.get(id)
 	if backend == nil {
@@ -167,20 +163,20 @@
 // AllBackends returns the backends in any order. They must not be changed.
 func (c *Catalog) AllBackends() iter.Seq[*Backend] { return c.backends.all() }
 
-// HasCrashed tells whether the backend is known to have ended under a request. It is still
-// listed until it is given up, or another one registers at its address.
+// HasCrashed reports whether the backend crashed while it ran a suspect. It is still listed until it is
+// removed as silent or another backend registers at its address.
 func (c *Catalog) HasCrashed(id string) bool { return c.crashed[id] }
 
-// HasTenants tells whether requests need a key.
+// HasTenants reports whether any tenant is configured, so that requests need a key.
 func (c *Catalog) HasTenants() bool { return len(c.tenants) > 0 }
 
-// TenantByKey returns the tenant that holds the key, and whether there is one.
+// TenantByKey returns the tenant with the key, and whether it exists.
 func (c *Catalog) TenantByKey(key string) (routing.Tenant, bool) {
 	tenant, ok := c.tenantByKey[key]
 	return tenant, ok
 }
 
-// With returns the catalog after the delta.
+// With returns the catalog with the delta applied.
 func (c *Catalog) With(delta Delta) *Catalog {
 	base := c
 	if delta.Full {
@@ -211,7 +207,7 @@
 	return next
 }
 
-// index makes the tables anew that the delta concerns; base is the catalog before it.
+// updateIndexes rebuilds the indexes that the delta affects. The parameter base is the catalog before it.
 func (c *Catalog) updateIndexes(base *Catalog, delta Delta) {
 	if delta.Full || len(delta.Routes) > 0 || len(delta.removedNames(KindRoute)) > 0 {
 		routes := make([]routing.Route, 0, len(c.routes))
@@ -234,7 +230,7 @@
 	}
 }
 
-// endedUnder returns the backends that have ended under the suspects.
+// crashedBackends returns the IDs of the backends that crashed while they ran a suspect.
 func crashedBackends(suspects map[quarantine.Fingerprint]quarantine.Suspect) map[string]bool {
 	crashed := map[string]bool{}
 	for _, suspect := range suspects {
@@ -247,7 +243,7 @@
 
 func (d Delta) removedNames(kind ObjectKind) []string { return removedKeys[string](d, kind) }
 
-// removedAs returns the names of the removed objects of the kind.
+// removedKeys returns the names of the removed objects of the kind.
 func removedKeys[K ~string](d Delta, kind ObjectKind) []K {
 	var keys []K
 	for _, removed := range d.Removed {
@@ -260,7 +256,7 @@
 
 func suspectKey(suspect quarantine.Suspect) quarantine.Fingerprint { return suspect.Fingerprint }
 
-// merge returns the objects after the changes. Without any it returns the same map.
+// merge returns the objects with the changes applied. Without changes it returns the base itself.
 func merge[K comparable, T any](base map[K]T, changes []T, key func(T) K, removed []K) map[K]T {
 	if len(changes) == 0 && len(removed) == 0 {
 		return base
--- a/directory/watch_bench_test.go
+++ b/directory/watch_bench_test.go
@@ -16,7 +16,7 @@
 	return backends
 }
 
-// BenchmarkCatalogOfManyBackends takes in the change of one of 3,000 backends.
+// BenchmarkCatalogOfManyBackends applies the change of one of 3,000 backends to a catalog.
 func BenchmarkCatalogOfManyBackends(b *testing.B) {
 	backends := manyBackends()
 	catalog := NewCatalog().With(Delta{Revision: 1, Full: true, Backends: backends})
@@ -26,8 +26,8 @@
 	}
 }
 
-// sizes are numbers of backends: what a change costs must not grow with those that it does not
-// concern.
+// backendCounts are the fleet sizes to compare: the cost of a change must not grow with the number of
+// unchanged backends.
 var backendCounts = []int{100, 1000, 10000}
 
 func newBackends(count int) []Backend {
@@ -41,7 +41,7 @@
 	return backends
 }
 
-// registered returns a machine in which that many backends are registered.
+// newMachineWith returns a machine with the backends registered.
 func newMachineWith(b *testing.B, backends []Backend) *Machine {
 	m := NewMachine()
 	for _, backend := range backends {
@@ -50,7 +50,7 @@
 	return m
 }
 
-// BenchmarkRegister registers one backend more, which takes over an address.
+// BenchmarkRegister registers one more backend, which replaces another one at its address.
 func BenchmarkRegister(b *testing.B) {
 	for _, size := range backendCounts {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkDeltaOfOneChange finds out what a watcher is to be told after one change.
+// BenchmarkDeltaOfOneChange computes the delta of one change.
 func BenchmarkDeltaOfOneChange(b *testing.B) {
 	for _, size := range backendCounts {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// BenchmarkTakeOneChange takes one change into a watcher's copy.
+// BenchmarkApplyOneChange applies one change to a catalog.
 func BenchmarkApplyOneChange(b *testing.B) {
 	for _, size := range backendCounts {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// BenchmarkSuspectChange takes one more suspect into a catalog that holds as many as there may be.
+// BenchmarkSuspectChange adds a suspect to a catalog that holds the maximum number of them.
 func BenchmarkSuspectChange(b *testing.B) {
 	delta := Delta{Revision: 1, Full: true}
 	for number := range maxSuspects {
