--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -142,10 +142,10 @@
 					removed[name] = max(removed[name], startTime)
 				}
 			case 3:
-				var written bytes.Buffer
-				require.NoError(t, m.Snapshot()(&written))
+				var snapshot bytes.Buffer
+				require.NoError(t, m.Snapshot()(&snapshot))
 				m = NewMachine()
-				require.NoError(t, m.Restore(&written))
+				require.NoError(t, m.Restore(&snapshot))
 			}
 			var expected []string
 			for _, backend := range registered {
--- a/directory/machine_test.go
+++ b/directory/machine_test.go
@@ -129,9 +129,9 @@
 				apply(t, m, Command{NameVersion: &ModelVersion{Model: "m", Version: uint64(rapid.IntRange(1, 9).Draw(t, "version"))}})
 			case 4:
 				restored := NewMachine()
-				var written bytes.Buffer
-				require.NoError(t, m.Snapshot()(&written))
-				require.NoError(t, restored.Restore(&written))
+				var snapshot bytes.Buffer
+				require.NoError(t, m.Snapshot()(&snapshot))
+				require.NoError(t, restored.Restore(&snapshot))
 				m = restored
 			}
 			if rapid.Bool().Draw(t, "watch") {
--- a/directory/scope_test.go
+++ b/directory/scope_test.go
@@ -26,7 +26,7 @@
 	return put
 }
 
-// follower is a watcher of one scope.
+// scopedWatcher is a watcher of one scope with its catalog.
 type scopedWatcher struct {
 	scope   Scope
 	catalog *Catalog
--- a/directory/services.go
+++ b/directory/services.go
@@ -14,7 +14,7 @@
 // is cheaper than an incremental update.
 const rebuildDivisor = 20
 
-// indexBackends updates the lists of services' backends. The parameter base is the catalog before the delta.
+// indexBackends updates the lists of services' backends. The argument base is the catalog before the delta.
 func (c *Catalog) indexBackends(base *Catalog, delta Delta) {
 	removed := delta.removedNames(KindBackend)
 	switch changes := len(delta.Backends) + len(removed); {
@@ -57,7 +57,7 @@
 	return lists.byService
 }
 
-// serviceLists holds lists of backends during an update. Services in copied have lists that may be changed.
+// serviceLists holds the lists of backends during an update. Only copied lists may be changed.
 type serviceLists struct {
 	byService map[string][]*Backend
 	copied    map[string]bool
--- a/directory/shards.go
+++ b/directory/shards.go
@@ -47,8 +47,8 @@
 }
 
 // with returns a copy with backends removed first and then added or replaced.
-func (s *backendShards) with(put []Backend, removed []string) *backendShards {
-	if len(put) == 0 && len(removed) == 0 && s != nil {
+func (s *backendShards) with(changed []Backend, removed []string) *backendShards {
+	if len(changed) == 0 && len(removed) == 0 && s != nil {
 		return s
 	}
 	next := &backendShards{}
@@ -56,7 +56,7 @@
 		*next = *s
 	}
 	var copied [shardCount]bool
-	part := func(id string) map[string]*Backend {
+	writablePart := func(id string) map[string]*Backend {
 		index := shardIndex(id)
 		if !copied[index] {
 			copied[index] = true
@@ -68,12 +68,12 @@
 		return next.parts[index]
 	}
 	for _, id := range removed {
-		delete(part(id), id)
+		delete(writablePart(id), id)
 	}
-	for position := range put {
+	for position := range changed {
 		// A pointer into the delta would keep all of its backends in memory.
-		backend := put[position]
-		part(backend.ID)[backend.ID] = &backend
+		backend := changed[position]
+		writablePart(backend.ID)[backend.ID] = &backend
 	}
 	next.count = 0
 	for _, part := range next.parts {
--- a/directory/suspects.go
+++ b/directory/suspects.go
@@ -70,14 +70,14 @@
 func (m *Machine) suspectToEvict() quarantine.Fingerprint {
 	var candidate *versioned[quarantine.Suspect]
 	for _, stored := range m.state.Suspects {
-		if candidate == nil || evictsBefore(stored, candidate) {
+		if candidate == nil || isEvictedBefore(stored, candidate) {
 			candidate = stored
 		}
 	}
 	return candidate.Object.Fingerprint
 }
 
-func evictsBefore(a, b *versioned[quarantine.Suspect]) bool {
+func isEvictedBefore(a, b *versioned[quarantine.Suspect]) bool {
 	if a.Object.IsQuarantined() != b.Object.IsQuarantined() {
 		return b.Object.IsQuarantined()
 	}
--- a/directory/suspects_test.go
+++ b/directory/suspects_test.go
@@ -25,10 +25,10 @@
 	m := NewMachine()
 	trailing := NewCatalog().With(m.DeltaSince(0))
 	reportCrashes(m, crashing, quarantine.CrashThreshold)
-	var written bytes.Buffer
-	require.NoError(t, m.Snapshot()(&written))
+	var snapshot bytes.Buffer
+	require.NoError(t, m.Snapshot()(&snapshot))
 	restored := NewMachine()
-	require.NoError(t, restored.Restore(&written))
+	require.NoError(t, restored.Restore(&snapshot))
 	trailing = trailing.With(restored.DeltaSince(trailing.Revision))
 	fresh := NewCatalog().With(restored.DeltaSince(0))
 	require.True(t, trailing.Suspects[crashing].IsQuarantined())
@@ -82,10 +82,10 @@
 			Fingerprint: "kind", Backend: fmt.Sprint(number), Known: number, Of: quarantine.Fingerprint(fmt.Sprint("content-", number)),
 		}}}.Encode())
 	}
-	var written bytes.Buffer
-	require.NoError(t, m.Snapshot()(&written))
+	var snapshot bytes.Buffer
+	require.NoError(t, m.Snapshot()(&snapshot))
 	restored := NewMachine()
-	require.NoError(t, restored.Restore(&written))
+	require.NoError(t, restored.Restore(&snapshot))
 	fresh := NewCatalog().With(restored.DeltaSince(0))
 	require.True(t, fresh.Suspects["kind"].IsQuarantined())
 }
--- a/directory/version_test.go
+++ b/directory/version_test.go
@@ -16,7 +16,7 @@
 var (
 	raiseVersion  = Command{RaiseVersion: &RaiseVersion{Version: ReturnVersion}}
 	removeSilent  = Command{RemoveBackend: &RemoveBackend{ID: "i/100"}}
-	returns       = Command{ReturnBackend: newIncarnation("i", 100, "a:1")}
+	returnBackend = Command{ReturnBackend: newIncarnation("i", 100, "a:1")}
 	register      = Command{PutBackend: newIncarnation("i", 100, "a:1")}
 	registerOther = Command{PutBackend: newIncarnation("other", 150, "a:1")}
 	registerLater = Command{PutBackend: newIncarnation("i", 200, "a:1")}
@@ -33,31 +33,31 @@
 		commands     []Command
 		isRegistered bool
 	}{
-		"silent":                                 {[]Command{raiseVersion, register, removeSilent, returns}, true},
-		"silent twice":                           {[]Command{raiseVersion, register, removeSilent, returns, removeSilent, returns}, true},
-		"registered before the raise":            {[]Command{register, raiseVersion, removeSilent, returns}, true},
-		"silent, and removed twice":              {[]Command{raiseVersion, register, removeSilent, removeSilent, returns}, true},
-		"silent, in a batch":                     {[]Command{raiseVersion, register, {Batch: []Command{removeSilent}}, {Batch: []Command{returns}}}, true},
+		"silent":                                 {[]Command{raiseVersion, register, removeSilent, returnBackend}, true},
+		"silent twice":                           {[]Command{raiseVersion, register, removeSilent, returnBackend, removeSilent, returnBackend}, true},
+		"registered before the raise":            {[]Command{register, raiseVersion, removeSilent, returnBackend}, true},
+		"silent, and removed twice":              {[]Command{raiseVersion, register, removeSilent, removeSilent, returnBackend}, true},
+		"silent, in a batch":                     {[]Command{raiseVersion, register, {Batch: []Command{removeSilent}}, {Batch: []Command{returnBackend}}}, true},
 		"silent, and registers":                  {[]Command{raiseVersion, register, removeSilent, register}, false},
-		"silent before the raise":                {[]Command{register, removeSilent, raiseVersion, returns}, false},
-		"silent before, as listed by the leader": {[]Command{register, removeSilent, {RaiseVersion: &RaiseVersion{Version: ReturnVersion, Silenced: []string{"i/100"}}}, returns}, true},
+		"silent before the raise":                {[]Command{register, removeSilent, raiseVersion, returnBackend}, false},
+		"silent before, as listed by the leader": {[]Command{register, removeSilent, {RaiseVersion: &RaiseVersion{Version: ReturnVersion, Silenced: []string{"i/100"}}}, returnBackend}, true},
 		"left before, but the leader lists an earlier incarnation as silent": {[]Command{registerLater, {RemoveBackend: &RemoveBackend{Name: "i", Born: 200}},
-			{RaiseVersion: &RaiseVersion{Version: ReturnVersion, Silenced: []string{"i/100"}}}, returns}, false},
-		"never raised":                           {[]Command{register, removeSilent, returns}, false},
-		"left":                                   {[]Command{raiseVersion, register, leave, returns}, false},
-		"left without a start time":              {[]Command{raiseVersion, register, leaveWithoutStartTime, returns}, false},
-		"silent, then left":                      {[]Command{raiseVersion, register, removeSilent, leave, returns}, false},
-		"silent, then left without a start time": {[]Command{raiseVersion, register, removeSilent, leaveWithoutStartTime, returns}, false},
-		"left, then removed as silent":           {[]Command{raiseVersion, register, leave, removeSilent, returns}, false},
-		"draining":                               {[]Command{raiseVersion, register, drain, removeSilent, returns}, false},
-		"never registered":                       {[]Command{raiseVersion, removeSilent, returns}, false},
-		"a later incarnation is registered":      {[]Command{raiseVersion, register, removeSilent, registerLater, returns}, false},
-		"a later incarnation has left":           {[]Command{raiseVersion, register, removeSilent, registerLater, {RemoveBackend: &RemoveBackend{Name: "i", Born: 200}}, returns}, false},
-		"a later incarnation is silent":          {[]Command{raiseVersion, register, removeSilent, registerLater, {RemoveBackend: &RemoveBackend{ID: "i/200"}}, returns}, false},
-		"its address is taken":                   {[]Command{raiseVersion, register, registerOther, returns}, true},
-		"its address is taken, never raised":     {[]Command{register, registerOther, returns}, false},
-		"its address is taken, then left":        {[]Command{raiseVersion, register, registerOther, leave, returns}, false},
-		"an earlier incarnation leaves late":     {[]Command{raiseVersion, register, removeSilent, {RemoveBackend: &RemoveBackend{Name: "i", Born: 50}}, returns}, true},
+			{RaiseVersion: &RaiseVersion{Version: ReturnVersion, Silenced: []string{"i/100"}}}, returnBackend}, false},
+		"never raised":                           {[]Command{register, removeSilent, returnBackend}, false},
+		"left":                                   {[]Command{raiseVersion, register, leave, returnBackend}, false},
+		"left without a start time":              {[]Command{raiseVersion, register, leaveWithoutStartTime, returnBackend}, false},
+		"silent, then left":                      {[]Command{raiseVersion, register, removeSilent, leave, returnBackend}, false},
+		"silent, then left without a start time": {[]Command{raiseVersion, register, removeSilent, leaveWithoutStartTime, returnBackend}, false},
+		"left, then removed as silent":           {[]Command{raiseVersion, register, leave, removeSilent, returnBackend}, false},
+		"draining":                               {[]Command{raiseVersion, register, drain, removeSilent, returnBackend}, false},
+		"never registered":                       {[]Command{raiseVersion, removeSilent, returnBackend}, false},
+		"a later incarnation is registered":      {[]Command{raiseVersion, register, removeSilent, registerLater, returnBackend}, false},
+		"a later incarnation has left":           {[]Command{raiseVersion, register, removeSilent, registerLater, {RemoveBackend: &RemoveBackend{Name: "i", Born: 200}}, returnBackend}, false},
+		"a later incarnation is silent":          {[]Command{raiseVersion, register, removeSilent, registerLater, {RemoveBackend: &RemoveBackend{ID: "i/200"}}, returnBackend}, false},
+		"its address is taken":                   {[]Command{raiseVersion, register, registerOther, returnBackend}, true},
+		"its address is taken, never raised":     {[]Command{register, registerOther, returnBackend}, false},
+		"its address is taken, then left":        {[]Command{raiseVersion, register, registerOther, leave, returnBackend}, false},
+		"an earlier incarnation leaves late":     {[]Command{raiseVersion, register, removeSilent, {RemoveBackend: &RemoveBackend{Name: "i", Born: 50}}, returnBackend}, true},
 	} {
 		m := NewMachine()
 		for _, command := range test.commands {
@@ -78,7 +78,7 @@
 	between := before.With(m.DeltaSince(before.Revision))
 	_, isListed := between.Backend("i/100")
 	require.False(t, isListed)
-	apply(t, m, returns)
+	apply(t, m, returnBackend)
 	for _, catalog := range []*Catalog{NewCatalog(), before, between} {
 		after := catalog.With(m.DeltaSince(catalog.Revision))
 		_, isListed = after.Backend("i/100")
@@ -110,9 +110,9 @@
 	revision := m.Revision()
 	apply(t, m, registerLater)
 	require.Equal(t, revision, m.Revision())
-	var written bytes.Buffer
-	require.NoError(t, m.Snapshot()(&written))
-	require.ErrorContains(t, NewMachine().Restore(&written), "version")
+	var snapshot bytes.Buffer
+	require.NoError(t, m.Snapshot()(&snapshot))
+	require.ErrorContains(t, NewMachine().Restore(&snapshot), "version")
 }
 
 // TestReturnsMatchModel draws registrations, removals, returns and raised versions in any order, on two
@@ -152,10 +152,10 @@
 				command.RaiseVersion = &RaiseVersion{Version: ReturnVersion}
 				isRaised = true
 			case 5:
-				var written bytes.Buffer
-				require.NoError(t, restarted.Snapshot()(&written))
+				var snapshot bytes.Buffer
+				require.NoError(t, restarted.Snapshot()(&snapshot))
 				restarted = NewMachine()
-				require.NoError(t, restarted.Restore(&written))
+				require.NoError(t, restarted.Restore(&snapshot))
 				continue
 			}
 			apply(t, continuous, command)
@@ -174,9 +174,9 @@
 }
 
 func digest(t require.TestingT, m *Machine) [sha256.Size]byte {
-	var written bytes.Buffer
-	require.NoError(t, m.Snapshot()(&written))
-	return sha256.Sum256(written.Bytes())
+	var snapshot bytes.Buffer
+	require.NoError(t, m.Snapshot()(&snapshot))
+	return sha256.Sum256(snapshot.Bytes())
 }
 
 // TestSnapshotWithoutVersion: a snapshot of a build without versions is read, and a state whose version
@@ -185,14 +185,14 @@
 	m := NewMachine()
 	apply(t, m, register)
 	apply(t, m, removeSilent)
-	var written bytes.Buffer
-	require.NoError(t, m.Snapshot()(&written))
+	var snapshot bytes.Buffer
+	require.NoError(t, m.Snapshot()(&snapshot))
 	var fields map[int]cbor.RawMessage
-	require.NoError(t, cbor.Unmarshal(written.Bytes(), &fields))
+	require.NoError(t, cbor.Unmarshal(snapshot.Bytes(), &fields))
 	require.NotContains(t, fields, 21)
 	require.NotContains(t, fields, 22)
 	restored := NewMachine()
-	require.NoError(t, restored.Restore(&written))
+	require.NoError(t, restored.Restore(&snapshot))
 	apply(t, restored, raiseVersion)
 	apply(t, restored, registerLater)
 	apply(t, restored, Command{RemoveBackend: &RemoveBackend{ID: "i/200"}})
@@ -219,7 +219,7 @@
 	write := m.Snapshot()
 	before := digest(t, m)
 	apply(t, m, removeSilent)
-	var written bytes.Buffer
-	require.NoError(t, write(&written))
-	require.Equal(t, before, sha256.Sum256(written.Bytes()))
+	var snapshot bytes.Buffer
+	require.NoError(t, write(&snapshot))
+	require.Equal(t, before, sha256.Sum256(snapshot.Bytes()))
 }
