--- a/directory/backends.go
+++ b/directory/backends.go
@@ -7,134 +7,137 @@
 	"slices"
 )
 
-// indexBackends makes the indexes of backends anew, and begins a journal of their changes.
+// indexBackends rebuilds what is derived from the stored state and starts an empty journal.
 func (m *Machine) indexBackends() {
-	m.journal, m.urgent, m.versionAt = journal{floor: m.state.Revision}, m.state.Revision, m.state.Revision
-	m.forwarded = forwardedBy(m.state.Routes)
+	m.journal, m.urgentRevision, m.versionRevision = journal{floor: m.state.Revision}, m.state.Revision, m.state.Revision
+	m.forwarded = newForwarded(m.state.Routes)
 	m.byName, m.byAddress = map[string]string{}, map[string]string{}
-	for id, known := range m.state.Backends {
-		m.byName[known.Object.OwnName()] = id
-		m.byAddress[known.Object.Address] = id
+	for id, stored := range m.state.Backends {
+		m.byName[stored.Object.NameOrID()] = id
+		m.byAddress[stored.Object.Address] = id
 	}
 }
 
-// Backend returns a registered backend, and whether there is one.
+// Backend returns the registered backend with the ID, and whether it exists.
 func (m *Machine) Backend(id string) (Backend, bool) {
-	known := m.state.Backends[id]
-	if known == nil {
+	stored := m.state.Backends[id]
+	if stored == nil {
 		return Backend{}, false
 	}
-	return known.Object, true
+	return stored.Object, true
 }
 
-// BackendAt returns the backend that is registered at the address, and whether there is one.
-func (m *Machine) BackendAt(address string) (Backend, bool) { return m.Backend(m.byAddress[address]) }
+// BackendByAddress returns the backend registered at the address, and whether it exists.
+func (m *Machine) BackendByAddress(address string) (Backend, bool) {
+	return m.Backend(m.byAddress[address])
+}
 
-// BackendNamed returns the incarnation that is registered under the name, and whether there is one.
-func (m *Machine) BackendNamed(name string) (Backend, bool) { return m.Backend(m.byName[name]) }
+// BackendByName returns the incarnation registered under the name, and whether it exists.
+func (m *Machine) BackendByName(name string) (Backend, bool) { return m.Backend(m.byName[name]) }
 
-// Gone tells whether the incarnation has left, or is an earlier life than one that has.
-func (m *Machine) Gone(incarnation Incarnation) bool { return m.departures().has(incarnation) }
+// IsRemoved reports whether the incarnation, or a later one of the same name, was removed.
+func (m *Machine) IsRemoved(incarnation Incarnation) bool { return m.removals().contains(incarnation) }
 
-func (m *Machine) departures() departures {
-	return departures{at: m.state.Gone, born: m.state.GoneBorn}
+func (m *Machine) removals() removals {
+	return removals{revisions: m.state.Gone, startTimes: m.state.GoneBorn}
 }
 
 // Backends returns the registered backends, ordered by ID.
-func (m *Machine) Backends() []Backend { return objects(m.state.Backends) }
+func (m *Machine) Backends() []Backend { return sortedObjects(m.state.Backends) }
 
-// putBackend registers a backend or changes it. What has left stays out, an earlier life under the
-// same name changes nothing, and an address belongs to the newest that names it.
+// putBackend registers or updates a backend. It ignores removed incarnations and those that are older
+// than the one registered under the name. An address belongs to the backend that registered it last.
 func (m *Machine) putBackend(backend Backend) {
-	if m.Gone(backend.Incarnation()) {
+	if m.IsRemoved(backend.Incarnation()) {
 		return
 	}
-	known, ok := m.BackendNamed(backend.OwnName())
+	existing, isRegistered := m.BackendByName(backend.NameOrID())
 	switch {
-	case ok && known.ID == backend.ID:
-		backend.Draining = backend.Draining || known.Draining
-		if reflect.DeepEqual(known, backend) {
+	case isRegistered && existing.ID == backend.ID:
+		backend.Draining = backend.Draining || existing.Draining
+		if reflect.DeepEqual(existing, backend) {
 			return
 		}
-		delete(m.byAddress, known.Address)
-		if known.Service != backend.Service {
-			// Whoever follows only its earlier service is told that it has gone.
-			m.bury(KindBackend, known.ID)
+		delete(m.byAddress, existing.Address)
+		if existing.Service != backend.Service {
+			// Watchers of its previous service only must remove it.
+			m.addTombstone(KindBackend, existing.ID)
 		}
-	case ok && !backend.Incarnation().follows(known.Born):
+	case isRegistered && !backend.Incarnation().startedAfter(existing.Born):
 		return
-	case ok:
-		m.takeOut(known)
+	case isRegistered:
+		m.unregister(existing)
 	}
 	m.releaseAddress(backend)
-	delete(m.state.Silenced, backend.OwnName())
-	next := m.nextPatient
-	if backend.Draining && !known.Draining {
-		next = m.next
+	delete(m.state.Silenced, backend.NameOrID())
+	newRevision := m.nextRevision
+	if backend.Draining && !existing.Draining {
+		newRevision = m.nextUrgentRevision
 	}
-	m.state.Backends[backend.ID] = &versioned[Backend]{Revision: next(), Object: backend}
-	m.journal.note(m.state.Revision, backend.ID)
-	m.byName[backend.OwnName()] = backend.ID
+	m.state.Backends[backend.ID] = &versioned[Backend]{Revision: newRevision(), Object: backend}
+	m.journal.record(m.state.Revision, backend.ID)
+	m.byName[backend.NameOrID()] = backend.ID
 	m.byAddress[backend.Address] = backend.ID
 }
 
-// releaseAddress takes out another backend that has the address of this one. It may return: a late
-// heartbeat of one that has ended takes the address of a living one that is not heard for a moment.
+// releaseAddress removes another backend that is registered at the address of this one. It may return:
+// a late heartbeat of a terminated backend can take the address of a running one that is briefly silent.
 func (m *Machine) releaseAddress(backend Backend) {
-	if earlier, ok := m.BackendAt(backend.Address); ok && earlier.ID != backend.ID {
-		m.takeOut(earlier)
-		m.noteSilenced(earlier)
+	if holder, ok := m.BackendByAddress(backend.Address); ok && holder.ID != backend.ID {
+		m.unregister(holder)
+		m.recordSilentRemoval(holder)
 	}
 }
 
-// removeBackend carries out a command. A name that nobody is registered under stays out, too:
-// its last heartbeat may still be on its way.
+// removeBackend applies the command. The removal of a name that is not registered is recorded too,
+// because a heartbeat of it may still arrive.
 func (m *Machine) removeBackend(command RemoveBackend) {
 	if command.Name == "" {
-		m.removeSilent(command.ID)
+		m.removeSilentBackend(command.ID)
 		return
 	}
-	known, ok := m.BackendNamed(command.Name)
+	existing, isRegistered := m.BackendByName(command.Name)
 	switch {
-	case !ok:
-		m.noteGone(Incarnation{Name: command.Name, Born: cmp.Or(command.Born, command.LatestBirth)})
-	case command.Born == 0 || known.Born <= command.Born:
-		m.takeOut(known)
+	case !isRegistered:
+		m.recordRemoval(Incarnation{Name: command.Name, StartTime: cmp.Or(command.Born, command.LatestBirth)})
+	case command.Born == 0 || existing.Born <= command.Born:
+		m.unregister(existing)
 	}
 }
 
-// removeSilent takes out a backend that nobody hears. Whoever reviews them may not know yet that it
-// has been taken out already.
-func (m *Machine) removeSilent(id string) {
-	known, ok := m.Backend(id)
+// removeSilentBackend removes a backend that sends no heartbeats. It may be removed already: the command
+// may result from a stale copy of the directory.
+func (m *Machine) removeSilentBackend(id string) {
+	existing, isRegistered := m.Backend(id)
 	switch {
-	case ok:
-		m.takeOut(known)
-		m.noteSilenced(known)
+	case isRegistered:
+		m.unregister(existing)
+		m.recordSilentRemoval(existing)
 	case m.state.InUse < ReturnVersion:
-		m.noteGone(Incarnation{Name: id})
+		m.recordRemoval(Incarnation{Name: id})
 	}
 }
 
-// takeOut removes a registered backend, which stays out unless it may return.
-func (m *Machine) takeOut(known Backend) {
-	delete(m.state.Backends, known.ID)
-	delete(m.byName, known.OwnName())
-	delete(m.byAddress, known.Address)
-	m.bury(KindBackend, known.ID)
-	m.noteGone(known.Incarnation())
+// unregister removes a registered backend. It stays removed unless it may return.
+func (m *Machine) unregister(backend Backend) {
+	delete(m.state.Backends, backend.ID)
+	delete(m.byName, backend.NameOrID())
+	delete(m.byAddress, backend.Address)
+	m.addTombstone(KindBackend, backend.ID)
+	m.recordRemoval(backend.Incarnation())
 }
 
-// noteGone remembers that the incarnation has left.
-func (m *Machine) noteGone(incarnation Incarnation) {
-	m.forgetSilenced(incarnation)
-	if m.Gone(incarnation) {
+// recordRemoval records that the incarnation was removed. If there are too many records, it drops the
+// older half.
+func (m *Machine) recordRemoval(incarnation Incarnation) {
+	m.forgetSilentRemoval(incarnation)
+	if m.IsRemoved(incarnation) {
 		return
 	}
-	m.departures().note(incarnation, m.state.Revision)
+	m.removals().record(incarnation, m.state.Revision)
 	if len(m.state.Gone) > maxTombstones {
 		revisions := slices.Sorted(maps.Values(m.state.Gone))
-		m.departures().forget(revisions[len(revisions)/2])
+		m.removals().forgetBefore(revisions[len(revisions)/2])
 		maps.DeleteFunc(m.state.Silenced, func(name string, _ int64) bool { return m.state.Gone[name] == 0 })
 	}
 }
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -16,7 +16,7 @@
 	"github.com/dillchute/dillchute/usage"
 )
 
-// TestGoldenCommands reads each command of earlier builds, and what they keep.
+// TestGoldenCommands checks that commands, results and snapshots of earlier builds can be read.
 func TestGoldenCommands(t *testing.T) {
 	decode := func(data []byte, into any) error { return cbor.Unmarshal(data, into) }
 	encode := func(value any) []byte {
@@ -33,16 +33,16 @@
 	})
 }
 
-// goldenSince is the revision after which the partial delta tells.
+// goldenSince is the revision after which the partial delta holds changes.
 const goldenSince = 20
 
-// goldenDeltas are what watchers are told after a golden log.
+// goldenDeltas are the encoded deltas after a golden log.
 type goldenDeltas struct {
 	Full    string `json:"full"`
 	Partial string `json:"partial"`
 }
 
-// TestGoldenLog applies the logs of earlier builds, and tells watchers what these told them.
+// TestGoldenLog checks that logs of earlier builds yield the deltas that these builds sent.
 func TestGoldenLog(t *testing.T) {
 	newMachine := func() golden.Machine { return NewMachine() }
 	golden.CheckLog(t, newMachine, goldenEntries(), func(t *testing.T, file string, applied golden.Machine) {
@@ -56,21 +56,21 @@
 			golden.WriteJSON(t, file, goldenDeltas{hex.EncodeToString(full), hex.EncodeToString(partial)})
 			return
 		}
-		var told goldenDeltas
-		golden.ReadJSON(t, file, &told)
-		requireTold(t, golden.DecodeHex(t, told.Full), full)
-		requireTold(t, golden.DecodeHex(t, told.Partial), partial)
+		var expected goldenDeltas
+		golden.ReadJSON(t, file, &expected)
+		requireSameDelta(t, golden.DecodeHex(t, expected.Full), full)
+		requireSameDelta(t, golden.DecodeHex(t, expected.Partial), partial)
 	})
 }
 
-// requireTold fails unless both deltas say the same.
-func requireTold(t *testing.T, written, made []byte) {
-	require.Equal(t, golden.CanonicalSet(t, written), golden.CanonicalSet(t, made))
+// requireSameDelta fails unless both encoded deltas are equal, regardless of the order in lists.
+func requireSameDelta(t *testing.T, expected, actual []byte) {
+	require.Equal(t, golden.CanonicalSet(t, expected), golden.CanonicalSet(t, actual))
 	var delta Delta
-	require.NoError(t, cbor.Unmarshal(written, &delta))
-	again, err := cbor.Marshal(delta)
+	require.NoError(t, cbor.Unmarshal(expected, &delta))
+	reencoded, err := cbor.Marshal(delta)
 	require.NoError(t, err)
-	require.Equal(t, golden.Canonical(t, written), golden.Canonical(t, again))
+	require.Equal(t, golden.Canonical(t, expected), golden.Canonical(t, reencoded))
 }
 
 func goldenEntries() [][]byte {
@@ -81,7 +81,7 @@
 	return entries
 }
 
-// goldenCommands use each command, with and without an effect.
+// goldenCommands returns commands of each kind, with and without an effect.
 func goldenCommands() []Command {
 	var commands []Command
 	commands = append(commands, goldenConfigurations()...)
@@ -123,17 +123,17 @@
 }
 
 func goldenBackends() []Command {
-	backend := func(name string, born int64) Backend {
-		made := Backend{Service: "chat", Address: name + ":1", Zone: "a", Slots: 4, Name: name, Born: born, Models: []ModelVersion{{Model: "model", Version: 2}}}
-		made.ID = made.Name + "-1"
-		return made
+	backend := func(name string, startTime int64) Backend {
+		created := Backend{Service: "chat", Address: name + ":1", Zone: "a", Slots: 4, Name: name, Born: startTime, Models: []ModelVersion{{Model: "model", Version: 2}}}
+		created.ID = created.Name + "-1"
+		return created
 	}
-	draining, silent, again := backend("one", 10), backend("two", 10), backend("one", 20)
-	draining.Draining, silent.Silent, again.ID = true, true, "one-2"
+	draining, silent, restarted := backend("one", 10), backend("two", 10), backend("one", 20)
+	draining.Draining, silent.Silent, restarted.ID = true, true, "one-2"
 	return []Command{
 		{PutBackend: &Backend{ID: "plain", Service: "engine", Address: "plain:1", Zone: "b", Slots: 1}},
 		{Batch: []Command{{PutBackend: ptr(backend("one", 10))}, {PutBackend: ptr(backend("two", 10))}, {PutBackend: ptr(backend("three", 10))}}},
-		{PutBackend: &draining}, {PutBackend: &silent}, {PutBackend: &again}, {PutBackend: ptr(backend("one", 10))},
+		{PutBackend: &draining}, {PutBackend: &silent}, {PutBackend: &restarted}, {PutBackend: ptr(backend("one", 10))},
 		{RemoveBackend: &RemoveBackend{ID: "plain"}},
 		{RemoveBackend: &RemoveBackend{Name: "three", Born: 10}},
 		{RemoveBackend: &RemoveBackend{Name: "four", LatestBirth: 30}},
@@ -157,10 +157,10 @@
 	}
 }
 
-// goldenSuspects come first to revisions that the offers name.
+// goldenSuspects returns crashes, and the commands that refer to suspects by revision.
 func goldenSuspects() []Command {
-	crash := func(request, backend string, known int, of string) Command {
-		return Command{Crashes: []quarantine.Crash{{Fingerprint: quarantine.Fingerprint(request), Backend: backend, Known: known, Of: quarantine.Fingerprint(of)}}}
+	crash := func(request, backend string, known int, content string) Command {
+		return Command{Crashes: []quarantine.Crash{{Fingerprint: quarantine.Fingerprint(request), Backend: backend, Known: known, Of: quarantine.Fingerprint(content)}}}
 	}
 	commands := []Command{
 		crash("content", "a", 0, ""), crash("content", "b", 1, ""), crash("content", "c", 2, ""), crash("content", "c", 3, ""),
@@ -168,11 +168,11 @@
 		crash("answered", "a", 0, ""), crash("forgotten", "a", 0, ""),
 		{Answered: []quarantine.Fingerprint{"answered", "unknown"}},
 	}
-	// Offers and takings name every revision that the suspects may have.
+	// The commands name every revision that the suspects may have.
 	for revision := uint64(1); revision < 60; revision++ {
 		commands = append(commands,
-			Command{ForgetSuspect: &SuspectAt{Fingerprint: "forgotten", Revision: revision}},
-			Command{OfferTrial: &SuspectAt{Fingerprint: "content", Revision: revision}},
+			Command{ForgetSuspect: &SuspectRevision{Fingerprint: "forgotten", Revision: revision}},
+			Command{OfferTrial: &SuspectRevision{Fingerprint: "content", Revision: revision}},
 		)
 	}
 	return append(commands, Command{TakeTrial: "content"}, Command{TakeTrial: "content"}, Command{TakeTrial: "kind"})
--- a/directory/incarnation.go
+++ b/directory/incarnation.go
@@ -2,87 +2,85 @@
 
 import "strconv"
 
-// Incarnation is one life of a backend. A backend may start again under the name that it had; it
-// then holds and knows nothing of before, so that it is another one for whoever remembers what
-// the earlier one held, ran or answered.
+// Incarnation is one run of a backend process under its name. A restarted backend keeps its name but
+// none of its state, so anything known of its loaded models, requests or responses no longer applies.
 type Incarnation struct {
-	// Name is what the backend calls itself.
 	Name string
-	// Born is when it started, in milliseconds since 1970 by its own clock, or 0 if it does not
-	// say: such a backend takes another name at each start.
-	Born int64
+	// StartTime is in Unix milliseconds on the backend's clock. It is 0 for a backend that does not
+	// report it and uses a new name at each start.
+	StartTime int64
 }
 
-// birthSeparator stands between name and birth in an ID. Names come out of paths, of which they
-// are one part, so none holds it.
-const birthSeparator = "/"
+// startTimeSeparator separates name and start time in an ID. Names are single path segments, so they
+// cannot contain it.
+const startTimeSeparator = "/"
 
-// ID returns what names the incarnation among all backends.
+// ID returns the ID of the incarnation, which is unique among all backends.
 func (i Incarnation) ID() string {
-	if i.Born == 0 {
+	if i.StartTime == 0 {
 		return i.Name
 	}
-	return i.Name + birthSeparator + strconv.FormatInt(i.Born, 10)
+	return i.Name + startTimeSeparator + strconv.FormatInt(i.StartTime, 10)
 }
 
-// follows tells whether the incarnation is a later life under the name than one born at the time.
-// One that does not say when it was born is no later than any.
-func (i Incarnation) follows(born int64) bool { return i.Born > born }
+// startedAfter reports whether the incarnation started after the time. One without a start time did
+// not.
+func (i Incarnation) startedAfter(startTime int64) bool { return i.StartTime > startTime }
 
-// Named returns the backend as that incarnation.
-func (b Backend) Named(incarnation Incarnation) Backend {
-	b.ID, b.Born = incarnation.ID(), incarnation.Born
-	if incarnation.Born != 0 {
+// WithIncarnation returns the backend with the ID, name and start time of the incarnation.
+func (b Backend) WithIncarnation(incarnation Incarnation) Backend {
+	b.ID, b.Born = incarnation.ID(), incarnation.StartTime
+	if incarnation.StartTime != 0 {
 		b.Name = incarnation.Name
 	}
 	return b
 }
 
-// Incarnation returns which life of which backend this is.
-func (b Backend) Incarnation() Incarnation { return Incarnation{Name: b.OwnName(), Born: b.Born} }
+// Incarnation returns the incarnation that the backend is.
+func (b Backend) Incarnation() Incarnation { return Incarnation{Name: b.NameOrID(), StartTime: b.Born} }
 
-// OwnName returns what the backend calls itself, by which requests to it name it.
-func (b Backend) OwnName() string {
+// NameOrID returns the name of the backend, which is its ID if Name is empty.
+func (b Backend) NameOrID() string {
 	if b.Name == "" {
 		return b.ID
 	}
 	return b.Name
 }
 
-// departures remember the backends that have left, so that a late heartbeat does not bring one
-// back. A zero departures remembers none and must not be added to.
-type departures struct {
-	// at holds the directory's revision at which a name's newest life left.
-	at map[string]uint64
-	// born holds that life's birth, where it is known.
-	born map[string]int64
+// removals records the removed backends, so that a late heartbeat does not register one again. The
+// zero value is empty and read-only.
+type removals struct {
+	// revisions holds, by name, the revision at which the newest incarnation was removed.
+	revisions map[string]uint64
+	// startTimes holds the start time of that incarnation, if known.
+	startTimes map[string]int64
 }
 
-// has tells whether the incarnation has left, or is an earlier life than one that has.
-func (d departures) has(incarnation Incarnation) bool {
-	_, left := d.at[incarnation.Name]
-	return left && !incarnation.follows(d.born[incarnation.Name])
+// contains reports whether the incarnation, or a later one of the same name, was removed.
+func (r removals) contains(incarnation Incarnation) bool {
+	_, removed := r.revisions[incarnation.Name]
+	return removed && !incarnation.startedAfter(r.startTimes[incarnation.Name])
 }
 
-// note takes in that the incarnation has left, which had not.
-func (d departures) note(incarnation Incarnation, revision uint64) {
-	d.at[incarnation.Name] = revision
-	if incarnation.Born != 0 {
-		d.born[incarnation.Name] = incarnation.Born
+// record adds an incarnation that is not contained yet.
+func (r removals) record(incarnation Incarnation, revision uint64) {
+	r.revisions[incarnation.Name] = revision
+	if incarnation.StartTime != 0 {
+		r.startTimes[incarnation.Name] = incarnation.StartTime
 	}
 }
 
-// drop forgets whatever has left under the name.
-func (d departures) drop(name string) {
-	delete(d.at, name)
-	delete(d.born, name)
+// forget drops the removals of the name.
+func (r removals) forget(name string) {
+	delete(r.revisions, name)
+	delete(r.startTimes, name)
 }
 
-// forget drops the names whose newest life left before the revision.
-func (d departures) forget(revision uint64) {
-	for name, left := range d.at {
-		if left < revision {
-			d.drop(name)
+// forgetBefore drops the removals before the revision.
+func (r removals) forgetBefore(revision uint64) {
+	for name, removedAt := range r.revisions {
+		if removedAt < revision {
+			r.forget(name)
 		}
 	}
 }
--- a/directory/machine_test.go
+++ b/directory/machine_test.go
@@ -34,9 +34,9 @@
 	return put
 }
 
-// TestHighestVersionHolds: a version that does not exceed the one held leaves
-// everything unchanged, also with other content under the same number.
-func TestHighestVersionHolds(t *testing.T) {
+// TestHighestConfigurationVersionWins: a configuration is ignored unless its version is higher than the
+// current one, also if its content differs.
+func TestHighestConfigurationVersionWins(t *testing.T) {
 	m := NewMachine()
 	require.Equal(t, uint64(5), apply(t, m, Command{PutConfiguration: configuration(5, "/a/")}).Version)
 	revision := m.Revision()
@@ -47,9 +47,9 @@
 	require.Equal(t, "5 [/a/]", string(m.Source()))
 }
 
-// TestBackendThatLeftStaysOut: neither a late heartbeat nor a late mark of
-// being ready brings back what has left or drains.
-func TestBackendThatLeftStaysOut(t *testing.T) {
+// TestRemovedBackendStaysRemoved: a late heartbeat neither ends draining nor registers a removed backend
+// again.
+func TestRemovedBackendStaysRemoved(t *testing.T) {
 	m := NewMachine()
 	ready := Backend{ID: "i", Service: "s", Address: "a:1"}
 	draining := ready
@@ -57,27 +57,26 @@
 	apply(t, m, Command{PutBackend: &ready})
 	apply(t, m, Command{PutBackend: &draining})
 	apply(t, m, Command{PutBackend: &ready})
-	known, ok := m.Backend("i")
-	require.True(t, ok && known.Draining)
+	backend, ok := m.Backend("i")
+	require.True(t, ok && backend.Draining)
 	apply(t, m, Command{RemoveBackend: &RemoveBackend{ID: "i"}})
 	apply(t, m, Command{PutBackend: &ready})
 	_, ok = m.Backend("i")
 	require.False(t, ok)
 }
 
-// TestAddressBelongsToTheNewest: a backend that registers takes the address
-// from the one that had it, which must be gone.
-func TestAddressBelongsToTheNewest(t *testing.T) {
+// TestNewestBackendOwnsAddress: a backend that registers at the address of another one replaces it.
+func TestNewestBackendOwnsAddress(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, Command{PutBackend: &Backend{ID: "old", Service: "s", Address: "a:1"}})
 	apply(t, m, Command{PutBackend: &Backend{ID: "new", Service: "other", Address: "a:1"}})
 	_, ok := m.Backend("old")
 	require.False(t, ok)
-	require.True(t, m.Gone(Incarnation{Name: "old"}))
+	require.True(t, m.IsRemoved(Incarnation{Name: "old"}))
 }
 
-// TestRetire: a store retires only while enough others remain, and is retired
-// once the group has reported that it is no member any more.
+// TestRetire: a store may retire only if enough others remain, and is retired once a report of the group
+// no longer lists it.
 func TestRetire(t *testing.T) {
 	m := NewMachine()
 	var members []consensus.Member
@@ -94,25 +93,25 @@
 	require.Equal(t, RetireTooFew, retire("store-1"))
 	apply(t, m, Command{ReportGroup: &Group{Members: members, Number: 9}})
 	require.Equal(t, RetireAccepted, retire("store-1"))
-	require.Equal(t, RetireAccepted, retire("store-1"), "a repeated order")
+	require.Equal(t, RetireAccepted, retire("store-1"), "a repeated request")
 	require.Equal(t, RetireTooFew, retire("store-2"))
 	apply(t, m, Command{ReportGroup: &Group{Members: members[1:], Number: 8}})
 	store, _ := m.Store("store-1")
-	require.False(t, store.Retired, "a late report")
+	require.False(t, store.Retired, "a stale report")
 	apply(t, m, Command{ReportGroup: &Group{Members: members[1:], Number: 10}})
 	store, _ = m.Store("store-1")
 	require.True(t, store.Retired)
 
 	apply(t, m, Command{PutStore: &Store{Name: "store-5", Replica: 5}})
-	require.Equal(t, RetireAccepted, retire("store-5"), "a store that stands outside the group")
+	require.Equal(t, RetireAccepted, retire("store-5"), "a store outside the group")
 	apply(t, m, Command{ReportGroup: &Group{Members: members[1:], Number: 10}})
 	store, _ = m.Store("store-5")
-	require.True(t, store.Retired, "the leader reports once more")
+	require.True(t, store.Retired, "a repeated report")
 }
 
-// TestCatalogFollowsMachine: whatever happens, and however far a watcher
-// trails, its copy after a delta is that of a watcher that starts anew.
-func TestCatalogFollowsMachine(t *testing.T) {
+// TestCatalogMatchesMachine: after any changes, a catalog updated by a delta equals one built from a full
+// delta.
+func TestCatalogMatchesMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, catalog, version := NewMachine(), NewCatalog(), uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
@@ -130,9 +129,9 @@
 				apply(t, m, Command{NameVersion: &ModelVersion{Model: "m", Version: uint64(rapid.IntRange(1, 9).Draw(t, "version"))}})
 			case 4:
 				restored := NewMachine()
-				var written bytes.Buffer
-				require.NoError(t, m.Snapshot()(&written))
-				require.NoError(t, restored.Restore(&written))
+				var snapshot bytes.Buffer
+				require.NoError(t, m.Snapshot()(&snapshot))
+				require.NoError(t, restored.Restore(&snapshot))
 				m = restored
 			}
 			if rapid.Bool().Draw(t, "watch") {
--- a/directory/services.go
+++ b/directory/services.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-// fewChanges is the number of changed backends up to which the lists of services are changed
-// in their places instead of being made anew.
-const fewChanges = 32
+// minRebuildChanges is the number of changed backends up to which the lists of services are always
+// updated incrementally.
+const minRebuildChanges = 32
 
-// manyParts is the part of all backends, as its inverse, beyond which changing the lists in their
-// places costs more than making them anew.
-const manyParts = 20
+// rebuildDivisor sets the fraction of all backends, 1/rebuildDivisor, above which rebuilding the lists
+// is cheaper than an incremental update.
+const rebuildDivisor = 20
 
-// indexBackends makes the lists of services' backends; base is the catalog before the delta.
+// indexBackends updates the lists of services' backends. The argument base is the catalog before the delta.
 func (c *Catalog) indexBackends(base *Catalog, delta Delta) {
-	removed := delta.removed(KindBackend)
+	removed := delta.removedNames(KindBackend)
 	switch changes := len(delta.Backends) + len(removed); {
-	case delta.Full || changes > fewChanges && changes*manyParts > c.backends.count:
-		c.listAllBackends()
+	case delta.Full || changes > minRebuildChanges && changes*rebuildDivisor > c.backends.count:
+		c.rebuildLists()
 	case changes > 0:
-		c.byService = changeLists(base, c, delta.Backends, removed)
+		c.byService = updatedLists(base, c, delta.Backends, removed)
 	}
 }
 
-// listAllBackends makes all lists anew.
-func (c *Catalog) listAllBackends() {
+// rebuildLists builds all lists from the catalog's backends.
+func (c *Catalog) rebuildLists() {
 	c.byService = map[string][]*Backend{}
 	for backend := range c.backends.all() {
 		c.byService[backend.Service] = append(c.byService[backend.Service], backend)
@@ -36,67 +36,67 @@
 	}
 }
 
-// changeLists returns the lists of the base after the changes. Lists that nothing concerns
-// are shared, and the others copied: others may be reading those of the base.
-func changeLists(base, next *Catalog, changed []Backend, removed []string) map[string][]*Backend {
-	lists := serviceLists{byService: maps.Clone(base.byService), own: map[string]bool{}}
+// updatedLists returns the lists of the base with the changes applied. Unchanged lists are shared with
+// the base. Changed lists are copied, because the base may be read concurrently.
+func updatedLists(base, next *Catalog, changed []Backend, removed []string) map[string][]*Backend {
+	lists := serviceLists{byService: maps.Clone(base.byService), copied: map[string]bool{}}
 	if lists.byService == nil {
 		lists.byService = map[string][]*Backend{}
 	}
 	for _, id := range removed {
-		if earlier := base.backends.get(id); earlier != nil {
-			lists.remove(earlier)
+		if previous := base.backends.get(id); previous != nil {
+			lists.remove(previous)
 		}
 	}
 	for _, backend := range changed {
-		if earlier := base.backends.get(backend.ID); earlier != nil {
-			lists.remove(earlier)
+		if previous := base.backends.get(backend.ID); previous != nil {
+			lists.remove(previous)
 		}
 		lists.add(next.backends.get(backend.ID))
 	}
 	return lists.byService
 }
 
-// serviceLists are lists of backends under change. Those that are own were copied.
+// serviceLists holds the lists of backends during an update. Only copied lists may be changed.
 type serviceLists struct {
 	byService map[string][]*Backend
-	own       map[string]bool
+	copied    map[string]bool
 }
 
-// find returns the place of the backend in the list of its service, and whether it is there.
+// find returns the index of the backend in the list of its service, and whether it is listed.
 func (l serviceLists) find(backend *Backend) (int, bool) {
 	return slices.BinarySearchFunc(l.byService[backend.Service], backend.ID, func(listed *Backend, id string) int {
 		return cmp.Compare(listed.ID, id)
 	})
 }
 
-// copyList makes the service's list one that may be changed.
+// copyList copies the service's list before its first change.
 func (l serviceLists) copyList(service string) {
-	if !l.own[service] {
+	if !l.copied[service] {
 		l.byService[service] = slices.Clone(l.byService[service])
-		l.own[service] = true
+		l.copied[service] = true
 	}
 }
 
 func (l serviceLists) remove(backend *Backend) {
-	place, ok := l.find(backend)
+	index, ok := l.find(backend)
 	if !ok {
 		return
 	}
 	l.copyList(backend.Service)
-	list := slices.Delete(l.byService[backend.Service], place, place+1)
+	list := slices.Delete(l.byService[backend.Service], index, index+1)
 	l.byService[backend.Service] = list
 	if len(list) == 0 {
 		delete(l.byService, backend.Service)
-		delete(l.own, backend.Service)
+		delete(l.copied, backend.Service)
 	}
 }
 
 func (l serviceLists) add(backend *Backend) {
-	place, ok := l.find(backend)
+	index, ok := l.find(backend)
 	if ok {
 		return
 	}
 	l.copyList(backend.Service)
-	l.byService[backend.Service] = slices.Insert(l.byService[backend.Service], place, backend)
+	l.byService[backend.Service] = slices.Insert(l.byService[backend.Service], index, backend)
 }
--- a/directory/shards.go
+++ b/directory/shards.go
@@ -6,32 +6,32 @@
 	"maps"
 )
 
-// shardCount is the number of parts that a catalog's backends are kept in. A change copies the
-// part that it concerns: of 10,000 backends some 80, 8 bytes each beside their IDs.
+// shardCount is the number of shards of a catalog's backends. A change copies only the shards that it
+// affects.
 const shardCount = 128
 
-// shardSeed spreads IDs over the parts; it need not be the same in two processes.
+// shardSeed seeds the hash that assigns IDs to shards. It may differ between processes.
 var shardSeed = maphash.MakeSeed()
 
-// shards are backends by their IDs. They are immutable; with returns the next ones, which share
-// with these whatever has not changed.
-type shards struct {
+// backendShards is an immutable map of backends by ID. Method with returns a changed copy, which shares
+// the unchanged shards.
+type backendShards struct {
 	parts [shardCount]map[string]*Backend
 	count int
 }
 
-func shardOf(id string) int { return int(maphash.String(shardSeed, id) % shardCount) }
+func shardIndex(id string) int { return int(maphash.String(shardSeed, id) % shardCount) }
 
-// get returns the backend of the ID, or nil. It must not be changed.
-func (s *shards) get(id string) *Backend {
+// get returns the backend with the ID, or nil. It must not be changed.
+func (s *backendShards) get(id string) *Backend {
 	if s == nil {
 		return nil
 	}
-	return s.parts[shardOf(id)][id]
+	return s.parts[shardIndex(id)][id]
 }
 
 // all returns the backends in any order.
-func (s *shards) all() iter.Seq[*Backend] {
+func (s *backendShards) all() iter.Seq[*Backend] {
 	return func(yield func(*Backend) bool) {
 		if s == nil {
 			return
@@ -46,34 +46,34 @@
 	}
 }
 
-// with returns the backends after some were removed and then others put.
-func (s *shards) with(put []Backend, removed []string) *shards {
-	if len(put) == 0 && len(removed) == 0 && s != nil {
+// with returns a copy with backends removed first and then added or replaced.
+func (s *backendShards) with(changed []Backend, removed []string) *backendShards {
+	if len(changed) == 0 && len(removed) == 0 && s != nil {
 		return s
 	}
-	next := &shards{}
+	next := &backendShards{}
 	if s != nil {
 		*next = *s
 	}
-	var own [shardCount]bool
-	part := func(id string) map[string]*Backend {
-		place := shardOf(id)
-		if !own[place] {
-			own[place] = true
-			next.parts[place] = maps.Clone(next.parts[place])
-			if next.parts[place] == nil {
-				next.parts[place] = map[string]*Backend{}
+	var copied [shardCount]bool
+	writablePart := func(id string) map[string]*Backend {
+		index := shardIndex(id)
+		if !copied[index] {
+			copied[index] = true
+			next.parts[index] = maps.Clone(next.parts[index])
+			if next.parts[index] == nil {
+				next.parts[index] = map[string]*Backend{}
 			}
 		}
-		return next.parts[place]
+		return next.parts[index]
 	}
 	for _, id := range removed {
-		delete(part(id), id)
+		delete(writablePart(id), id)
 	}
-	for position := range put {
-		// A copy keeps the delta's other objects from staying in memory with this one.
-		backend := put[position]
-		part(backend.ID)[backend.ID] = &backend
+	for position := range changed {
+		// A pointer into the delta would keep all of its backends in memory.
+		backend := changed[position]
+		writablePart(backend.ID)[backend.ID] = &backend
 	}
 	next.count = 0
 	for _, part := range next.parts {
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -60,7 +60,7 @@
 }
 
 // Has reports whether the backend has crashed.
-func (c CrashedBackends) Has(id string) bool { return c.recent[id] || c.catalog.HasEnded(id) }
+func (c CrashedBackends) Has(id string) bool { return c.recent[id] || c.catalog.HasCrashed(id) }
 
 // backendForSuspect returns the backend with the fewest requests in flight among those that run
 // suspects. If this backend has no free slot and fewer than maxBackends run suspects, it returns the
