--- a/bench/fleet/report.go
+++ b/bench/fleet/report.go
@@ -54,7 +54,7 @@
 		}
 		events = append(events, read...)
 	}
-	violations, counts := oracle.Check(events, oracle.Expect{AllDelivered: true, LeavingGraceMillis: leavingGraceMillis})
+	violations, counts := oracle.Check(events, oracle.Expectations{AllDelivered: true, LeavingGraceMillis: leavingGraceMillis})
 	report := newReport(f.config.Workload.Name, failed, violations, counts)
 	report.addLatencies(events)
 	return report, nil
@@ -136,7 +136,7 @@
 	fmt.Fprintf(out, "  samples doubled or reordered %d, mislabelled %d, over the bound %d\n",
 		r.Violations[string(oracle.ExactlyOnce)], r.Violations[string(oracle.ExactVersions)], r.Violations[string(oracle.StalenessBound)])
 	fmt.Fprintf(out, "  live answers whole         %d, not run %d, unknown %d, broken %d\n",
-		r.Answered, r.NotRun, r.Unknown, r.Violations[string(oracle.WholeAnswers)])
+		r.Answered, r.NotRun, r.Unknown, r.Violations[string(oracle.CompleteAnswers)])
 	fmt.Fprintf(out, "  live latency               p50 %d ms, p99 %d ms\n", r.LiveP50Millis, r.LiveP99Millis)
 	fmt.Fprintf(out, "  trainer idle share         %.3f\n", r.IdleShare)
 	fmt.Fprintf(out, "  staleness in versions      p50 %d, p99 %d, max %d\n", r.StaleVersionsP50, r.StaleVersionsP99, r.StaleVersionsMax)
--- a/bench/model/engine.go
+++ b/bench/model/engine.go
@@ -12,29 +12,29 @@
 	Incarnation uint64
 	Model       string
 	Slots       int
-	// StepMillis and StepMillisPerStream make up the time of a step.
+	// A step takes StepMillis plus StepMillisPerStream for each running stream.
 	StepMillis          float64
 	StepMillisPerStream float64
 	// ChunkTokens is the number of tokens in a chunk.
 	ChunkTokens int
-	// SwapMillis is the time from having fetched weights to using them.
+	// SwapMillis is the time to load weights after they have been fetched.
 	SwapMillis int64
 }
 
-// Reply is a message to the process that holds the connection To.
+// Reply is a message to the peer of the connection To.
 type Reply struct {
 	To      string
 	Message protocol.EngineMessage
 }
 
-// FetchWeights asks for weights from the weight store.
+// FetchWeights is a request to the weight store.
 type FetchWeights struct {
 	Model   string
 	Version uint64
 }
 
-// Record is what the engine did, for the oracle: the beginning of an attempt,
-// or a run of tokens that one version generated.
+// Record is an observation for the oracle: that an attempt began, or that a range of tokens was
+// generated under one version.
 type Record struct {
 	Attempt string
 	Request string
@@ -45,14 +45,14 @@
 }
 
 type stream struct {
-	to        string
-	start     protocol.EngineStart
-	position  uint32
-	length    uint32
-	index     uint32
-	pending   []uint32
-	pendingAt uint64
-	progress  float64
+	to             string
+	start          protocol.EngineStart
+	generated      uint32
+	answerLength   uint32
+	nextChunk      uint32
+	pending        []uint32
+	pendingVersion uint64
+	progress       float64
 }
 
 type swap struct {
@@ -62,7 +62,7 @@
 	readyAt int64
 }
 
-// Engine is one engine. Its methods must not be called concurrently.
+// Engine simulates one engine. Its methods must not be called concurrently.
 type Engine struct {
 	config   Config
 	now      int64
@@ -77,29 +77,29 @@
 	records  []Record
 }
 
-// NewEngine returns an engine without weights that has seen no epoch.
+// NewEngine returns an engine at epoch 0 without weights.
 func NewEngine(config Config) *Engine {
 	return &Engine{config: config, streams: map[string]*stream{}}
 }
 
-// SetLeaving marks the engine as leaving: it refuses new streams.
+// SetLeaving sets whether the engine is leaving. A leaving engine refuses new streams.
 func (e *Engine) SetLeaving(leaving bool) { e.leaving = leaving }
 
-// TakeRecords returns what the engine did since the last call.
+// TakeRecords returns the records since the last call.
 func (e *Engine) TakeRecords() []Record {
 	records := e.records
 	e.records = nil
 	return records
 }
 
-// TakeReplies returns the messages to be sent and forgets them.
+// TakeReplies returns and clears the messages to send.
 func (e *Engine) TakeReplies() []Reply {
 	replies := e.replies
 	e.replies = nil
 	return replies
 }
 
-// TakeFetches returns the requests to the weight store and forgets them.
+// TakeFetches returns and clears the requests to the weight store.
 func (e *Engine) TakeFetches() []FetchWeights {
 	fetches := e.fetches
 	e.fetches = nil
@@ -110,7 +110,7 @@
 	e.replies = append(e.replies, Reply{To: to, Message: message})
 }
 
-// Receive takes in a message over the connection from.
+// Receive processes a message that arrived over the connection from.
 func (e *Engine) Receive(now int64, from string, message protocol.EngineMessage) {
 	e.advance(now)
 	switch {
@@ -137,19 +137,19 @@
 }
 
 func (e *Engine) receiveStart(from string, start *protocol.EngineStart) {
-	if reason := e.refusal(start); reason != "" {
+	if reason := e.refusalReason(start); reason != "" {
 		e.reply(from, protocol.EngineMessage{Refused: &protocol.EngineRefused{Attempt: start.Attempt, Reason: reason}})
 		return
 	}
-	e.raiseFence(start.Epoch)
+	e.advanceEpoch(start.Epoch)
 	e.records = append(e.records, Record{Attempt: start.Attempt, Request: start.Request, Began: true})
 	e.streams[start.Attempt] = &stream{
-		to: from, start: *start, position: uint32(len(start.Resume)),
-		length: Length(start.Prompt, start.MaxTokens),
+		to: from, start: *start, generated: uint32(len(start.Resume)),
+		answerLength: Length(start.Prompt, start.MaxTokens),
 	}
 }
 
-func (e *Engine) refusal(start *protocol.EngineStart) string {
+func (e *Engine) refusalReason(start *protocol.EngineStart) string {
 	switch {
 	case start.Epoch < e.epoch:
 		return protocol.RefusedFenced
@@ -163,35 +163,35 @@
 	return ""
 }
 
-func (e *Engine) raiseFence(epoch uint64) {
+func (e *Engine) advanceEpoch(epoch uint64) {
 	if epoch > e.epoch {
 		e.epoch, e.sequence = epoch, 0
 	}
 }
 
 func (e *Engine) receiveOrder(from string, order *protocol.EngineOrder) {
-	old := order.Epoch < e.epoch || (order.Epoch == e.epoch && order.Sequence <= e.sequence)
-	if old || (order.Version != 0 && e.swap != nil) {
-		e.orderResult(from, order, false, protocol.RefusedFenced)
+	stale := order.Epoch < e.epoch || (order.Epoch == e.epoch && order.Sequence <= e.sequence)
+	if stale || (order.Version != 0 && e.swap != nil) {
+		e.replyOrderResult(from, order, false, protocol.RefusedFenced)
 		return
 	}
-	e.raiseFence(order.Epoch)
+	e.advanceEpoch(order.Epoch)
 	e.sequence = order.Sequence
 	if order.Version == 0 {
-		e.orderResult(from, order, true, "")
+		e.replyOrderResult(from, order, true, "")
 		return
 	}
 	e.swap = &swap{to: from, order: *order}
 	e.fetches = append(e.fetches, FetchWeights{Model: order.Model, Version: order.Version})
 }
 
-func (e *Engine) orderResult(to string, order *protocol.EngineOrder, done bool, reason string) {
+func (e *Engine) replyOrderResult(to string, order *protocol.EngineOrder, done bool, reason string) {
 	e.reply(to, protocol.EngineMessage{OrderResult: &protocol.EngineOrderResult{
 		Epoch: order.Epoch, Sequence: order.Sequence, Done: done, Reason: reason,
 	}})
 }
 
-// WeightsFetched takes in that the weight store has delivered, or failed to.
+// WeightsFetched handles the weight store's response to a fetch.
 func (e *Engine) WeightsFetched(now int64, ok bool) {
 	e.advance(now)
 	if e.swap == nil {
@@ -204,14 +204,13 @@
 	e.swap.fetched, e.swap.readyAt = true, now+e.config.SwapMillis
 }
 
-// FailSwap breaks off a load partway: the engine holds no whole weights, and
-// all its streams end.
+// FailSwap aborts a load. The engine then has no weights, and all its streams end.
 func (e *Engine) FailSwap(now int64) {
 	e.now = now
 	if e.swap == nil {
 		return
 	}
-	e.orderResult(e.swap.to, &e.swap.order, false, "load failed")
+	e.replyOrderResult(e.swap.to, &e.swap.order, false, "load failed")
 	e.swap, e.version = nil, 0
 	for _, attempt := range e.sortedAttempts() {
 		e.reply(e.streams[attempt].to, protocol.EngineMessage{Lost: &protocol.EngineLost{Attempt: attempt}})
@@ -219,7 +218,7 @@
 	e.streams = map[string]*stream{}
 }
 
-// Disconnect ends the streams of a connection that is gone.
+// Disconnect ends the streams of a closed connection.
 func (e *Engine) Disconnect(to string) {
 	for _, attempt := range e.sortedAttempts() {
 		if e.streams[attempt].to == to {
@@ -228,13 +227,13 @@
 	}
 }
 
-// Running returns the number of streams.
+// Running returns the number of running streams.
 func (e *Engine) Running() int { return len(e.streams) }
 
-// Swapping tells whether weights are being loaded.
+// Swapping reports whether weights are being loaded.
 func (e *Engine) Swapping() bool { return e.swap != nil }
 
-// Tick lets time pass.
+// Tick advances the engine to the given time.
 func (e *Engine) Tick(now int64) { e.advance(now) }
 
 func (e *Engine) advance(now int64) {
@@ -243,7 +242,7 @@
 	if e.swap != nil {
 		if e.swap.fetched && now >= e.swap.readyAt {
 			e.version = e.swap.order.Version
-			e.orderResult(e.swap.to, &e.swap.order, true, "")
+			e.replyOrderResult(e.swap.to, &e.swap.order, true, "")
 			e.swap = nil
 		}
 		return
@@ -259,39 +258,39 @@
 
 func (e *Engine) generate(attempt string, running *stream, steps float64) {
 	running.progress += steps
-	for running.progress >= 1 && running.position < running.length {
+	for running.progress >= 1 && running.generated < running.answerLength {
 		running.progress--
-		if running.pendingAt != e.version {
-			e.flush(attempt, running, false)
-			running.pendingAt = e.version
+		if running.pendingVersion != e.version {
+			e.sendChunk(attempt, running, false)
+			running.pendingVersion = e.version
 		}
-		running.pending = append(running.pending, Token(running.start.Prompt, running.position))
-		running.position++
+		running.pending = append(running.pending, Token(running.start.Prompt, running.generated))
+		running.generated++
 		if len(running.pending) >= e.config.ChunkTokens {
-			e.flush(attempt, running, false)
+			e.sendChunk(attempt, running, false)
 		}
 	}
-	if running.position >= running.length {
-		running.pendingAt = max(running.pendingAt, 1)
-		e.flush(attempt, running, true)
+	if running.generated >= running.answerLength {
+		running.pendingVersion = max(running.pendingVersion, 1)
+		e.sendChunk(attempt, running, true)
 		delete(e.streams, attempt)
 	}
 }
 
-func (e *Engine) flush(attempt string, running *stream, done bool) {
+func (e *Engine) sendChunk(attempt string, running *stream, done bool) {
 	if len(running.pending) == 0 && !done {
 		return
 	}
 	count := uint32(len(running.pending))
 	e.records = append(e.records, Record{
 		Attempt: attempt, Request: running.start.Request,
-		First: running.position - count, Count: count, Version: running.pendingAt,
+		First: running.generated - count, Count: count, Version: running.pendingVersion,
 	})
 	e.reply(running.to, protocol.EngineMessage{Chunk: &protocol.EngineChunk{
-		Attempt: attempt, Index: running.index, Epoch: running.start.Epoch,
-		Version: running.pendingAt, Tokens: running.pending, Done: done,
+		Attempt: attempt, Index: running.nextChunk, Epoch: running.start.Epoch,
+		Version: running.pendingVersion, Tokens: running.pending, Done: done,
 	}})
-	running.index++
+	running.nextChunk++
 	running.pending = nil
 }
 
--- a/bench/oracle/check_test.go
+++ b/bench/oracle/check_test.go
@@ -14,7 +14,7 @@
 	testTokens = 100
 )
 
-// history is a run that keeps every promise; tests break it in one place.
+// history holds the events of a run.
 type history struct{ events []Event }
 
 func (h *history) add(at int64, event Event) *Event {
@@ -25,9 +25,9 @@
 
 func answer() []uint32 { return model.Answer(testPrompt, testTokens) }
 
-// goodHistory has one sample under two versions, one repeatable and one
-// unrepeatable request, a change, and an engine that leaves.
-func goodHistory() *history {
+// validHistory returns a history that keeps every promise. It has a sample generated under two
+// versions, a request that is resent, two changes to one revision, and an engine that leaves.
+func validHistory() *history {
 	h := &history{}
 	count := uint32(len(answer()))
 	h.add(0, Event{Pool: &Pool{Name: "p", Model: "m", MaxStalenessVersions: 1}})
@@ -57,7 +57,7 @@
 			return &h.events[position]
 		}
 	}
-	panic("oracle: the history lacks the event")
+	panic("oracle: event not found in the history")
 }
 
 func (h *history) delivered() *Delivered {
@@ -72,23 +72,23 @@
 	return h.find(func(event Event) bool { return event.Ended != nil && event.Ended.Attempt == attempt }).Ended
 }
 
-// TestOracle breaks each promise by hand and expects just that to be named, and
-// expects the near miss beside it to pass.
-func TestOracle(t *testing.T) {
+// TestCheck verifies that Check reports exactly the promise that a change to a valid history
+// breaks, and that it accepts similar changes that break none.
+func TestCheck(t *testing.T) {
 	tests := map[string]struct {
 		change func(h *history)
-		broken Promise
+		want   Promise
 	}{
-		"all kept": {func(*history) {}, ""},
+		"valid": {func(*history) {}, ""},
 		"version that no engine used": {func(h *history) {
 			h.delivered().Segments[0].Version = 2
 		}, ExactVersions},
-		"version left out": {func(h *history) {
+		"version omitted": {func(h *history) {
 			delivered := h.delivered()
 			delivered.Segments = []Segment{{Version: 2, First: 0, Count: uint32(len(delivered.Tokens))}}
 		}, ExactVersions},
 		"gap between segments": {func(h *history) { h.delivered().Segments[1].First++ }, ExactVersions},
-		"stale by one too many": {func(h *history) {
+		"staleness bound exceeded by one": {func(h *history) {
 			h.add(55, Event{Published: &Published{Model: "m", Version: 3}})
 		}, StalenessBound},
 		"published after the fetch was sent": {func(h *history) {
@@ -111,54 +111,54 @@
 		"never submitted": {func(h *history) {
 			h.add(77, Event{Delivered: &Delivered{Pool: "p", Number: 2, Step: 9, Tokens: answer()}})
 		}, ExactlyOnce},
-		"part of an answer":        {func(h *history) { h.ended(2).Tokens = answer()[1:] }, WholeAnswers},
-		"another request's answer": {func(h *history) { h.ended(2).Tokens = model.Answer("other", testTokens) }, WholeAnswers},
-		"answer to nothing sent":   {func(h *history) { h.ended(2).Key = "other" }, WholeAnswers},
-		"not run, and ran before": {func(h *history) {
+		"incomplete answer":              {func(h *history) { h.ended(2).Tokens = answer()[1:] }, CompleteAnswers},
+		"another request's answer":       {func(h *history) { h.ended(2).Tokens = model.Answer("other", testTokens) }, CompleteAnswers},
+		"answer to a request never sent": {func(h *history) { h.ended(2).Key = "other" }, CompleteAnswers},
+		"not run but began before": {func(h *history) {
 			h.find(func(event Event) bool { return event.Began != nil && event.Began.Request == "k" }).At = 85
 		}, NotRun},
-		"not run, and ran later":    {func(h *history) { h.ended(2).Outcome = protocol.OutcomeNotRun }, NotRun},
-		"unknown, and ran":          {func(h *history) { h.ended(2).Outcome = protocol.OutcomeUnknown }, ""},
-		"unrepeatable ran twice":    {func(h *history) { h.add(115, Event{Began: &Began{Engine: "f", Request: "k"}}) }, AtMostOnce},
-		"work for a leaving engine": {func(h *history) { h.add(5161, Event{Began: &Began{Engine: "e", Request: "x"}}) }, LeavingNoWork},
-		"work within the grace":     {func(h *history) { h.add(5160, Event{Began: &Began{Engine: "e", Request: "x"}}) }, ""},
+		"not run but began later":      {func(h *history) { h.ended(2).Outcome = protocol.OutcomeNotRun }, NotRun},
+		"unknown but began":            {func(h *history) { h.ended(2).Outcome = protocol.OutcomeUnknown }, ""},
+		"unrepeatable ran twice":       {func(h *history) { h.add(115, Event{Began: &Began{Engine: "f", Request: "k"}}) }, AtMostOnce},
+		"work for a leaving engine":    {func(h *history) { h.add(5161, Event{Began: &Began{Engine: "e", Request: "x"}}) }, NoWorkWhileLeaving},
+		"work within the grace period": {func(h *history) { h.add(5160, Event{Began: &Began{Engine: "e", Request: "x"}}) }, ""},
 		"engine back in service": {func(h *history) {
 			h.add(5000, Event{Leaving: &Leaving{Engine: "e", Leaving: false}})
 			h.add(9000, Event{Began: &Began{Engine: "e", Request: "x"}})
 		}, ""},
-		"both changes on a revision accepted": {func(h *history) {
+		"both changes to a revision accepted": {func(h *history) {
 			h.find(func(event Event) bool { return event.Applied != nil && event.Applied.ChangeID == "c2" }).Applied.Accepted = true
-		}, InForce},
+		}, ConfigurationInForce},
 		"answer to a resent change": {func(h *history) {
 			h.add(145, Event{Applied: &Applied{ChangeID: "c1", Base: 5, Accepted: true, Revision: 6}})
 		}, ""},
-		"node goes back": {func(h *history) { h.add(151, Event{Acting: &Acting{Node: "n", Revision: 5}}) }, InForce},
+		"node reverts to an earlier revision": {func(h *history) { h.add(151, Event{Acting: &Acting{Node: "n", Revision: 5}}) }, ConfigurationInForce},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := goodHistory()
+			h := validHistory()
 			test.change(h)
-			violations, _ := Check(h.events, Expect{AllDelivered: true, LeavingGraceMillis: 5000})
-			if test.broken == "" {
+			violations, _ := Check(h.events, Expectations{AllDelivered: true, LeavingGraceMillis: 5000})
+			if test.want == "" {
 				require.Empty(t, violations)
 				return
 			}
 			require.NotEmpty(t, violations)
 			for _, violation := range violations {
-				require.Equal(t, test.broken, violation.Promise, violation.Detail)
+				require.Equal(t, test.want, violation.Promise, violation.Detail)
 			}
 		})
 	}
 }
 
-func TestPlannedStopMustNotCut(t *testing.T) {
-	h := goodHistory()
+func TestGracefulStopMustNotInterruptRequests(t *testing.T) {
+	h := validHistory()
 	end := h.ended(2)
 	end.Outcome, end.Reason = protocol.OutcomeUnknown, protocol.ReasonPeerLost
-	violations, _ := Check(h.events, Expect{NoUnknown: true})
+	violations, _ := Check(h.events, Expectations{NoUnknown: true})
 	require.Len(t, violations, 1)
-	require.Equal(t, StopCutsNothing, violations[0].Promise)
+	require.Equal(t, GracefulStop, violations[0].Promise)
 	end.Reason = protocol.ReasonDeadline
-	violations, _ = Check(h.events, Expect{NoUnknown: true})
-	require.Empty(t, violations, "a caller's own deadline is no cut")
+	violations, _ = Check(h.events, Expectations{NoUnknown: true})
+	require.Empty(t, violations, "a request may end at its own deadline")
 }
--- a/bench/oracle/history.go
+++ b/bench/oracle/history.go
@@ -1,6 +1,6 @@
-// Package oracle judges a run from outside: it sees only what callers sent and
-// received, what engines ran and stamped, what trainers got, and what operators
-// were told. It knows nothing of how dillchute works.
+// Package oracle checks whether a run kept its promises. It relies only on external observations:
+// what callers sent and received, what engines ran and generated, what trainers received, which
+// revisions nodes used, and the replies to operators.
 package oracle
 
 import (
@@ -29,20 +29,20 @@
 	StepDone  *StepDone  `json:"step_done,omitempty"`
 }
 
-// Pool tells the largest staleness bound that a pool had in the run.
+// Pool records a pool and its largest staleness bound in the run.
 type Pool struct {
 	Name                 string `json:"name"`
 	Model                string `json:"model"`
 	MaxStalenessVersions uint64 `json:"max_staleness_versions"`
 }
 
-// Published: the answer came that a version is published.
+// Published records that the publication of a version was acknowledged.
 type Published struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 }
 
-// Submitted: a trainer was told that a step is accepted.
+// Submitted records that a trainer's step was accepted.
 type Submitted struct {
 	Pool    string   `json:"pool"`
 	Step    uint64   `json:"step"`
@@ -56,14 +56,14 @@
 	MaxTokens uint32 `json:"max_tokens"`
 }
 
-// Segment is a run of tokens under one version.
+// Segment is a range of tokens generated under one version.
 type Segment struct {
 	Version uint64 `json:"version"`
 	First   uint32 `json:"first"`
 	Count   uint32 `json:"count"`
 }
 
-// Delivered: a trainer has taken over a sample.
+// Delivered records that a trainer received a sample.
 type Delivered struct {
 	Pool     string    `json:"pool"`
 	Number   uint64    `json:"number"`
@@ -71,25 +71,25 @@
 	Index    uint32    `json:"index"`
 	Segments []Segment `json:"segments"`
 	Tokens   []uint32  `json:"tokens"`
-	// FetchedAt is when the trainer sent the fetch that brought the sample.
+	// FetchedAt is the time at which the trainer sent the fetch that returned the sample.
 	FetchedAt int64 `json:"fetched_at"`
 }
 
-// Began: an engine began an attempt at a request.
+// Began records that an engine began an attempt of a request.
 type Began struct {
 	Engine  string `json:"engine"`
 	Attempt string `json:"attempt"`
 	Request string `json:"request"`
 }
 
-// Generated: an engine generated tokens of a request under a version.
+// Generated records that an engine generated tokens of a request under one version.
 type Generated struct {
 	Engine  string  `json:"engine"`
 	Request string  `json:"request"`
 	Segment Segment `json:"segment"`
 }
 
-// Sent: a caller sent a live request, for the Attempt-th time.
+// Sent records one attempt of a caller to send a live request. Attempts are numbered from 1.
 type Sent struct {
 	Key           string `json:"key"`
 	Attempt       uint32 `json:"attempt"`
@@ -98,7 +98,7 @@
 	NotRepeatable bool   `json:"not_repeatable"`
 }
 
-// Ended: a caller got the final answer to a send.
+// Ended records the outcome of an attempt at its caller.
 type Ended struct {
 	Key     string           `json:"key"`
 	Attempt uint32           `json:"attempt"`
@@ -107,13 +107,13 @@
 	Tokens  []uint32         `json:"tokens"`
 }
 
-// Leaving: an engine was marked as leaving, or not any more.
+// Leaving records that an engine was marked as leaving or that the mark was removed.
 type Leaving struct {
 	Engine  string `json:"engine"`
 	Leaving bool   `json:"leaving"`
 }
 
-// Applied: an operator was told what became of a change.
+// Applied records the reply to an operator's change.
 type Applied struct {
 	ChangeID string `json:"change_id"`
 	Base     uint64 `json:"base"`
@@ -121,31 +121,31 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Acting: a node started to act on a revision.
+// Acting records that a node started to use a revision.
 type Acting struct {
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"incarnation"`
 	Revision    uint64 `json:"revision"`
 }
 
-// StepDone: a trainer has a step whole, after waiting for so long.
+// StepDone records that a trainer finished a step, and how long it waited for the samples.
 type StepDone struct {
 	Pool       string `json:"pool"`
 	Step       uint64 `json:"step"`
 	WaitMillis int64  `json:"wait_millis"`
-	// TrainMillis is the time the trainer then spent on it.
+	// TrainMillis is the time spent on training the step.
 	TrainMillis int64 `json:"train_millis"`
 }
 
-// maxLine bounds a line of a record file.
-const maxLine = 64 << 20
+// maxLineBytes bounds the length of a line of a record file.
+const maxLineBytes = 64 << 20
 
-// Read reads events from lines of JSON. A torn last line, as a killed process
-// leaves it, is ignored.
+// Read reads events from lines of JSON. Malformed lines are skipped, such as an incomplete last
+// line after a crash.
 func Read(reader io.Reader) ([]Event, error) {
 	var events []Event
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		var event Event
 		if err := json.Unmarshal(scanner.Bytes(), &event); err != nil {
--- a/bench/simulate/caller.go
+++ b/bench/simulate/caller.go
@@ -10,135 +10,135 @@
 
 const (
 	callerTimeoutMillis = 8000
-	callerWindowMillis  = 120_000
-	maxSends            = 5
+	resendWindowMillis  = 120_000
+	maxAttempts         = 5
 	callerMaxTokens     = 60
 )
 
-// callerProcess sends live requests of one pool to random nodes.
+// callerProcess simulates a client that sends live requests for one pool to random nodes.
 type callerProcess struct {
 	*process
 	cluster              *cluster
 	pool                 string
-	left                 int
+	remaining            int
 	pauseMillis          int64
 	notRepeatablePercent int
-	count                int
-	open                 int
+	sequence             int
+	pending              int
 }
 
 func (c *callerProcess) start() {
-	c.birth()
-	c.after(c.world.between(0, c.pauseMillis), c.next)
+	c.markStarted()
+	c.after(c.world.randomBetween(0, c.pauseMillis), c.sendNext)
 }
 
-func (c *callerProcess) next() {
-	if c.left == 0 {
+func (c *callerProcess) sendNext() {
+	if c.remaining == 0 {
 		return
 	}
-	c.left--
-	c.count++
-	c.open++
-	key := fmt.Sprintf("%s-%d", c.name, c.count)
-	c.send(key, 1, c.world.percent(c.notRepeatablePercent), c.wall(), false)
-	c.after(c.world.between(1, 2*c.pauseMillis), c.next)
+	c.remaining--
+	c.sequence++
+	c.pending++
+	key := fmt.Sprintf("%s-%d", c.name, c.sequence)
+	c.send(key, 1, c.world.randomPercent(c.notRepeatablePercent), c.wall(), false)
+	c.after(c.world.randomBetween(1, 2*c.pauseMillis), c.sendNext)
 }
 
-// call is one send of a request.
-type call struct {
-	caller  *callerProcess
-	base    string
-	sent    oracle.Sent
-	issued  int64
-	tokens  []uint32
-	ended   bool
-	broken  bool
-	attempt uint32
-	// unresolved is set if the outcome of an earlier send is not known.
+// liveAttempt is one attempt to send a live request.
+type liveAttempt struct {
+	caller           *callerProcess
+	baseKey          string
+	sent             oracle.Sent
+	issuedAt         int64
+	tokens           []uint32
+	ended            bool
+	connectionBroken bool
+	attempt          uint32
+	// unresolved is set if the outcome of an earlier attempt is unknown.
 	unresolved bool
 }
 
-func (c *callerProcess) send(base string, attempt uint32, notRepeatable bool, issued int64, unresolved bool) {
-	sending := &call{caller: c, base: base, issued: issued, attempt: attempt, unresolved: unresolved, sent: oracle.Sent{
-		Key: base, Attempt: attempt, Prompt: "live " + base, MaxTokens: callerMaxTokens, NotRepeatable: notRepeatable,
+func (c *callerProcess) send(baseKey string, attempt uint32, notRepeatable bool, issuedAt int64, unresolved bool) {
+	a := &liveAttempt{caller: c, baseKey: baseKey, issuedAt: issuedAt, attempt: attempt, unresolved: unresolved, sent: oracle.Sent{
+		Key: baseKey, Attempt: attempt, Prompt: "live " + baseKey, MaxTokens: callerMaxTokens, NotRepeatable: notRepeatable,
 	}}
 	if !notRepeatable {
-		sending.sent.Key, sending.sent.Attempt = fmt.Sprintf("%s.%d", base, attempt), 1
+		a.sent.Key, a.sent.Attempt = fmt.Sprintf("%s.%d", baseKey, attempt), 1
 	}
-	sent := sending.sent
+	sent := a.sent
 	c.world.record(oracle.Event{Sent: &sent})
-	sending.connect()
-	// A caller that hears nothing gives up a little after its patience.
-	c.after(2*callerTimeoutMillis, func() { sending.end(protocol.OutcomeUnknown, "connection", 0) })
+	a.connect()
+	// Without any response, the caller gives up after twice the request timeout.
+	c.after(2*callerTimeoutMillis, func() { a.end(protocol.OutcomeUnknown, "connection", 0) })
 }
 
-// connect sends the request over a connection, which delivers in order or breaks.
-func (s *call) connect() {
-	target := s.caller.cluster.nodes[s.caller.world.random.IntN(len(s.caller.cluster.nodes))]
-	world := s.caller.world
-	if !target.alive || world.cut(s.caller.process, target.process) {
-		s.refused()
+// connect sends the request over a connection, which delivers messages in order or breaks.
+func (a *liveAttempt) connect() {
+	target := a.caller.cluster.nodes[a.caller.world.random.IntN(len(a.caller.cluster.nodes))]
+	world := a.caller.world
+	if !target.alive || world.blocked(a.caller.process, target.process) {
+		a.connectFailed()
 		return
 	}
-	life, lastAt := target.life, int64(0)
+	incarnation, lastArrival := target.incarnation, int64(0)
 	live := protocol.LiveRequest{
-		Key: s.sent.Key, Pool: s.caller.pool, Prompt: s.sent.Prompt, MaxTokens: s.sent.MaxTokens,
-		NotRepeatable: s.sent.NotRepeatable, TimeoutMillis: callerTimeoutMillis, IssuedAt: s.issued,
-		WindowMillis: callerWindowMillis, Attempt: s.sent.Attempt, Unresolved: s.unresolved, PriorityCap: 9,
+		Key: a.sent.Key, Pool: a.caller.pool, Prompt: a.sent.Prompt, MaxTokens: a.sent.MaxTokens,
+		NotRepeatable: a.sent.NotRepeatable, TimeoutMillis: callerTimeoutMillis, IssuedAt: a.issuedAt,
+		WindowMillis: resendWindowMillis, Attempt: a.sent.Attempt, Unresolved: a.unresolved, PriorityCap: 9,
 	}
-	world.schedule(world.delay(s.caller.process, target.process), func() {
-		if !target.alive || target.life != life {
-			s.refused()
+	world.schedule(world.messageDelay(a.caller.process, target.process), func() {
+		if !target.alive || target.incarnation != incarnation {
+			a.connectFailed()
 			return
 		}
-		target.enter(func() {
-			target.submit(live, func(event node.CallerEvent) {
-				lastAt = max(lastAt, world.now+world.delay(target.process, s.caller.process))
-				// What cannot be sent breaks the connection for good.
-				s.broken = s.broken || world.cut(target.process, s.caller.process)
-				if !s.broken {
-					s.caller.after(lastAt-world.now, func() { s.receive(event) })
+		target.runOrDefer(func() {
+			target.submitLive(live, func(event node.CallerEvent) {
+				lastArrival = max(lastArrival, world.now+world.messageDelay(target.process, a.caller.process))
+				// An event that cannot be delivered breaks the connection permanently.
+				a.connectionBroken = a.connectionBroken || world.blocked(target.process, a.caller.process)
+				if !a.connectionBroken {
+					a.caller.after(lastArrival-world.now, func() { a.receive(event) })
 				}
 			})
 		})
 	})
 }
 
-// refused ends a send for which no connection came about, so that the caller
-// knows that nothing was sent this time.
-func (s *call) refused() {
+// connectFailed ends an attempt whose connection could not be established: the caller knows that
+// this attempt sent nothing.
+func (a *liveAttempt) connectFailed() {
 	outcome := protocol.OutcomeNotRun
-	if s.unresolved {
+	if a.unresolved {
 		outcome = protocol.OutcomeUnknown
 	}
-	s.caller.after(s.caller.world.between(1, 500), func() { s.end(outcome, "connect", 0) })
+	a.caller.after(a.caller.world.randomBetween(1, 500), func() { a.end(outcome, "connect", 0) })
 }
 
-func (s *call) receive(event node.CallerEvent) {
-	if s.ended {
+func (a *liveAttempt) receive(event node.CallerEvent) {
+	if a.ended {
 		return
 	}
-	s.tokens = append(s.tokens, event.Tokens...)
+	a.tokens = append(a.tokens, event.Tokens...)
 	if event.Outcome != 0 {
-		s.end(event.Outcome, event.Reason, event.RetryAfterMillis)
+		a.end(event.Outcome, event.Reason, event.RetryAfterMillis)
 	}
 }
 
-func (s *call) end(outcome protocol.Outcome, reason protocol.Reason, retryMillis int64) {
-	if s.ended {
+func (a *liveAttempt) end(outcome protocol.Outcome, reason protocol.Reason, retryMillis int64) {
+	if a.ended {
 		return
 	}
-	s.ended = true
-	c := s.caller
-	c.world.note("%s ended %d %s", s.sent.Key, outcome, reason)
+	a.ended = true
+	c := a.caller
+	c.world.tracef("%s ended %d %s", a.sent.Key, outcome, reason)
 	c.world.record(oracle.Event{Ended: &oracle.Ended{
-		Key: s.sent.Key, Attempt: s.sent.Attempt, Outcome: outcome, Reason: reason, Tokens: s.tokens,
+		Key: a.sent.Key, Attempt: a.sent.Attempt, Outcome: outcome, Reason: reason, Tokens: a.tokens,
 	}})
-	again := outcome == protocol.OutcomeNotRun || (outcome == protocol.OutcomeUnknown && s.sent.NotRepeatable)
-	if !again || s.attempt >= maxSends {
-		c.open--
+	retry := outcome == protocol.OutcomeNotRun || (outcome == protocol.OutcomeUnknown && a.sent.NotRepeatable)
+	if !retry || a.attempt >= maxAttempts {
+		c.pending--
 		return
 	}
-	unresolved := s.unresolved || outcome == protocol.OutcomeUnknown
-	c.after(max(retryMillis, 300), func() { c.send(s.base, s.attempt+1, s.sent.NotRepeatable, s.issued, unresolved) })
+	unresolved := a.unresolved || outcome == protocol.OutcomeUnknown
+	c.after(max(retryMillis, 300), func() { c.send(a.baseKey, a.attempt+1, a.sent.NotRepeatable, a.issuedAt, unresolved) })
 }
--- a/bench/simulate/client.go
+++ b/bench/simulate/client.go
@@ -12,75 +12,75 @@
 )
 
 const (
-	callMillis  = 3000
-	pauseMillis = 100
+	callTimeoutMillis = 3000
+	retryPauseMillis  = 100
 )
 
-// rpc is one call under way at one replica.
-type rpc struct {
-	client *clientProcess
-	life   int
-	number uint64
+// pendingCall is a call that a replica has not answered yet.
+type pendingCall struct {
+	client      *clientProcess
+	incarnation int
+	attempt     uint64
 }
 
-// answer sends the reply back to the client.
-func (r *rpc) answer(from *controlProcess, reply control.Reply) {
-	from.world.datagram(from.process, r.client.process, func() { r.client.receive(r.number, reply) })
+// sendReply sends the reply to the client.
+func (r *pendingCall) sendReply(from *controlProcess, reply control.Reply) {
+	from.world.sendDatagram(from.process, r.client.process, func() { r.client.receive(r.attempt, reply) })
 }
 
-// clientProcess is an operator, automation, or a trainer: it makes one call at
-// a time and resends it, to the leader as far as it knows, until it is decided.
+// clientProcess is a client of control, such as an operator or a trainer. It makes one call at a
+// time and resends it, to the last known leader, until it is decided.
 type clientProcess struct {
 	*process
 	cluster *cluster
 	target  int
-	number  uint64
+	attempt uint64
 	prepare func() sender
-	done    func(control.Reply)
+	onDone  func(control.Reply)
 }
 
-// sender starts one try of a call at a replica.
+// sender starts one attempt of a call at a replica.
 type sender func(at *controlProcess, id uint64)
 
-// request makes a call: prepare is asked for each try, done gets the decision.
-func (c *clientProcess) request(prepare func() sender, done func(control.Reply)) {
-	c.prepare, c.done = prepare, done
-	c.try()
+// request makes a call. prepare is called for each attempt; onDone receives the final reply.
+func (c *clientProcess) request(prepare func() sender, onDone func(control.Reply)) {
+	c.prepare, c.onDone = prepare, onDone
+	c.sendAttempt()
 }
 
-func (c *clientProcess) try() {
-	c.number++
-	number, send := c.number, c.prepare()
+func (c *clientProcess) sendAttempt() {
+	c.attempt++
+	attempt, send := c.attempt, c.prepare()
 	target := c.cluster.controls[c.target%len(c.cluster.controls)]
-	c.world.datagram(c.process, target.process, func() {
-		target.call(func() {
+	c.world.sendDatagram(c.process, target.process, func() {
+		target.submit(func() {
 			target.nextID++
-			target.calls[target.nextID] = &rpc{client: c, life: c.life, number: number}
+			target.pendingCalls[target.nextID] = &pendingCall{client: c, incarnation: c.incarnation, attempt: attempt}
 			send(target, target.nextID)
 		})
 	})
-	c.after(callMillis, func() {
-		if c.number == number {
+	c.after(callTimeoutMillis, func() {
+		if c.attempt == attempt {
 			c.target++
-			c.try()
+			c.sendAttempt()
 		}
 	})
 }
 
-func (c *clientProcess) receive(number uint64, reply control.Reply) {
-	if number != c.number || c.done == nil {
+func (c *clientProcess) receive(attempt uint64, reply control.Reply) {
+	if attempt != c.attempt || c.onDone == nil {
 		return
 	}
 	if reply.Outcome != protocol.ProposeDone {
-		c.number++
+		c.attempt++
 		c.followHint(reply.Leader)
-		c.after(pauseMillis, c.try)
+		c.after(retryPauseMillis, c.sendAttempt)
 		return
 	}
-	c.number++
-	done := c.done
-	c.done = nil
-	done(reply)
+	c.attempt++
+	onDone := c.onDone
+	c.onDone = nil
+	onDone(reply)
 }
 
 func (c *clientProcess) followHint(leader string) {
@@ -93,29 +93,28 @@
 	c.target++
 }
 
-// proposal makes a call that commits the command, with the same content in
-// each try.
+// proposal returns a prepare function that proposes the same command in each attempt.
 func proposal(command state.Command) func() sender {
 	return func() sender {
 		return func(at *controlProcess, id uint64) { at.core.Propose(at.clock(), id, command) }
 	}
 }
 
-// trainerProcess trains steps as the stand-in does. What it has taken over, its
-// cursor and its steps survive its restarts; the rest does not.
+// trainerProcess simulates a trainer. Its cursor, its finished steps and the counts of received
+// samples survive restarts; the remaining state does not.
 type trainerProcess struct {
-	// waitingSince is when the trainer began to wait for the next step, 0 if it does not.
+	// waitingSince is the time at which the trainer began to wait for samples, or 0 if it is not waiting.
 	waitingSince int64
 	clientProcess
-	pool      string
-	model     string
-	bound     uint64
-	samples   uint32
-	maxTokens uint32
-	steps     uint64
-	train     int64
-
-	// The following are on the trainer's own disk.
+	pool         string
+	model        string
+	maxStaleness uint64
+	samples      uint32
+	maxTokens    uint32
+	steps        uint64
+	trainMillis  int64
+
+	// The following fields survive restarts.
 	cursor    uint64
 	published uint64
 	done      uint64
@@ -128,14 +127,14 @@
 }
 
 func (t *trainerProcess) start() {
-	t.birth()
+	t.markStarted()
 	t.submitted, t.sequence = 0, 0
 	t.session++
-	t.next()
+	t.advance()
 }
 
-// next does the next thing: publish, submit, fetch or train.
-func (t *trainerProcess) next() {
+// advance starts the next action: publish, submit, fetch, train or the final acknowledgement.
+func (t *trainerProcess) advance() {
 	step := t.done + 1
 	switch {
 	case step > t.steps:
@@ -155,15 +154,15 @@
 }
 
 func (t *trainerProcess) trainStep(step uint64) {
-	done := &oracle.StepDone{Pool: t.pool, Step: step, TrainMillis: t.train}
+	done := &oracle.StepDone{Pool: t.pool, Step: step, TrainMillis: t.trainMillis}
 	if t.waitingSince != 0 {
 		done.WaitMillis = t.world.now - t.waitingSince
 	}
 	t.waitingSince = 0
-	t.after(t.train, func() {
+	t.after(t.trainMillis, func() {
 		t.done = step
 		t.world.record(oracle.Event{StepDone: done})
-		t.next()
+		t.advance()
 	})
 }
 
@@ -171,9 +170,9 @@
 	command := state.Command{PublishVersion: &state.PublishVersion{Model: t.model, Version: version}}
 	t.request(proposal(command), func(reply control.Reply) {
 		t.published = version
-		t.world.note("%s published %d", t.name, version)
+		t.world.tracef("%s published %d", t.name, version)
 		t.world.record(oracle.Event{Published: &oracle.Published{Model: t.model, Version: version}})
-		t.next()
+		t.advance()
 	})
 }
 
@@ -190,10 +189,10 @@
 		case state.SubmitAccepted, state.SubmitDuplicate:
 			t.submitted = step
 			t.world.record(oracle.Event{Submitted: submitted})
-			t.next()
+			t.advance()
 		default:
-			// The pool is not declared yet.
-			t.after(pauseMillis, t.next)
+			// The pool may not be declared yet.
+			t.after(retryPauseMillis, t.advance)
 		}
 	})
 }
@@ -203,13 +202,13 @@
 func (t *trainerProcess) fetch() {
 	var sentAt int64
 	t.request(func() sender {
-		// Each try is a fetch of its own, so that answers to earlier ones are void.
+		// Each attempt is a new fetch with its own sequence number, which invalidates earlier replies.
 		sentAt = t.world.now
-		return t.fetcher(int(t.samples), fetchWaitMillis)
-	}, func(reply control.Reply) { t.take(sentAt, reply) })
+		return t.newFetch(int(t.samples), fetchWaitMillis)
+	}, func(reply control.Reply) { t.recordDeliveries(sentAt, reply) })
 }
 
-func (t *trainerProcess) fetcher(limit int, waitMillis int64) sender {
+func (t *trainerProcess) newFetch(limit int, waitMillis int64) sender {
 	t.sequence++
 	command := &state.Fetch{
 		Pool: t.pool, Session: t.session, Sequence: t.sequence, Cursor: t.cursor, HeldVersion: t.published, Max: limit,
@@ -217,7 +216,7 @@
 	return func(at *controlProcess, id uint64) { at.core.Fetch(at.clock(), id, command, waitMillis) }
 }
 
-func (t *trainerProcess) take(sentAt int64, reply control.Reply) {
+func (t *trainerProcess) recordDeliveries(sentAt int64, reply control.Reply) {
 	if reply.Result.Fetch.Valid {
 		for _, delivery := range reply.Result.Fetch.Deliveries {
 			completion := delivery.Completion
@@ -234,93 +233,93 @@
 			}
 			t.world.record(oracle.Event{Delivered: delivered})
 		}
-		t.world.note("%s took %d samples to cursor %d", t.name, len(reply.Result.Fetch.Deliveries), t.cursor)
+		t.world.tracef("%s received %d samples, cursor %d", t.name, len(reply.Result.Fetch.Deliveries), t.cursor)
 	}
-	t.next()
+	t.advance()
 }
 
-// acknowledge tells control about the last samples.
+// acknowledge sends a final fetch, whose cursor acknowledges the last samples.
 func (t *trainerProcess) acknowledge() {
-	t.request(func() sender { return t.fetcher(1, 0) }, func(control.Reply) { t.finished = true })
+	t.request(func() sender { return t.newFetch(1, 0) }, func(control.Reply) { t.finished = true })
 }
 
-// operatorProcess changes the declarations again and again, and races others.
+// operatorProcess changes the declarations repeatedly, concurrently with other operators.
 type operatorProcess struct {
 	clientProcess
-	count int
-	left  int
-	pause int64
-	// toggle changes a field that does no harm.
-	toggle int
-	number int
+	changes        int
+	remaining      int
+	maxPauseMillis int64
+	// queueLimitOffset is added to MaxQueuedRequests, so that each operator's changes differ.
+	queueLimitOffset int
+	clientID         int
 }
 
 func (o *operatorProcess) start() {
-	o.birth()
-	o.next()
+	o.markStarted()
+	o.scheduleChange()
 }
 
-func (o *operatorProcess) next() {
-	if o.left == 0 {
+func (o *operatorProcess) scheduleChange() {
+	if o.remaining == 0 {
 		return
 	}
-	o.left--
-	o.after(o.world.between(o.pause/2, o.pause), o.read)
+	o.remaining--
+	o.after(o.world.randomBetween(o.maxPauseMillis/2, o.maxPauseMillis), o.readRevision)
 }
 
-// read learns the newest revision, on which the change will build.
-func (o *operatorProcess) read() {
+// readRevision reads the newest revision and applies a change based on it.
+func (o *operatorProcess) readRevision() {
 	read := func() sender {
 		return func(at *controlProcess, id uint64) { at.core.Read(at.clock(), id) }
 	}
 	calledAt := o.world.now
 	o.request(read, func(reply control.Reply) {
-		o.observe(calledAt, declarationCall{isRead: true}, declarationAnswer{revision: reply.View.Declared})
-		o.apply(reply.View.Declared)
+		o.recordOperation(calledAt, declarationCall{isRead: true}, declarationResult{revision: reply.View.Declared})
+		o.applyChange(reply.View.Declared)
 	})
 }
 
-func (o *operatorProcess) apply(base uint64) {
-	o.count++
-	identity := fmt.Sprintf("%s-%d", o.name, o.count)
+func (o *operatorProcess) applyChange(base uint64) {
+	o.changes++
+	changeID := fmt.Sprintf("%s-%d", o.name, o.changes)
 	pools := append([]state.PoolSpec(nil), o.cluster.pools...)
 	for position := range pools {
-		pools[position].MaxQueuedRequests += o.count + o.toggle
+		pools[position].MaxQueuedRequests += o.changes + o.queueLimitOffset
 	}
-	command := state.Command{Apply: &state.Apply{ChangeID: identity, Base: base, Author: o.name, Pools: pools}}
+	command := state.Command{Apply: &state.Apply{ChangeID: changeID, Base: base, Author: o.name, Pools: pools}}
 	calledAt := o.world.now
 	o.request(proposal(command), func(reply control.Reply) {
 		result := reply.Result.Apply
-		o.observe(calledAt, declarationCall{base: base}, declarationAnswer{outcome: result.Outcome, revision: result.Revision})
-		o.applied(identity, base, result, command)
+		o.recordOperation(calledAt, declarationCall{base: base}, declarationResult{outcome: result.Outcome, revision: result.Revision})
+		o.handleApplied(changeID, base, result, command)
 	})
 }
 
-// observe keeps a call for the check of linearizability.
-func (o *operatorProcess) observe(calledAt int64, call declarationCall, answer declarationAnswer) {
+// recordOperation records a call for the linearizability check.
+func (o *operatorProcess) recordOperation(calledAt int64, call declarationCall, result declarationResult) {
 	o.cluster.operations = append(o.cluster.operations, porcupine.Operation{
-		ClientId: o.number, Input: call, Call: calledAt, Output: answer, Return: o.world.now,
+		ClientId: o.clientID, Input: call, Call: calledAt, Output: result, Return: o.world.now,
 	})
 }
 
-func (o *operatorProcess) applied(identity string, base uint64, result *state.ApplyResult, command state.Command) {
+func (o *operatorProcess) handleApplied(changeID string, base uint64, result *state.ApplyResult, command state.Command) {
 	accepted := result.Outcome == state.ApplyAccepted
-	o.world.note("%s: change %s on %d: outcome %d, revision %d", o.name, identity, base, result.Outcome, result.Revision)
-	o.world.record(oracle.Event{Applied: &oracle.Applied{ChangeID: identity, Base: base, Accepted: accepted, Revision: result.Revision}})
+	o.world.tracef("%s: change %s to revision %d: outcome %d, revision %d", o.name, changeID, base, result.Outcome, result.Revision)
+	o.world.record(oracle.Event{Applied: &oracle.Applied{ChangeID: changeID, Base: base, Accepted: accepted, Revision: result.Revision}})
 	if accepted {
-		o.cluster.expectInForce(result.Revision)
+		o.cluster.scheduleInForceCheck(result.Revision)
 	}
-	if !o.world.percent(30) {
-		o.next()
+	if !o.world.randomPercent(30) {
+		o.scheduleChange()
 		return
 	}
-	// Resend, as after a lost answer: the outcome must be the same.
+	// Resend the change, as after a lost reply: the outcome must be the same.
 	o.request(proposal(command), func(reply control.Reply) {
-		again := reply.Result.Apply
-		if again.Outcome != result.Outcome || again.Revision != result.Revision {
-			o.cluster.violate(oracle.InForce, "change %s: outcome %d, revision %d; resent: outcome %d, revision %d",
-				identity, result.Outcome, result.Revision, again.Outcome, again.Revision)
+		resent := reply.Result.Apply
+		if resent.Outcome != result.Outcome || resent.Revision != result.Revision {
+			o.cluster.addViolation(oracle.ConfigurationInForce, "change %s: outcome %d, revision %d; resent: outcome %d, revision %d",
+				changeID, result.Outcome, result.Revision, resent.Outcome, resent.Revision)
 		}
-		o.next()
+		o.scheduleChange()
 	})
 }
--- a/bench/simulate/cluster.go
+++ b/bench/simulate/cluster.go
@@ -14,19 +14,19 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// Topology is the shape of a simulated deployment.
+// Topology lists the processes of a simulated deployment.
 type Topology struct {
 	// Zones are named REGION/ZONE.
 	Zones        []string `yaml:"zones"`
 	Controls     int      `yaml:"controls"`
 	NodesPerZone int      `yaml:"nodes_per_zone"`
-	// SampleEngines serve the trained pool, LiveEngines the other.
+	// SampleEngines serve the pool that is trained, LiveEngines the pool of live requests.
 	SampleEngines int `yaml:"sample_engines"`
 	LiveEngines   int `yaml:"live_engines"`
 	Slots         int `yaml:"slots"`
 }
 
-// Load is what a simulated deployment is asked to do.
+// Load is the workload of a simulated deployment.
 type Load struct {
 	Steps         uint64 `yaml:"steps"`
 	Samples       uint32 `yaml:"samples"`
@@ -37,11 +37,10 @@
 	LiveRequests  int    `yaml:"live_requests"`
 	LivePause     int64  `yaml:"live_pause_milliseconds"`
 	NotRepeatable int    `yaml:"not_repeatable_percent"`
-	// LiveDisconnected is what nodes without a lease do with the live pool:
-	// refuse or serve_live.
+	// LiveDisconnected is the policy of nodes without a lease for the live pool: refuse or serve_live.
 	LiveDisconnected string `yaml:"live_disconnected"`
-	// EnginesReport says that leaving engines report so themselves; otherwise
-	// only the platform's list tells.
+	// EnginesReport makes leaving engines report it themselves; otherwise only the platform's list
+	// shows it.
 	EnginesReport bool  `yaml:"engines_report_leaving"`
 	Operators     int   `yaml:"operators"`
 	Changes       int   `yaml:"changes"`
@@ -57,36 +56,36 @@
 	liveModel   = "fixed"
 )
 
-// cluster is a simulated deployment.
+// cluster holds the processes, configuration and observations of a simulated deployment.
 type cluster struct {
-	world        *World
-	topology     Topology
-	load         Load
-	pools        []state.PoolSpec
-	controls     []*controlProcess
-	nodes        []*nodeProcess
-	engines      []*engineProcess
-	engineByName map[string]*engineProcess
-	byAddress    map[string]func(protocol.Message)
-	processes    map[string]*process
-	platform     *process
-	listed       []state.Engine
-	trainer      *trainerProcess
-	callers      []*callerProcess
-	operators    []*operatorProcess
-	identities   consensus.ReplicaID
-	storeFreeAt  int64
-	violations   []oracle.Violation
-	// operations are the operators' calls, for the check of linearizability.
+	world             *World
+	topology          Topology
+	load              Load
+	pools             []state.PoolSpec
+	controls          []*controlProcess
+	nodes             []*nodeProcess
+	engines           []*engineProcess
+	engineByName      map[string]*engineProcess
+	receiverByAddress map[string]func(protocol.Message)
+	processes         map[string]*process
+	platform          *process
+	listedEngines     []state.Engine
+	trainer           *trainerProcess
+	callers           []*callerProcess
+	operators         []*operatorProcess
+	lastReplicaID     consensus.ReplicaID
+	weightStoreFreeAt int64
+	violations        []oracle.Violation
+	// operations are the operators' calls, for the linearizability check.
 	operations []porcupine.Operation
 	timings    map[Timing][]int64
 }
 
-var policies = map[string]state.WeightPolicy{
+var weightPolicies = map[string]state.WeightPolicy{
 	"finish": state.FinishRunning, "continue": state.ContinueRunning, "restart": state.RestartRunning,
 }
 
-var disconnected = map[string]state.DisconnectedPolicy{
+var disconnectedPolicies = map[string]state.DisconnectedPolicy{
 	"refuse": state.RefuseDisconnected, "serve_live": state.ServeLiveDisconnected,
 }
 
@@ -94,13 +93,13 @@
 	cl := &cluster{
 		timings: map[Timing][]int64{},
 		world:   world, topology: topology, load: load, engineByName: map[string]*engineProcess{},
-		byAddress: map[string]func(protocol.Message){}, processes: map[string]*process{},
+		receiverByAddress: map[string]func(protocol.Message){}, processes: map[string]*process{},
 	}
 	cl.pools = []state.PoolSpec{
-		cl.poolSpec(samplePool, sampleModel, sampleGroup, policies[load.Policy], state.RefuseDisconnected),
-		cl.poolSpec(livePool, liveModel, liveGroup, state.FinishRunning, disconnected[load.LiveDisconnected]),
+		cl.poolSpec(samplePool, sampleModel, sampleGroup, weightPolicies[load.Policy], state.RefuseDisconnected),
+		cl.poolSpec(livePool, liveModel, liveGroup, state.FinishRunning, disconnectedPolicies[load.LiveDisconnected]),
 	}
-	cl.platform = cl.add(world.newProcess("platform", topology.Zones[0]))
+	cl.platform = cl.addProcess(world.newProcess("platform", topology.Zones[0]))
 	cl.addControls()
 	cl.addNodes()
 	cl.addEngines(sampleGroup, sampleModel, topology.SampleEngines)
@@ -109,15 +108,15 @@
 	return cl
 }
 
-func (cl *cluster) poolSpec(name, model, group string, policy state.WeightPolicy, disconnected state.DisconnectedPolicy) state.PoolSpec {
+func (cl *cluster) poolSpec(name, model, group string, policy state.WeightPolicy, disconnectedPolicy state.DisconnectedPolicy) state.PoolSpec {
 	return state.PoolSpec{
 		Name: name, Model: model, EngineGroup: group, Policy: policy, MaxStalenessVersions: cl.load.Staleness,
 		SamplePriority: 2, LivePriority: 7, MaxQueuedRequests: 64, MaxQueuedTokens: 100_000, RetryPercent: 30,
-		MaxSwappingPercent: 50, Disconnected: disconnected,
+		MaxSwappingPercent: 50, Disconnected: disconnectedPolicy,
 	}
 }
 
-func (cl *cluster) add(p *process) *process {
+func (cl *cluster) addProcess(p *process) *process {
 	cl.processes[p.name] = p
 	return p
 }
@@ -133,16 +132,16 @@
 	var membership consensus.Membership
 	for number := range cl.topology.Controls {
 		name := fmt.Sprintf("control-%d", number+1)
-		replica := &controlProcess{process: cl.add(cl.world.newProcess(name, cl.zone(number))), cluster: cl}
+		replica := &controlProcess{process: cl.addProcess(cl.world.newProcess(name, cl.zone(number))), cluster: cl}
 		cl.controls = append(cl.controls, replica)
-		cl.byAddress[name] = replica.receive
-		cl.identities++
-		membership.Members = append(membership.Members, consensus.Member{ID: cl.identities, Address: name, Voter: true})
+		cl.receiverByAddress[name] = replica.receive
+		cl.lastReplicaID++
+		membership.Members = append(membership.Members, consensus.Member{ID: cl.lastReplicaID, Address: name, Voter: true})
 	}
 	for number, replica := range cl.controls {
-		first := consensus.Snapshot{Index: 1, Term: 1, Membership: membership}
+		initial := consensus.Snapshot{Index: 1, Term: 1, Membership: membership}
 		replica.disk = &disk{
-			identity: consensus.ReplicaID(number + 1), snapshot: first,
+			replicaID: consensus.ReplicaID(number + 1), snapshot: initial,
 			hardState: consensus.HardState{Term: 1, Commit: 1},
 		}
 	}
@@ -152,9 +151,9 @@
 	for _, zone := range cl.topology.Zones {
 		for number := range cl.topology.NodesPerZone {
 			name := fmt.Sprintf("node-%s-%d", zone, number+1)
-			added := &nodeProcess{process: cl.add(cl.world.newProcess(name, zone)), cluster: cl}
+			added := &nodeProcess{process: cl.addProcess(cl.world.newProcess(name, zone)), cluster: cl}
 			cl.nodes = append(cl.nodes, added)
-			cl.byAddress[name] = added.receive
+			cl.receiverByAddress[name] = added.receive
 		}
 	}
 }
@@ -163,7 +162,7 @@
 	for number := range count {
 		name := fmt.Sprintf("%s-%d", group, number+1)
 		added := &engineProcess{
-			process: cl.add(cl.world.newProcess(name, cl.zone(number))), cluster: cl, group: group,
+			process: cl.addProcess(cl.world.newProcess(name, cl.zone(number))), cluster: cl, group: group,
 			config: model.Config{
 				Name: name, Model: modelName, Slots: cl.topology.Slots, StepMillis: 10, StepMillisPerStream: 0.5,
 				ChunkTokens: 8, SwapMillis: 200,
@@ -171,64 +170,64 @@
 		}
 		cl.engines = append(cl.engines, added)
 		cl.engineByName[name] = added
-		cl.listed = append(cl.listed, state.Engine{
+		cl.listedEngines = append(cl.listedEngines, state.Engine{
 			ID: name, Zone: added.zone, Region: cl.region(added.zone), Group: group, Address: name, Slots: cl.topology.Slots,
 		})
 	}
 }
 
 func (cl *cluster) newClient(name string, zone int) clientProcess {
-	return clientProcess{process: cl.add(cl.world.newProcess(name, cl.zone(zone))), cluster: cl}
+	return clientProcess{process: cl.addProcess(cl.world.newProcess(name, cl.zone(zone))), cluster: cl}
 }
 
 func (cl *cluster) addClients() {
 	cl.trainer = &trainerProcess{
-		clientProcess: cl.newClient("trainer", 0), pool: samplePool, model: sampleModel, bound: cl.load.Staleness,
-		samples: cl.load.Samples, maxTokens: cl.load.MaxTokens, steps: cl.load.Steps, train: cl.load.TrainMillis,
+		clientProcess: cl.newClient("trainer", 0), pool: samplePool, model: sampleModel, maxStaleness: cl.load.Staleness,
+		samples: cl.load.Samples, maxTokens: cl.load.MaxTokens, steps: cl.load.Steps, trainMillis: cl.load.TrainMillis,
 		received: map[uint64]uint32{},
 	}
 	for number, pool := range []string{samplePool, livePool} {
 		cl.callers = append(cl.callers, &callerProcess{
-			process: cl.add(cl.world.newProcess("caller-"+pool, cl.zone(number))), cluster: cl, pool: pool,
-			left: cl.load.LiveRequests, pauseMillis: cl.load.LivePause, notRepeatablePercent: cl.load.NotRepeatable,
+			process: cl.addProcess(cl.world.newProcess("caller-"+pool, cl.zone(number))), cluster: cl, pool: pool,
+			remaining: cl.load.LiveRequests, pauseMillis: cl.load.LivePause, notRepeatablePercent: cl.load.NotRepeatable,
 		})
 	}
 	for number := range cl.load.Operators {
 		cl.operators = append(cl.operators, &operatorProcess{
-			clientProcess: cl.newClient(fmt.Sprintf("operator-%d", number+1), number), left: cl.load.Changes,
-			pause: cl.load.ChangePause, toggle: number * 1000, number: number,
+			clientProcess: cl.newClient(fmt.Sprintf("operator-%d", number+1), number), remaining: cl.load.Changes,
+			maxPauseMillis: cl.load.ChangePause, queueLimitOffset: number * 1000, clientID: number,
 		})
 	}
 }
 
-// start starts all processes; the first operator declares the pools, and then
-// trainers, callers and the other operators begin.
+// start starts all servers and engines and declares the pools. The trainer, the callers and the
+// operators start once the pools are declared.
 func (cl *cluster) start() {
 	for _, pool := range cl.pools {
 		cl.world.record(oracle.Event{Pool: &oracle.Pool{
 			Name: pool.Name, Model: pool.Model, MaxStalenessVersions: pool.MaxStalenessVersions,
 		}})
 	}
-	cl.platform.birth()
+	cl.platform.markStarted()
 	for _, replica := range cl.controls {
 		replica.start()
 	}
-	for _, started := range cl.nodes {
-		started.start()
+	for _, target := range cl.nodes {
+		target.start()
 	}
-	for _, started := range cl.engines {
-		started.start()
+	for _, target := range cl.engines {
+		target.start()
 	}
-	declaring := cl.newClient("declarer", 0)
-	declaring.birth()
+	declarer := cl.newClient("declarer", 0)
+	declarer.markStarted()
 	apply := state.Command{Apply: &state.Apply{ChangeID: "initial", Author: "declarer", Pools: cl.pools}}
 	publish := state.Command{PublishVersion: &state.PublishVersion{Model: liveModel, Version: 1}}
-	declaring.request(proposal(apply), func(reply control.Reply) {
+	declarer.request(proposal(apply), func(reply control.Reply) {
 		cl.operations = append(cl.operations, porcupine.Operation{
 			ClientId: len(cl.operators), Input: declarationCall{}, Return: cl.world.now,
-			Output: declarationAnswer{outcome: reply.Result.Apply.Outcome, revision: reply.Result.Apply.Revision},
+			Output: declarationResult{outcome: reply.Result.Apply.Outcome, revision: reply.Result.Apply.Revision},
 		})
-		declaring.request(proposal(publish), func(control.Reply) { cl.startClients() })
+		declarer.request(proposal(publish), func(control.Reply) { cl.startClients() })
 	})
 }
 
@@ -242,18 +241,18 @@
 	}
 }
 
-// finished tells whether all work has ended.
+// finished reports whether all work is done.
 func (cl *cluster) finished() bool {
 	if !cl.trainer.finished {
 		return false
 	}
 	for _, caller := range cl.callers {
-		if caller.left > 0 || caller.open > 0 {
+		if caller.remaining > 0 || caller.pending > 0 {
 			return false
 		}
 	}
 	for _, operator := range cl.operators {
-		if operator.left > 0 || operator.done != nil {
+		if operator.remaining > 0 || operator.onDone != nil {
 			return false
 		}
 	}
@@ -268,41 +267,41 @@
 	return addresses
 }
 
-// send carries a message between processes of dillchute.
-func (cl *cluster) send(from *process, address string, message protocol.Message) {
-	to, receive := cl.processes[address], cl.byAddress[address]
+// sendMessage sends a message to the control replica or node at the address.
+func (cl *cluster) sendMessage(from *process, address string, message protocol.Message) {
+	to, receive := cl.processes[address], cl.receiverByAddress[address]
 	if to == nil || receive == nil {
 		return
 	}
-	cl.world.datagram(from, to, func() { receive(message) })
+	cl.world.sendDatagram(from, to, func() { receive(message) })
 }
 
-func (cl *cluster) violate(promise oracle.Promise, format string, arguments ...any) {
+func (cl *cluster) addViolation(promise oracle.Promise, format string, arguments ...any) {
 	cl.violations = append(cl.violations, oracle.Violation{
 		Promise: promise, At: cl.world.now, Detail: fmt.Sprintf(format, arguments...),
 	})
-	cl.world.note("VIOLATION %s: "+format, append([]any{promise}, arguments...)...)
+	cl.world.tracef("VIOLATION %s: "+format, append([]any{promise}, arguments...)...)
 }
 
-// inForceMillis is the time within which an accepted change must be in force
-// on every node that holds a lease.
-const inForceMillis = 4000
+// inForceLimitMillis is the time within which an accepted change must be applied on every node
+// that holds a lease.
+const inForceLimitMillis = 4000
 
-// expectInForce checks, some seconds from now, that no node acts under a lease
-// on an earlier revision.
-func (cl *cluster) expectInForce(revision uint64) {
-	cl.timeInForce(revision)
-	cl.world.schedule(inForceMillis, func() {
-		for _, checked := range cl.nodes {
-			if !checked.alive || checked.frozen {
+// scheduleInForceCheck checks, after inForceLimitMillis, that no node with a lease still uses an
+// earlier revision.
+func (cl *cluster) scheduleInForceCheck(revision uint64) {
+	cl.measureInForce(revision)
+	cl.world.schedule(inForceLimitMillis, func() {
+		for _, target := range cl.nodes {
+			if !target.alive || target.frozen {
 				continue
 			}
-			checked.core.Tick(checked.monotonic())
-			if checked.core.HasLease() && checked.core.Revision() < revision {
-				cl.violate(oracle.InForce, "%s acts on revision %d; %d was accepted %d ms ago",
-					checked.name, checked.core.Revision(), revision, inForceMillis)
+			target.core.Tick(target.monotonic())
+			if target.core.HasLease() && target.core.Revision() < revision {
+				cl.addViolation(oracle.ConfigurationInForce, "%s uses revision %d; revision %d was accepted %d ms ago",
+					target.name, target.core.Revision(), revision, inForceLimitMillis)
 			}
-			checked.flush()
+			target.flush()
 		}
 	})
 }
--- a/bench/simulate/control.go
+++ b/bench/simulate/control.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	controlTickMillis = 50
-	electionTicks     = 10
-	leaseMillis       = 3000
-	replaceMillis     = 5000
-	// snapshotBytes is small, so that snapshots happen within a run.
+	controlTickMillis  = 50
+	electionTicks      = 10
+	leaseMillis        = 3000
+	replaceAfterMillis = 5000
+	// snapshotBytes is small, so that each run takes snapshots.
 	snapshotBytes = 32 << 10
 	maxSyncMillis = 8
 )
 
-// disk is what a control replica has synced.
+// disk is the durable state of a control replica.
 type disk struct {
-	identity  consensus.ReplicaID
+	replicaID consensus.ReplicaID
 	hardState consensus.HardState
 	snapshot  consensus.Snapshot
 	entries   []consensus.Entry
 }
 
-// save applies a Ready to the disk, as one transaction.
+// save writes the changes of a Ready to the disk atomically.
 func (d *disk) save(ready consensus.Ready) {
 	if ready.Snapshot != nil {
 		d.snapshot, d.entries = *ready.Snapshot, nil
@@ -50,13 +50,13 @@
 	cluster *cluster
 	disk    *disk
 	core    *control.Core
-	// saving is set while a sync is under way; calls wait in the inbox.
-	saving  *consensus.Ready
-	inbox   []func()
-	calls   map[uint64]*rpc
-	nextID  uint64
-	joining bool
-	led     bool
+	// syncing is the Ready being synced to disk, if any. Calls wait in the inbox meanwhile.
+	syncing      *consensus.Ready
+	inbox        []func()
+	pendingCalls map[uint64]*pendingCall
+	nextID       uint64
+	joining      bool
+	wasLeader    bool
 }
 
 func (c *controlProcess) clock() control.Clock {
@@ -64,135 +64,133 @@
 }
 
 func (c *controlProcess) start() {
-	c.birth()
-	c.saving, c.inbox, c.calls = nil, nil, map[uint64]*rpc{}
+	c.markStarted()
+	c.syncing, c.inbox, c.pendingCalls = nil, nil, map[uint64]*pendingCall{}
 	core, err := control.New(control.Config{
 		Consensus: consensus.Config{
-			ID: c.disk.identity, ElectionTicks: electionTicks, HeartbeatTicks: 2, MaxAppendBytes: 1 << 20,
+			ID: c.disk.replicaID, ElectionTicks: electionTicks, HeartbeatTicks: 2, MaxAppendBytes: 1 << 20,
 			Seed: c.cluster.world.random.Uint64(), HardState: c.disk.hardState,
 			Snapshot: c.disk.snapshot, Entries: append([]consensus.Entry(nil), c.disk.entries...),
 		},
 		Address: c.address, TickMillis: controlTickMillis, LeaseMillis: leaseMillis,
-		ReconcileMillis: 200, ReplaceMillis: replaceMillis, SnapshotBytes: snapshotBytes,
+		ReconcileMillis: 200, ReplaceMillis: replaceAfterMillis, SnapshotBytes: snapshotBytes,
 		ListGraceMillis: 2000,
 	})
 	if err != nil {
-		panic("simulate: a replica's own snapshot must restore: " + err.Error())
+		panic("simulate: restore the replica from its own snapshot: " + err.Error())
 	}
 	c.core = core
 	c.tick()
 	c.pollPlatform()
 }
 
-// call runs a function on the core and flushes what came of it, after a sync
-// under way has ended.
-func (c *controlProcess) call(run func()) {
+// submit runs a function on the core and flushes its output, after the current sync has finished.
+func (c *controlProcess) submit(run func()) {
 	c.inbox = append(c.inbox, run)
-	c.drain()
+	c.processInbox()
 }
 
-func (c *controlProcess) drain() {
-	for c.saving == nil {
+func (c *controlProcess) processInbox() {
+	for c.syncing == nil {
 		for len(c.inbox) > 0 {
 			run := c.inbox[0]
 			c.inbox = c.inbox[1:]
 			run()
 		}
 		c.flush()
-		if c.saving == nil && len(c.inbox) == 0 {
+		if c.syncing == nil && len(c.inbox) == 0 {
 			return
 		}
 	}
 }
 
-// flush starts a sync if there is anything to persist, and otherwise sends what
-// there is.
+// flush starts a sync if there is anything to persist, and sends the pending output.
 func (c *controlProcess) flush() {
-	for c.saving == nil && c.core.HasReady() {
+	for c.syncing == nil && c.core.HasReady() {
 		ready := c.core.Ready()
 		if ready.HardState == nil && ready.Snapshot == nil && len(ready.Entries) == 0 {
 			c.advance(ready)
 			continue
 		}
-		c.saving = &ready
-		c.after(c.world.between(0, maxSyncMillis), func() {
+		c.syncing = &ready
+		c.after(c.world.randomBetween(0, maxSyncMillis), func() {
 			c.disk.save(ready)
-			c.saving = nil
+			c.syncing = nil
 			c.advance(ready)
-			c.drain()
+			c.processInbox()
 		})
 	}
-	c.emit()
+	c.sendOutput()
 }
 
 func (c *controlProcess) advance(ready consensus.Ready) {
 	if err := c.core.Advance(ready); err != nil {
-		panic("simulate: a committed entry must apply: " + err.Error())
+		panic("simulate: apply a committed entry: " + err.Error())
 	}
 	if snapshot := c.core.TakeSnapshot(); snapshot != nil {
 		c.disk.saveSnapshot(*snapshot)
 	}
-	c.emit()
+	c.sendOutput()
 }
 
-func (c *controlProcess) emit() {
+func (c *controlProcess) sendOutput() {
 	for _, outgoing := range c.core.TakeMessages() {
-		c.cluster.send(c.process, outgoing.Address, outgoing.Message)
+		c.cluster.sendMessage(c.process, outgoing.Address, outgoing.Message)
 	}
 	for _, reply := range c.core.TakeReplies() {
-		if waiting := c.calls[reply.ID]; waiting != nil {
-			delete(c.calls, reply.ID)
-			waiting.answer(c, reply)
+		if call := c.pendingCalls[reply.ID]; call != nil {
+			delete(c.pendingCalls, reply.ID)
+			call.sendReply(c, reply)
 		}
 	}
 }
 
 func (c *controlProcess) receive(message protocol.Message) {
-	c.call(func() { c.core.Receive(c.clock(), message) })
+	c.submit(func() { c.core.Receive(c.clock(), message) })
 }
 
 func (c *controlProcess) tick() {
-	c.call(func() { c.core.Tick(c.clock()) })
-	if gained := c.leads() && !c.led; gained {
+	c.submit(func() { c.core.Tick(c.clock()) })
+	if becameLeader := c.isLeader() && !c.wasLeader; becameLeader {
 		c.readPlatform()
 	}
-	c.led = c.leads()
+	c.wasLeader = c.isLeader()
 	c.after(controlTickMillis, c.tick)
 }
 
-func (c *controlProcess) leads() bool {
+func (c *controlProcess) isLeader() bool {
 	return c.alive && c.core.Raft().Role() == consensus.Leader
 }
 
-// kill ends the process. A sync under way may or may not have reached the disk.
+// kill crashes the process. A sync in progress may or may not reach the disk.
 func (c *controlProcess) kill() {
-	if c.alive && c.saving != nil && c.world.percent(50) {
-		c.disk.save(*c.saving)
+	if c.alive && c.syncing != nil && c.world.randomPercent(50) {
+		c.disk.save(*c.syncing)
 	}
-	c.death()
+	c.markStopped()
 }
 
-// wipe loses the disk: the replica comes back as a new one that asks to join.
-func (c *controlProcess) wipe() {
-	c.death()
-	c.cluster.identities++
-	c.disk = &disk{identity: c.cluster.identities}
+// wipeDisk crashes the process and loses its disk. It restarts as a new replica, which asks to join.
+func (c *controlProcess) wipeDisk() {
+	c.markStopped()
+	c.cluster.lastReplicaID++
+	c.disk = &disk{replicaID: c.cluster.lastReplicaID}
 	c.joining = true
 }
 
-const joinMillis = 1000
+const joinRetryMillis = 1000
 
-// join asks members until the replica is one of them.
+// join asks random members to admit the replica until it is a member.
 func (c *controlProcess) join() {
 	if _, member := c.core.Raft().Membership().Member(c.core.Raft().ID()); member {
 		c.joining = false
 		return
 	}
 	target := c.cluster.controls[c.world.random.IntN(len(c.cluster.controls))]
-	c.cluster.send(c.process, target.address, protocol.Message{
+	c.cluster.sendMessage(c.process, target.address, protocol.Message{
 		From: c.address, Join: &protocol.Join{ID: c.core.Raft().ID(), Address: c.address},
 	})
-	c.after(joinMillis, c.join)
+	c.after(joinRetryMillis, c.join)
 }
 
 const platformPollMillis = 1000
@@ -203,8 +201,8 @@
 }
 
 func (c *controlProcess) readPlatform() {
-	if c.leads() && !c.world.cut(c.process, c.cluster.platform) {
-		listed := append([]state.Engine(nil), c.cluster.listed...)
-		c.call(func() { c.core.ListEngines(c.clock(), listed) })
+	if c.isLeader() && !c.world.blocked(c.process, c.cluster.platform) {
+		listed := append([]state.Engine(nil), c.cluster.listedEngines...)
+		c.submit(func() { c.core.ListEngines(c.clock(), listed) })
 	}
 }
--- a/bench/simulate/engine.go
+++ b/bench/simulate/engine.go
@@ -13,74 +13,72 @@
 
 const (
 	engineTickMillis = 40
-	// breakNoticeMillis is the longest time until an end of a connection that
-	// cannot reach the other one is noticed.
-	breakNoticeMillis = 8000
-	storeMillis       = 100
+	// maxBreakDetectionMillis bounds the time until one end of a connection notices that it broke.
+	maxBreakDetectionMillis = 8000
+	weightLoadMillis        = 100
 )
 
-// engineProcess is an engine.
+// engineProcess simulates an engine process.
 type engineProcess struct {
 	*process
-	cluster     *cluster
-	config      model.Config
-	group       string
-	engine      *model.Engine
-	connections map[string]*connection
-	nextID      int
-	ticking     bool
-	failPercent int
-	leaving     bool
+	cluster         *cluster
+	config          model.Config
+	group           string
+	engine          *model.Engine
+	connections     map[string]*connection
+	nextID          int
+	ticking         bool
+	loadFailPercent int
+	leaving         bool
 }
 
-// connection is one HTTP request of a node to an engine. It delivers in order
-// or breaks.
+// connection is one HTTP request of a node to an engine. It delivers messages in order or breaks.
 type connection struct {
-	id       string
-	node     *nodeProcess
-	nodeLife int
-	engine   *engineProcess
-	life     int
-	message  protocol.EngineMessage
-	broken   bool
-	// lastAt keeps the order of what the engine sends.
-	lastAt int64
+	id                string
+	node              *nodeProcess
+	nodeIncarnation   int
+	engine            *engineProcess
+	engineIncarnation int
+	message           protocol.EngineMessage
+	broken            bool
+	// lastArrival is the arrival time of the engine's last message; later messages do not overtake it.
+	lastArrival int64
 }
 
 func (e *engineProcess) start() {
-	e.birth()
+	e.markStarted()
 	config := e.config
-	config.Incarnation = uint64(e.life)
+	config.Incarnation = uint64(e.incarnation)
 	e.engine = model.NewEngine(config)
 	e.engine.SetLeaving(e.leaving)
 	e.connections, e.ticking = map[string]*connection{}, false
 }
 
-// sendEngine carries a node's message to an engine.
-func (cl *cluster) sendEngine(n *nodeProcess, outgoing node.EngineOutgoing) {
+// sendToEngine sends a node's message to an engine.
+func (cl *cluster) sendToEngine(n *nodeProcess, outgoing node.EngineOutgoing) {
 	target := cl.engineByName[outgoing.Engine]
 	if outgoing.Message.Cancel != nil {
 		cl.cancelAttempt(n, target, outgoing.Message.Cancel.Attempt)
 		return
 	}
-	connecting := &connection{node: n, nodeLife: n.life, engine: target, message: outgoing.Message}
-	if !target.alive || cl.world.cut(n.process, target.process) || cl.world.cut(target.process, n.process) {
-		// No connection comes about: no byte has been sent.
-		connecting.fail(cl.world.between(1, 1000), protocol.RefusedConnect)
+	conn := &connection{node: n, nodeIncarnation: n.incarnation, engine: target, message: outgoing.Message}
+	if !target.alive || cl.world.blocked(n.process, target.process) || cl.world.blocked(target.process, n.process) {
+		// The connection could not be established: nothing was sent.
+		conn.fail(cl.world.randomBetween(1, 1000), protocol.RefusedConnect)
 		return
 	}
-	connecting.life = target.life
-	cl.world.schedule(cl.world.delay(n.process, target.process), connecting.arrive)
+	conn.engineIncarnation = target.incarnation
+	cl.world.schedule(cl.world.messageDelay(n.process, target.process), conn.arrive)
 }
 
-// arrive hands the request to the engine. From here on the node cannot know
-// whether it was taken up.
+// arrive delivers the request to the engine. From here on, the node cannot know whether a broken
+// connection left the request unprocessed.
 func (c *connection) arrive() {
-	if !c.engine.alive || c.engine.life != c.life || c.engine.cluster.world.cut(c.node.process, c.engine.process) {
-		c.fail(c.engine.cluster.world.between(1, breakNoticeMillis), "")
+	if !c.engine.alive || c.engine.incarnation != c.engineIncarnation || c.engine.cluster.world.blocked(c.node.process, c.engine.process) {
+		c.fail(c.engine.cluster.world.randomBetween(1, maxBreakDetectionMillis), "")
 		return
 	}
-	c.engine.enter(func() {
+	c.engine.runOrDefer(func() {
 		if c.broken {
 			return
 		}
@@ -92,11 +90,11 @@
 	})
 }
 
-// fail tells the node, after a while, that the request failed. A reason means
-// that it provably did not reach the engine.
+// fail breaks the connection and reports the failure to the node after the delay. A non-empty
+// reason means that the request did not reach the engine.
 func (c *connection) fail(delay int64, reason string) {
 	c.broken = true
-	c.engine.cluster.world.note("%s: connection of %s breaks: %q", c.engine.name, c.node.name, reason)
+	c.engine.cluster.world.tracef("%s: connection from %s broke: %q", c.engine.name, c.node.name, reason)
 	var message protocol.EngineMessage
 	switch {
 	case c.message.Start != nil && reason != "":
@@ -108,11 +106,11 @@
 	default:
 		return
 	}
-	c.toNode(delay, message)
+	c.sendToNode(delay, message)
 }
 
-func (c *connection) toNode(delay int64, message protocol.EngineMessage) {
-	if c.node.life != c.nodeLife {
+func (c *connection) sendToNode(delay int64, message protocol.EngineMessage) {
+	if c.node.incarnation != c.nodeIncarnation {
 		return
 	}
 	c.node.after(delay, func() {
@@ -122,19 +120,19 @@
 }
 
 func (cl *cluster) cancelAttempt(n *nodeProcess, target *engineProcess, attempt string) {
-	for _, existing := range target.connections {
-		if existing.node == n && existing.nodeLife == n.life && existing.message.Start != nil && existing.message.Start.Attempt == attempt {
-			existing.broken = true
-			cl.world.schedule(cl.world.delay(n.process, target.process), func() { target.drop(existing) })
+	for _, conn := range target.connections {
+		if conn.node == n && conn.nodeIncarnation == n.incarnation && conn.message.Start != nil && conn.message.Start.Attempt == attempt {
+			conn.broken = true
+			cl.world.schedule(cl.world.messageDelay(n.process, target.process), func() { target.disconnect(conn) })
 			return
 		}
 	}
 }
 
-// drop ends a connection at the engine.
-func (e *engineProcess) drop(ended *connection) {
-	if e.alive && e.life == ended.life && e.connections[ended.id] == ended {
-		e.enter(func() {
+// disconnect ends a connection at the engine.
+func (e *engineProcess) disconnect(ended *connection) {
+	if e.alive && e.incarnation == ended.engineIncarnation && e.connections[ended.id] == ended {
+		e.runOrDefer(func() {
 			delete(e.connections, ended.id)
 			e.engine.Disconnect(ended.id)
 		})
@@ -150,7 +148,7 @@
 func (e *engineProcess) flush() {
 	for _, record := range e.engine.TakeRecords() {
 		if record.Began {
-			e.world.note("%s began %s as %s", e.name, record.Request, record.Attempt)
+			e.world.tracef("%s began %s as %s", e.name, record.Request, record.Attempt)
 			e.world.record(oracle.Event{Began: &oracle.Began{Engine: e.name, Attempt: record.Attempt, Request: record.Request}})
 			continue
 		}
@@ -160,7 +158,7 @@
 		}})
 	}
 	for _, fetch := range e.engine.TakeFetches() {
-		e.fetch(fetch)
+		e.fetchWeights(fetch)
 	}
 	for _, reply := range e.engine.TakeReplies() {
 		if target := e.connections[reply.To]; target != nil {
@@ -173,50 +171,50 @@
 	}
 }
 
-// reply sends a message back in order. If the way is cut the connection
-// breaks, and each end notices after a while.
+// reply sends a message to the node, in order. If the network blocks it, the connection breaks and
+// each end notices after a random delay.
 func (e *engineProcess) reply(to *connection, message protocol.EngineMessage) {
 	if to.broken {
 		return
 	}
-	if e.world.cut(e.process, to.node.process) {
-		to.fail(e.world.between(1, breakNoticeMillis), "")
-		e.world.schedule(e.world.between(1, breakNoticeMillis), func() { e.drop(to) })
+	if e.world.blocked(e.process, to.node.process) {
+		to.fail(e.world.randomBetween(1, maxBreakDetectionMillis), "")
+		e.world.schedule(e.world.randomBetween(1, maxBreakDetectionMillis), func() { e.disconnect(to) })
 		return
 	}
-	arrival := max(to.lastAt, e.world.now+e.world.delay(e.process, to.node.process))
-	to.lastAt = arrival
-	if to.node.life != to.nodeLife || !to.node.alive {
-		e.world.schedule(e.world.between(1, breakNoticeMillis), func() { e.drop(to) })
+	arrival := max(to.lastArrival, e.world.now+e.world.messageDelay(e.process, to.node.process))
+	to.lastArrival = arrival
+	if to.node.incarnation != to.nodeIncarnation || !to.node.alive {
+		e.world.schedule(e.world.randomBetween(1, maxBreakDetectionMillis), func() { e.disconnect(to) })
 		return
 	}
-	to.toNode(arrival-e.world.now, message)
-	ends := message.Chunk == nil || message.Chunk.Done
-	if ends {
+	to.sendToNode(arrival-e.world.now, message)
+	last := message.Chunk == nil || message.Chunk.Done
+	if last {
 		delete(e.connections, to.id)
 	}
 }
 
-// fetch asks the weight store, whose rate all engines share.
-func (e *engineProcess) fetch(model.FetchWeights) {
-	start := max(e.world.now, e.cluster.storeFreeAt)
-	e.cluster.storeFreeAt = start + storeMillis
-	ok := !e.world.percent(e.failPercent)
+// fetchWeights fetches weights from the weight store, which serves one load at a time.
+func (e *engineProcess) fetchWeights(model.FetchWeights) {
+	start := max(e.world.now, e.cluster.weightStoreFreeAt)
+	e.cluster.weightStoreFreeAt = start + weightLoadMillis
+	ok := !e.world.randomPercent(e.loadFailPercent)
 	if !ok {
-		e.world.fault("swap-fails", "%s", e.name)
+		e.world.recordFault("swap-fails", "%s", e.name)
 	}
-	e.after(e.cluster.storeFreeAt-e.world.now, func() {
+	e.after(e.cluster.weightStoreFreeAt-e.world.now, func() {
 		e.engine.WeightsFetched(e.monotonic(), ok)
 		e.flush()
 	})
 }
 
-// kill ends the engine; each connection's node notices after a while.
+// kill crashes the engine. The node of each connection notices after a random delay.
 func (e *engineProcess) kill() {
 	for _, id := range slices.Sorted(maps.Keys(e.connections)) {
-		if existing := e.connections[id]; !existing.broken {
-			existing.fail(e.world.between(1, breakNoticeMillis), "")
+		if conn := e.connections[id]; !conn.broken {
+			conn.fail(e.world.randomBetween(1, maxBreakDetectionMillis), "")
 		}
 	}
-	e.death()
+	e.markStopped()
 }
--- a/bench/simulate/fault.go
+++ b/bench/simulate/fault.go
@@ -7,64 +7,64 @@
 
 import "github.com/dillchute/dillchute/bench/oracle"
 
-// FaultKind is a kind of fault that a run injects.
+// FaultKind names a kind of fault to inject.
 type FaultKind string
 
 // The kinds of faults.
 const (
-	// KillControl kills a replica and starts it again; KillLeader the leader.
+	// KillControl crashes and restarts a random control replica; KillLeader does so to the leader.
 	KillControl FaultKind = "kill-control"
 	KillLeader  FaultKind = "kill-leader"
-	// FreezeLeader stops the leader for long and lets it go on.
+	// FreezeLeader stalls the leader's process for a while.
 	FreezeLeader FaultKind = "freeze-leader"
-	// SuspendLeader and SuspendNode suspend a machine: timers stand still, too.
+	// SuspendLeader and SuspendNode suspend the machine of a process, which also stops its timers.
 	SuspendLeader FaultKind = "suspend-leader"
 	SuspendNode   FaultKind = "suspend-node"
-	// LosePower takes the power of all machines at once, and a disk with it; they come back one
-	// by one in any order.
+	// LosePower crashes all replicas, nodes and engines at once and may wipe one replica's disk.
+	// They restart in random order.
 	LosePower FaultKind = "lose-power"
-	// LoseDisk takes a replica's disk; it comes back under a new identity.
+	// LoseDisk wipes a replica's disk; the replica restarts under a new identity.
 	LoseDisk FaultKind = "lose-disk"
-	// LoseTwoDisks loses a second disk right after the first was replaced.
+	// LoseTwoDisks wipes a second disk as soon as the first replica has been replaced.
 	LoseTwoDisks FaultKind = "lose-two-disks"
-	// CutZone cuts a zone off from the others; CutOneWay in one direction.
+	// CutZone partitions a zone from the others; CutOneWay does so in one direction only.
 	CutZone   FaultKind = "cut-zone"
 	CutOneWay FaultKind = "cut-one-way"
-	// CutLeader cuts only the leader off, which goes on believing.
+	// CutLeader partitions the leader from all other processes; it keeps running.
 	CutLeader FaultKind = "cut-leader"
-	// Noise loses, repeats and delays messages.
+	// Noise drops, duplicates and delays messages.
 	Noise FaultKind = "noise"
-	// KillNode kills a node; FreezeNode stops it for long; StopNode stops it as planned.
+	// KillNode crashes a node; FreezeNode stalls its process; StopNode shuts it down gracefully.
 	KillNode   FaultKind = "kill-node"
 	FreezeNode FaultKind = "freeze-node"
 	StopNode   FaultKind = "stop-node"
-	// KillEngine and FreezeEngine do so to an engine; FailSwaps makes loads
-	// of weights fail partway for a while.
+	// KillEngine crashes an engine; FreezeEngine stalls its process; FailSwaps makes weight loads
+	// fail at random.
 	KillEngine   FaultKind = "kill-engine"
 	FreezeEngine FaultKind = "freeze-engine"
 	FailSwaps    FaultKind = "fail-swaps"
-	// LeaveEngine lists an engine as leaving, with the platform's lag.
+	// LeaveEngine marks an engine as leaving in the platform's list, after its lag.
 	LeaveEngine FaultKind = "leave-engine"
-	// KillTrainer kills the trainer in the middle of a step.
+	// KillTrainer crashes and restarts the trainer.
 	KillTrainer FaultKind = "kill-trainer"
 )
 
-// platformLagMillis is how late the platform's list shows a change.
+// platformLagMillis is the delay until the platform's list shows a change.
 const platformLagMillis = 1500
 
-// inject carries out a fault that heals after the duration.
+// inject injects a fault, most kinds of which end after the duration.
 func (cl *cluster) inject(kind FaultKind, duration int64) {
 	switch kind {
 	case KillControl:
 		cl.killControl(kind, cl.pickControl(), duration)
 	case KillLeader:
-		cl.timeFailover(cl.leader().core.Raft().Term())
+		cl.measureFailover(cl.leader().core.Raft().Term())
 		cl.killControl(kind, cl.leader(), duration)
 	case FreezeLeader:
-		cl.timeFailover(cl.leader().core.Raft().Term())
+		cl.measureFailover(cl.leader().core.Raft().Term())
 		cl.freeze(kind, cl.leader().process, duration)
 	case SuspendLeader:
-		cl.timeFailover(cl.leader().core.Raft().Term())
+		cl.measureFailover(cl.leader().core.Raft().Term())
 		cl.suspend(kind, cl.leader().process, duration)
 	case SuspendNode:
 		cl.suspend(kind, cl.pickNode().process, duration)
@@ -79,7 +79,7 @@
 	case CutOneWay:
 		cl.cutZone(duration, false)
 	case CutLeader:
-		cl.cutProcess(cl.leader().process, duration)
+		cl.isolateProcess(cl.leader().process, duration)
 	case Noise:
 		cl.noise(duration)
 	case KillNode:
@@ -111,11 +111,11 @@
 	return cl.engines[cl.world.random.IntN(len(cl.engines))]
 }
 
-// leader returns the leader of the highest term, or any replica without one.
+// leader returns the leader of the highest term, or a random replica if there is no leader.
 func (cl *cluster) leader() *controlProcess {
 	var leader *controlProcess
 	for _, replica := range cl.controls {
-		if replica.leads() && (leader == nil || replica.core.Raft().Term() > leader.core.Raft().Term()) {
+		if replica.isLeader() && (leader == nil || replica.core.Raft().Term() > leader.core.Raft().Term()) {
 			leader = replica
 		}
 	}
@@ -129,7 +129,7 @@
 	if !target.alive {
 		return
 	}
-	cl.world.fault(string(kind), "%s for %d", target.name, duration)
+	cl.world.recordFault(string(kind), "%s for %d", target.name, duration)
 	target.kill()
 	cl.world.schedule(duration, func() { cl.restartControl(target) })
 }
@@ -138,7 +138,7 @@
 	if target.alive {
 		return
 	}
-	cl.world.note("%s starts", target.name)
+	cl.world.tracef("%s starts", target.name)
 	target.start()
 	if target.joining {
 		target.join()
@@ -146,35 +146,34 @@
 }
 
 func (cl *cluster) freeze(kind FaultKind, target *process, duration int64) {
-	cl.stopFor(kind, target, duration, target.freeze)
+	cl.pauseProcess(kind, target, duration, target.freeze)
 }
 
 func (cl *cluster) suspend(kind FaultKind, target *process, duration int64) {
-	cl.stopFor(kind, target, duration, target.suspend)
+	cl.pauseProcess(kind, target, duration, target.suspend)
 }
 
-// stopFor has a process that runs stand still for the duration.
-func (cl *cluster) stopFor(kind FaultKind, target *process, duration int64, stop func()) {
+// pauseProcess stops a running process with the given function and resumes it after the duration.
+func (cl *cluster) pauseProcess(kind FaultKind, target *process, duration int64, stop func()) {
 	if !target.alive || target.frozen {
 		return
 	}
-	cl.world.fault(string(kind), "%s for %d", target.name, duration)
+	cl.world.recordFault(string(kind), "%s for %d", target.name, duration)
 	stop()
-	life := target.life
+	incarnation := target.incarnation
 	cl.world.schedule(duration, func() {
-		if target.life == life && target.alive {
-			cl.world.note("%s thaws", target.name)
-			target.thaw()
+		if target.incarnation == incarnation && target.alive {
+			cl.world.tracef("%s resumes", target.name)
+			target.resume()
 		}
 	})
 }
 
-// mayLoseDisk tells whether the group survives the loss of the replica's disk:
-// an earlier loss is repaired, which means that the lost voter is out of the
-// group, and all voters are up to date.
-func (cl *cluster) mayLoseDisk(target *controlProcess) bool {
+// canLoseDisk reports whether the group survives the loss of the replica's disk: earlier losses
+// are repaired, all voters are up to date and reachable, and no other replica is down.
+func (cl *cluster) canLoseDisk(target *controlProcess) bool {
 	leader := cl.leader()
-	if !leader.leads() || !target.alive || !leader.core.Raft().MembershipCommitted() {
+	if !leader.isLeader() || !target.alive || !leader.core.Raft().MembershipCommitted() {
 		return false
 	}
 	voters, upToDate := 0, 0
@@ -192,44 +191,44 @@
 			return false
 		}
 	}
-	return voters == len(cl.controls) && upToDate == voters && len(cl.world.network.cuts) == 0
+	return voters == len(cl.controls) && upToDate == voters && len(cl.world.network.blockedPairs) == 0
 }
 
 func (cl *cluster) loseDisk(target *controlProcess, duration int64) {
-	if !cl.mayLoseDisk(target) {
+	if !cl.canLoseDisk(target) {
 		return
 	}
-	cl.world.fault(string(LoseDisk), "%s for %d", target.name, duration)
-	target.wipe()
+	cl.world.recordFault(string(LoseDisk), "%s for %d", target.name, duration)
+	target.wipeDisk()
 	cl.world.schedule(duration, func() { cl.restartControl(target) })
 }
 
-// losePower ends all replicas, nodes and engines at the same moment, and loses a replica's disk
-// if that may be. Each comes back at a time of its own.
+// losePower crashes all replicas, nodes and engines at once, and wipes one replica's disk if the
+// group survives that. Each process restarts at a random time.
 func (cl *cluster) losePower(duration int64) {
 	lost := cl.pickControl()
-	mayLose := cl.mayLoseDisk(lost)
-	cl.world.fault(string(LosePower), "for %d, disk of %s: %t", duration, lost.name, mayLose)
+	canLose := cl.canLoseDisk(lost)
+	cl.world.recordFault(string(LosePower), "for %d, disk of %s: %t", duration, lost.name, canLose)
 	for _, replica := range cl.controls {
 		switch {
-		case replica == lost && mayLose:
-			replica.wipe()
+		case replica == lost && canLose:
+			replica.wipeDisk()
 		case replica.alive:
 			replica.kill()
 		}
-		cl.world.schedule(cl.world.between(1, duration), func() { cl.restartControl(replica) })
+		cl.world.schedule(cl.world.randomBetween(1, duration), func() { cl.restartControl(replica) })
 	}
 	for _, target := range cl.nodes {
 		if target.alive {
-			target.death()
+			target.markStopped()
 		}
-		cl.restartNode(target, cl.world.between(1, duration))
+		cl.restartNode(target, cl.world.randomBetween(1, duration))
 	}
 	for _, target := range cl.engines {
 		if target.alive {
 			target.kill()
 		}
-		cl.world.schedule(cl.world.between(1, duration), func() {
+		cl.world.schedule(cl.world.randomBetween(1, duration), func() {
 			if !target.alive {
 				target.start()
 			}
@@ -237,34 +236,34 @@
 	}
 }
 
-// loseTwoDisks loses a disk and, as soon as the group is whole again, another.
+// loseTwoDisks wipes a disk and, as soon as the group has recovered, the disk of another replica.
 func (cl *cluster) loseTwoDisks(duration int64) {
 	first := cl.pickControl()
-	if !cl.mayLoseDisk(first) {
+	if !cl.canLoseDisk(first) {
 		return
 	}
 	cl.loseDisk(first, min(duration, 2000))
-	tries := 0
-	var second func()
-	second = func() {
-		tries++
+	attempts := 0
+	var loseSecond func()
+	loseSecond = func() {
+		attempts++
 		other := cl.pickControl()
-		if other != first && cl.mayLoseDisk(other) {
+		if other != first && cl.canLoseDisk(other) {
 			cl.world.faults[string(LoseTwoDisks)]++
 			cl.loseDisk(other, min(duration, 2000))
 			return
 		}
-		if tries < 300 {
-			cl.world.schedule(100, second)
+		if attempts < 300 {
+			cl.world.schedule(100, loseSecond)
 		}
 	}
-	cl.world.schedule(1000, second)
+	cl.world.schedule(1000, loseSecond)
 }
 
-func (cl *cluster) addCut(from, to string, duration int64) {
+func (cl *cluster) blockPair(from, to string, duration int64) {
 	pair := [2]string{from, to}
-	cl.world.network.cuts[pair] = true
-	cl.world.schedule(duration, func() { delete(cl.world.network.cuts, pair) })
+	cl.world.network.blockedPairs[pair] = true
+	cl.world.schedule(duration, func() { delete(cl.world.network.blockedPairs, pair) })
 }
 
 func (cl *cluster) cutZone(duration int64, bothWays bool) {
@@ -273,27 +272,27 @@
 	if bothWays {
 		kind = CutZone
 	}
-	cl.world.fault(string(kind), "%s for %d", zone, duration)
-	outwards := cl.world.percent(50)
+	cl.world.recordFault(string(kind), "%s for %d", zone, duration)
+	outbound := cl.world.randomPercent(50)
 	for _, other := range cl.topology.Zones {
 		if other == zone {
 			continue
 		}
-		if bothWays || outwards {
-			cl.addCut(zone, other, duration)
+		if bothWays || outbound {
+			cl.blockPair(zone, other, duration)
 		}
-		if bothWays || !outwards {
-			cl.addCut(other, zone, duration)
+		if bothWays || !outbound {
+			cl.blockPair(other, zone, duration)
 		}
 	}
 }
 
-func (cl *cluster) cutProcess(target *process, duration int64) {
-	cl.world.fault(string(CutLeader), "%s for %d", target.name, duration)
+func (cl *cluster) isolateProcess(target *process, duration int64) {
+	cl.world.recordFault(string(CutLeader), "%s for %d", target.name, duration)
 	for _, name := range slices.Sorted(maps.Keys(cl.processes)) {
 		if name != target.name {
-			cl.addCut(target.name, name, duration)
-			cl.addCut(name, target.name, duration)
+			cl.blockPair(target.name, name, duration)
+			cl.blockPair(name, target.name, duration)
 		}
 	}
 }
@@ -303,11 +302,11 @@
 	if network.lossPercent > 0 {
 		return
 	}
-	cl.world.fault(string(Noise), "for %d", duration)
+	cl.world.recordFault(string(Noise), "for %d", duration)
 	jitter := network.jitterMillis
-	network.lossPercent, network.dupPercent, network.jitterMillis = 10, 10, 150
+	network.lossPercent, network.duplicatePercent, network.jitterMillis = 10, 10, 150
 	cl.world.schedule(duration, func() {
-		network.lossPercent, network.dupPercent, network.jitterMillis = 0, 0, jitter
+		network.lossPercent, network.duplicatePercent, network.jitterMillis = 0, 0, jitter
 	})
 }
 
@@ -316,37 +315,37 @@
 	if !target.alive {
 		return
 	}
-	cl.world.fault(string(KillNode), "%s for %d", target.name, duration)
-	target.death()
+	cl.world.recordFault(string(KillNode), "%s for %d", target.name, duration)
+	target.markStopped()
 	cl.restartNode(target, duration)
 }
 
 func (cl *cluster) restartNode(target *nodeProcess, delay int64) {
 	cl.world.schedule(delay, func() {
 		if !target.alive {
-			cl.world.note("%s starts", target.name)
+			cl.world.tracef("%s starts", target.name)
 			target.start()
 		}
 	})
 }
 
-// stopNode stops a node as planned and starts it again once it has ended.
+// stopNode shuts a node down gracefully and restarts it after its exit.
 func (cl *cluster) stopNode(duration int64) {
 	target := cl.pickNode()
 	if !target.alive || target.frozen || target.draining {
 		return
 	}
-	cl.world.fault(string(StopNode), "%s", target.name)
+	cl.world.recordFault(string(StopNode), "%s", target.name)
 	target.drain()
-	var await func()
-	await = func() {
+	var awaitExit func()
+	awaitExit = func() {
 		if target.alive {
-			cl.world.schedule(200, await)
+			cl.world.schedule(200, awaitExit)
 			return
 		}
 		cl.restartNode(target, duration)
 	}
-	await()
+	awaitExit()
 }
 
 func (cl *cluster) killEngine(duration int64) {
@@ -354,7 +353,7 @@
 	if !target.alive {
 		return
 	}
-	cl.world.fault(string(KillEngine), "%s for %d", target.name, duration)
+	cl.world.recordFault(string(KillEngine), "%s for %d", target.name, duration)
 	target.kill()
 	cl.world.schedule(duration, func() {
 		if !target.alive {
@@ -364,40 +363,40 @@
 }
 
 func (cl *cluster) failSwaps(duration int64) {
-	cl.world.fault(string(FailSwaps), "for %d", duration)
+	cl.world.recordFault(string(FailSwaps), "for %d", duration)
 	for _, target := range cl.engines {
-		target.failPercent = 50
+		target.loadFailPercent = 50
 	}
 	cl.world.schedule(duration, func() {
 		for _, target := range cl.engines {
-			target.failPercent = 0
+			target.loadFailPercent = 0
 		}
 	})
 }
 
-// leaveEngine marks an engine as leaving at the platform, which shows it late,
-// and takes the mark back later.
+// leaveEngine marks an engine as leaving in the platform's list after its lag, and removes the mark
+// after the duration.
 func (cl *cluster) leaveEngine(duration int64) {
-	position := cl.world.random.IntN(len(cl.listed))
-	if cl.listed[position].Listed {
+	position := cl.world.random.IntN(len(cl.listedEngines))
+	if cl.listedEngines[position].Listed {
 		return
 	}
-	name := cl.listed[position].ID
-	cl.world.fault(string(LeaveEngine), "%s for %d", name, duration)
+	name := cl.listedEngines[position].ID
+	cl.world.recordFault(string(LeaveEngine), "%s for %d", name, duration)
 	cl.world.schedule(platformLagMillis, func() {
-		cl.listed[position].Listed = true
-		cl.tellEngine(name, true)
+		cl.listedEngines[position].Listed = true
+		cl.notifyEngine(name, true)
 		cl.world.record(oracle.Event{Leaving: &oracle.Leaving{Engine: name, Leaving: true}})
 	})
 	cl.world.schedule(platformLagMillis+duration, func() {
-		cl.listed[position].Listed = false
-		cl.tellEngine(name, false)
+		cl.listedEngines[position].Listed = false
+		cl.notifyEngine(name, false)
 		cl.world.record(oracle.Event{Leaving: &oracle.Leaving{Engine: name, Leaving: false}})
 	})
 }
 
-// tellEngine lets the engine itself know, as the platform's signal does.
-func (cl *cluster) tellEngine(name string, leaving bool) {
+// notifyEngine notifies the engine that it is leaving or in service again, as the platform's signal does.
+func (cl *cluster) notifyEngine(name string, leaving bool) {
 	target := cl.engineByName[name]
 	if !cl.load.EnginesReport {
 		return
@@ -413,7 +412,7 @@
 	if !target.alive || target.finished {
 		return
 	}
-	cl.world.fault(string(KillTrainer), "for %d", duration)
-	target.death()
+	cl.world.recordFault(string(KillTrainer), "for %d", duration)
+	target.markStopped()
 	cl.world.schedule(duration, target.start)
 }
--- a/bench/simulate/node.go
+++ b/bench/simulate/node.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	nodeTickMillis = 50
-	scoreMillis    = 20
+	nodeTickMillis   = 50
+	scoreDelayMillis = 20
 )
 
-// nodeProcess is a node.
+// nodeProcess simulates a node process.
 type nodeProcess struct {
 	*process
-	cluster  *cluster
-	core     *node.Core
-	callers  map[uint64]func(node.CallerEvent)
-	draining bool
-	acting   uint64
+	cluster        *cluster
+	core           *node.Core
+	callers        map[uint64]func(node.CallerEvent)
+	draining       bool
+	actingRevision uint64
 }
 
 func (n *nodeProcess) start() {
-	n.birth()
-	n.callers, n.draining, n.acting = map[uint64]func(node.CallerEvent){}, false, 0
+	n.markStarted()
+	n.callers, n.draining, n.actingRevision = map[uint64]func(node.CallerEvent){}, false, 0
 	n.core = node.New(node.Config{
 		ID: n.name, Zone: n.zone, Region: n.cluster.region(n.zone), Address: n.address,
-		Incarnation: uint64(n.life), Controls: n.cluster.controlAddresses(),
+		Incarnation: uint64(n.incarnation), Controls: n.cluster.controlAddresses(),
 		Seed: n.world.random.Uint64(), Scoring: true,
 	})
 	n.tick()
@@ -37,7 +37,7 @@
 	if n.core.Drained() {
 		n.core.Leave(n.monotonic())
 		n.flush()
-		n.death()
+		n.markStopped()
 		return
 	}
 	n.flush()
@@ -55,42 +55,42 @@
 	n.flush()
 }
 
-func (n *nodeProcess) submit(live protocol.LiveRequest, events func(node.CallerEvent)) uint64 {
+func (n *nodeProcess) submitLive(live protocol.LiveRequest, onEvent func(node.CallerEvent)) uint64 {
 	id := n.core.Submit(n.monotonic(), live)
-	n.callers[id] = events
+	n.callers[id] = onEvent
 	n.flush()
 	return id
 }
 
 func (n *nodeProcess) flush() {
 	for _, outgoing := range n.core.TakeMessages() {
-		n.cluster.send(n.process, outgoing.Address, outgoing.Message)
+		n.cluster.sendMessage(n.process, outgoing.Address, outgoing.Message)
 	}
 	for _, outgoing := range n.core.TakeEngineMessages() {
-		n.cluster.sendEngine(n, outgoing)
+		n.cluster.sendToEngine(n, outgoing)
 	}
 	for _, score := range n.core.TakeScoreRequests() {
-		n.after(scoreMillis, func() {
+		n.after(scoreDelayMillis, func() {
 			n.core.ReceiveScore(n.monotonic(), score.Request, 1)
 			n.flush()
 		})
 	}
 	for _, event := range n.core.TakeCallerEvents() {
-		events := n.callers[event.Request]
+		onEvent := n.callers[event.Request]
 		if event.Outcome != 0 {
 			delete(n.callers, event.Request)
 		}
-		if events != nil {
-			events(event)
+		if onEvent != nil {
+			onEvent(event)
 		}
 	}
-	n.observe()
+	n.recordRevision()
 }
 
-// observe records the revision that the node acts on when it changes.
-func (n *nodeProcess) observe() {
-	if revision := n.core.Revision(); revision != n.acting && n.core.HasLease() {
-		n.acting = revision
-		n.world.record(oracle.Event{Acting: &oracle.Acting{Node: n.name, Incarnation: uint64(n.life), Revision: revision}})
+// recordRevision records the revision that the node uses, whenever it changes under a lease.
+func (n *nodeProcess) recordRevision() {
+	if revision := n.core.Revision(); revision != n.actingRevision && n.core.HasLease() {
+		n.actingRevision = revision
+		n.world.record(oracle.Event{Acting: &oracle.Acting{Node: n.name, Incarnation: uint64(n.incarnation), Revision: revision}})
 	}
 }
--- a/bench/simulate/run.go
+++ b/bench/simulate/run.go
@@ -10,11 +10,11 @@
 	"github.com/dillchute/dillchute/bench/oracle"
 )
 
-// leavingGraceMillis is the time after which an engine that the platform lists
-// as leaving gets no new work: control's poll, a commit and a heartbeat.
+// leavingGraceMillis is the time after which an engine that the platform lists as leaving must get
+// no new work. It covers control's poll, a commit and a heartbeat.
 const leavingGraceMillis = 5000
 
-// Result is what became of one seed of a scenario.
+// Result is the outcome of running a scenario with one seed.
 type Result struct {
 	Scenario   string
 	Seed       uint64
@@ -22,34 +22,34 @@
 	Violations []oracle.Violation
 	Counts     oracle.Counts
 	Faults     map[string]int
-	// EndMillis is the virtual time at which all work had ended.
+	// EndMillis is the virtual time at which the work was done, or the limit was reached.
 	EndMillis int64
 	Timings   map[Timing][]int64
 	Trace     []string
 }
 
-// Run runs one seed of a scenario. With keepTrace the result holds the trace.
+// Run runs a scenario with one seed. With keepTrace, the result holds the trace.
 func Run(scenario Scenario, seed uint64, keepTrace bool) Result {
 	world := newWorld(seed)
-	world.traceAll, world.steadyClocks = keepTrace, scenario.SteadyClocks
+	world.keepTrace, world.clocksSkipSuspensions = keepTrace, scenario.SteadyClocks
 	cl := newCluster(world, scenario.Topology, scenario.Load)
 	cl.start()
 	cl.scheduleFaults(scenario)
 	limit := scenario.FaultsUntil + scenario.MaxDuration + scenario.RecoverLimit
 	world.runUntil(limit, cl.finished)
 	end := world.now
-	// No call of an operator is open now; later ones may be cut off by the end.
+	// Calls made after this point may stay unanswered and are not checked.
 	operations := cl.operations
-	// Checks that are still to come, and late messages, get their time too.
-	world.runUntil(end+inForceMillis, func() bool { return false })
-	cl.timeLeaving(world.history)
-	violations, counts := oracle.Check(world.history, oracle.Expect{
+	// Run the checks that are still scheduled and deliver late messages.
+	world.runUntil(end+inForceLimitMillis, func() bool { return false })
+	cl.measureLeaving(world.history)
+	violations, counts := oracle.Check(world.history, oracle.Expectations{
 		AllDelivered: true, NoUnknown: scenario.NoUnknown, LeavingGraceMillis: leavingGraceMillis,
 	})
 	violations = append(violations, cl.violations...)
-	violations = append(violations, judgeLinearizability(operations, end)...)
+	violations = append(violations, checkLinearizability(operations, end)...)
 	if end >= limit {
-		violations = append(violations, oracle.Violation{Promise: NoProgress, At: end, Detail: cl.unfinished()})
+		violations = append(violations, oracle.Violation{Promise: NoProgress, At: end, Detail: cl.describeUnfinished()})
 	}
 	return Result{
 		Scenario: scenario.Name, Seed: seed, Digest: world.digest.Sum64(), Violations: violations, Counts: counts,
@@ -57,28 +57,28 @@
 	}
 }
 
-// NoProgress marks a run that had not ended its work by the limit.
+// NoProgress is violated by a run whose work was not done by the limit.
 const NoProgress oracle.Promise = "progress"
 
-func (cl *cluster) unfinished() string {
+func (cl *cluster) describeUnfinished() string {
 	text := fmt.Sprintf("trainer: step %d of %d done, %d received of the next, submitted %d, cursor %d, finished %t;",
 		cl.trainer.done, cl.trainer.steps, cl.trainer.received[cl.trainer.done+1], cl.trainer.submitted, cl.trainer.cursor, cl.trainer.finished)
 	for _, caller := range cl.callers {
-		text += fmt.Sprintf(" %s: %d left, %d open;", caller.name, caller.left, caller.open)
+		text += fmt.Sprintf(" %s: %d left, %d open;", caller.name, caller.remaining, caller.pending)
 	}
 	for _, operator := range cl.operators {
-		text += fmt.Sprintf(" %s: %d left;", operator.name, operator.left)
+		text += fmt.Sprintf(" %s: %d left;", operator.name, operator.remaining)
 	}
 	if leader := cl.leader(); leader.alive {
 		machine := leader.core.Machine()
-		text += fmt.Sprintf(" leader %s (%t) term %d;", leader.name, leader.leads(), leader.core.Raft().Term())
+		text += fmt.Sprintf(" leader %s (%t) term %d;", leader.name, leader.isLeader(), leader.core.Raft().Term())
 		if ledger := machine.Ledgers[samplePool]; ledger != nil {
 			text += fmt.Sprintf(" pending %d, samples %d, completed %d;", ledger.Pending(), len(ledger.Samples), ledger.CompletedCount())
 		}
 	}
-	for _, checked := range cl.nodes {
-		if checked.alive {
-			text += fmt.Sprintf(" %s leased %t in flight %d;", checked.name, checked.core.HasLease(), checked.core.InFlight())
+	for _, target := range cl.nodes {
+		if target.alive {
+			text += fmt.Sprintf(" %s leased %t in flight %d;", target.name, target.core.HasLease(), target.core.InFlight())
 		}
 	}
 	return text
@@ -90,14 +90,14 @@
 	}
 	for range scenario.Repeat {
 		for _, kind := range scenario.Faults {
-			at := cl.world.between(scenario.FaultsFrom, scenario.FaultsUntil)
-			duration := cl.world.between(scenario.MinDuration, scenario.MaxDuration)
+			at := cl.world.randomBetween(scenario.FaultsFrom, scenario.FaultsUntil)
+			duration := cl.world.randomBetween(scenario.MinDuration, scenario.MaxDuration)
 			cl.world.schedule(at, func() { cl.inject(kind, duration) })
 		}
 	}
 }
 
-// Summary adds up results.
+// Summary aggregates results.
 type Summary struct {
 	Seeds      int
 	Faults     map[string]int
@@ -109,17 +109,17 @@
 	Violations map[oracle.Promise]int
 	// Failed are the results with violations, ordered by scenario and seed.
 	Failed []Result
-	// EndMillis are the virtual times at which runs ended, in order.
+	// EndMillis holds the virtual times at which runs ended, in ascending order.
 	EndMillis []int64
-	// Timings are all that were measured, in order.
+	// Timings holds all measured times, in ascending order.
 	Timings map[Timing][]int64
-	// WaitMillis and TrainMillis are those of all trainers.
+	// WaitMillis and TrainMillis are totals over all trainers.
 	WaitMillis  int64
 	TrainMillis int64
 }
 
-// RunAll runs seeds of the scenarios on all cores. The summary does not depend
-// on how the runs are spread.
+// RunAll runs each scenario with consecutive seeds, in parallel on all cores. The summary does not
+// depend on the order in which runs finish.
 func RunAll(scenarios []Scenario, first uint64, seeds int) Summary {
 	type job struct {
 		scenario Scenario
@@ -162,7 +162,7 @@
 	return summary
 }
 
-// IdleShare is the trainers' waiting as a share of their waiting and training.
+// IdleShare returns the fraction of the trainers' time that they spent waiting.
 func (s *Summary) IdleShare() float64 {
 	return oracle.Counts{WaitMillis: s.WaitMillis, TrainMillis: s.TrainMillis}.IdleShare()
 }
--- a/bench/simulate/simulate_test.go
+++ b/bench/simulate/simulate_test.go
@@ -11,32 +11,31 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-func scenario(t *testing.T, name string) Scenario {
+func findScenario(t *testing.T, name string) Scenario {
 	for _, candidate := range Scenarios() {
 		if candidate.Name == name {
 			return candidate
 		}
 	}
-	t.Fatalf("there is no scenario %q", name)
+	t.Fatalf("unknown scenario %q", name)
 	return Scenario{}
 }
 
-// TestSeedGivesOneTrace runs the same seed twice, with all faults.
-func TestSeedGivesOneTrace(t *testing.T) {
+// TestRunIsDeterministic verifies that a seed always produces the same trace.
+func TestRunIsDeterministic(t *testing.T) {
 	for _, name := range []string{"calm", "everything", "everything-two-regions"} {
-		first := Run(scenario(t, name), 7, true)
-		second := Run(scenario(t, name), 7, true)
+		first := Run(findScenario(t, name), 7, true)
+		second := Run(findScenario(t, name), 7, true)
 		require.Equal(t, first.Trace, second.Trace)
 		require.Equal(t, first.Digest, second.Digest)
-		other := Run(scenario(t, name), 8, false)
+		other := Run(findScenario(t, name), 8, false)
 		require.NotEqual(t, first.Digest, other.Digest)
 	}
 }
 
-// TestSeedsThatFailed runs the seeds in which a promise was broken on the way.
-// The traces have moved on since, so that a seed alone proves little; package
-// tests hold the causes.
-func TestSeedsThatFailed(t *testing.T) {
+// TestRegressionSeeds runs seeds that once broke a promise. Their traces have changed since; unit
+// tests of the packages cover the causes.
+func TestRegressionSeeds(t *testing.T) {
 	tests := []struct {
 		scenario string
 		seed     uint64
@@ -49,45 +48,45 @@
 	}
 	for _, test := range tests {
 		t.Run(test.scenario, func(t *testing.T) {
-			result := Run(scenario(t, test.scenario), test.seed, false)
+			result := Run(findScenario(t, test.scenario), test.seed, false)
 			require.Empty(t, result.Violations)
 			require.NotZero(t, result.Counts.Delivered)
 		})
 	}
 }
 
-// TestEachFaultIsInjected: no scenario names a fault that the simulator leaves out.
+// TestEachFaultIsInjected verifies that the simulator implements every fault kind.
 func TestEachFaultIsInjected(t *testing.T) {
-	base := scenario(t, "calm")
+	base := findScenario(t, "calm")
 	for _, kind := range faultKinds {
-		attacked := base
-		attacked.Timeline = []TimedFault{{At: 5000, Kind: kind, Duration: 1000}}
-		result := Run(attacked, 3, false)
+		modified := base
+		modified.Timeline = []TimedFault{{At: 5000, Kind: kind, Duration: 1000}}
+		result := Run(modified, 3, false)
 		require.NotEmpty(t, result.Faults, kind)
 		require.Empty(t, result.Violations, kind)
 	}
 }
 
-// TestClocksThatMissSuspensionsAreFound: where processes go by clocks that stand still while
-// their machines are suspended, runs break promises; with the product's clock none does.
-func TestClocksThatMissSuspensionsAreFound(t *testing.T) {
-	attacked := scenario(t, "suspensions")
-	faulty := attacked
+// TestDetectsClocksThatSkipSuspensions verifies that the checks detect monotonic clocks that stop
+// while the machine is suspended, and that runs with the product's clock pass.
+func TestDetectsClocksThatSkipSuspensions(t *testing.T) {
+	correct := findScenario(t, "suspensions")
+	faulty := correct
 	faulty.SteadyClocks = true
-	broken := 0
+	failedRuns := 0
 	for seed := range uint64(suspensionSeeds) {
-		require.Empty(t, Run(attacked, seed, false).Violations)
+		require.Empty(t, Run(correct, seed, false).Violations)
 		if len(Run(faulty, seed, false).Violations) > 0 {
-			broken++
+			failedRuns++
 		}
 	}
-	require.Positive(t, broken)
+	require.Positive(t, failedRuns)
 }
 
-// suspensionSeeds are enough for the faulty clock to be found several times.
+// suspensionSeeds is large enough for several of the faulty runs to fail.
 const suspensionSeeds = 60
 
-func TestScenarioFile(t *testing.T) {
+func TestLoadScenario(t *testing.T) {
 	load := func(text string) (Scenario, error) {
 		path := filepath.Join(t.TempDir(), "scenario.yaml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -98,7 +97,7 @@
 	result := Run(loaded, 1, false)
 	require.Empty(t, result.Violations)
 	require.Equal(t, 1, result.Faults[string(KillLeader)])
-	for text, part := range map[string]string{
+	for text, want := range map[string]string{
 		"name: x\ntimelin: []\n":               "timelin",
 		"timeline: []\n":                       "name: must not be empty",
 		"name: x\nfaults: [meteor]\n":          "unknown kind meteor",
@@ -106,25 +105,25 @@
 		"name: x\nload: {weight_policy: no}\n": "load.weight_policy",
 	} {
 		_, err := load(text)
-		require.ErrorContains(t, err, part)
+		require.ErrorContains(t, err, want)
 	}
 }
 
-// TestLinearizabilityIsJudged: a read that misses a change which was answered
-// before it was sent is caught; one that was under way meanwhile is not.
-func TestLinearizabilityIsJudged(t *testing.T) {
+// TestCheckLinearizability verifies that a read must see every change that completed before it
+// began, while a concurrent read may miss it, and that only one change to a revision is accepted.
+func TestCheckLinearizability(t *testing.T) {
 	history := func(readSentAt int64, seen uint64) []porcupine.Operation {
 		return []porcupine.Operation{
-			{ClientId: 0, Input: declarationCall{base: 0}, Call: 0, Output: declarationAnswer{outcome: state.ApplyAccepted, revision: 5}, Return: 10},
-			{ClientId: 1, Input: declarationCall{base: 0}, Call: 1, Output: declarationAnswer{outcome: state.ApplyConflict, revision: 5}, Return: 12},
-			{ClientId: 2, Input: declarationCall{isRead: true}, Call: readSentAt, Output: declarationAnswer{revision: seen}, Return: 30},
+			{ClientId: 0, Input: declarationCall{base: 0}, Call: 0, Output: declarationResult{outcome: state.ApplyAccepted, revision: 5}, Return: 10},
+			{ClientId: 1, Input: declarationCall{base: 0}, Call: 1, Output: declarationResult{outcome: state.ApplyConflict, revision: 5}, Return: 12},
+			{ClientId: 2, Input: declarationCall{isRead: true}, Call: readSentAt, Output: declarationResult{revision: seen}, Return: 30},
 		}
 	}
-	require.Empty(t, judgeLinearizability(history(20, 5), 0))
-	require.NotEmpty(t, judgeLinearizability(history(20, 0), 0))
-	require.Empty(t, judgeLinearizability(history(5, 0), 0))
+	require.Empty(t, checkLinearizability(history(20, 5), 0))
+	require.NotEmpty(t, checkLinearizability(history(20, 0), 0))
+	require.Empty(t, checkLinearizability(history(5, 0), 0))
 	twice := append(history(20, 5), porcupine.Operation{
-		ClientId: 3, Input: declarationCall{base: 0}, Call: 3, Output: declarationAnswer{outcome: state.ApplyAccepted, revision: 6}, Return: 40,
+		ClientId: 3, Input: declarationCall{base: 0}, Call: 3, Output: declarationResult{outcome: state.ApplyAccepted, revision: 6}, Return: 40,
 	})
-	require.NotEmpty(t, judgeLinearizability(twice, 0))
+	require.NotEmpty(t, checkLinearizability(twice, 0))
 }
--- a/bench/simulate/timing.go
+++ b/bench/simulate/timing.go
@@ -6,19 +6,18 @@
 	"slices"
 )
 
-// Timing names a time that is measured in each run, in virtual milliseconds.
+// Timing names a duration that runs measure, in virtual milliseconds.
 type Timing string
 
 // The timings.
 const (
-	// FailoverTime is from the loss of a leader until another one has
-	// committed an entry of its own term.
+	// FailoverTime is the time from the loss of a leader until a new one has committed an entry of
+	// its own term.
 	FailoverTime Timing = "failover"
-	// InForceTime is from the answer to an accepted change until every node
-	// acts on it or has lost its lease.
+	// InForceTime is the time from the reply to an accepted change until every node uses it or has
+	// lost its lease.
 	InForceTime Timing = "in-force"
-	// LeavingTime is from the mark of a leaving engine to the last attempt that
-	// began on it.
+	// LeavingTime is the time from marking an engine as leaving until the last attempt began on it.
 	LeavingTime Timing = "leaving-engine"
 )
 
@@ -26,37 +25,37 @@
 var Timings = []Timing{FailoverTime, InForceTime, LeavingTime}
 
 const (
-	// timingPoll is the accuracy of the timings.
-	timingPoll = 10
-	// timingLimit ends the wait for what does not come about.
-	timingLimit = 30_000
+	// timingPollMillis is the poll interval, which bounds the accuracy of the timings.
+	timingPollMillis = 10
+	// timingLimitMillis is the time after which a measurement is abandoned.
+	timingLimitMillis = 30_000
 )
 
-func (cl *cluster) measured(timing Timing, millis int64) {
+func (cl *cluster) recordTiming(timing Timing, millis int64) {
 	cl.timings[timing] = append(cl.timings[timing], millis)
 }
 
-// timeUntil measures the time until the condition holds. A condition that does
-// not hold within the limit, as when a second fault hits, is not counted.
-func (cl *cluster) timeUntil(timing Timing, holds func() bool) {
-	began := cl.world.now
+// measureUntil records the time until the condition holds. Nothing is recorded if that takes longer
+// than timingLimitMillis, for example because of a second fault.
+func (cl *cluster) measureUntil(timing Timing, holds func() bool) {
+	startedAt := cl.world.now
 	var poll func()
 	poll = func() {
 		switch {
 		case holds():
-			cl.measured(timing, cl.world.now-began)
-		case cl.world.now-began < timingLimit:
-			cl.world.schedule(timingPoll, poll)
+			cl.recordTiming(timing, cl.world.now-startedAt)
+		case cl.world.now-startedAt < timingLimitMillis:
+			cl.world.schedule(timingPollMillis, poll)
 		}
 	}
-	cl.world.schedule(timingPoll, poll)
+	cl.world.schedule(timingPollMillis, poll)
 }
 
-// timeFailover is called when the leader of the term is about to be lost.
-func (cl *cluster) timeFailover(term uint64) {
-	cl.timeUntil(FailoverTime, func() bool {
+// measureFailover measures the failover from the leader of the term, which is about to be lost.
+func (cl *cluster) measureFailover(term uint64) {
+	cl.measureUntil(FailoverTime, func() bool {
 		for _, replica := range cl.controls {
-			if !replica.alive || replica.frozen || !replica.leads() {
+			if !replica.alive || replica.frozen || !replica.isLeader() {
 				continue
 			}
 			if raft := replica.core.Raft(); raft.Term() > term && raft.CommittedInTerm() {
@@ -67,11 +66,11 @@
 	})
 }
 
-func (cl *cluster) timeInForce(revision uint64) {
-	cl.timeUntil(InForceTime, func() bool {
-		for _, checked := range cl.nodes {
-			acts := checked.alive && !checked.frozen && checked.core.HasLease()
-			if acts && checked.core.Revision() < revision {
+func (cl *cluster) measureInForce(revision uint64) {
+	cl.measureUntil(InForceTime, func() bool {
+		for _, target := range cl.nodes {
+			active := target.alive && !target.frozen && target.core.HasLease()
+			if active && target.core.Revision() < revision {
 				return false
 			}
 		}
@@ -79,15 +78,15 @@
 	})
 }
 
-// timeLeaving takes the times of leaving engines from the history.
-func (cl *cluster) timeLeaving(history []oracle.Event) {
+// measureLeaving computes the LeavingTime measurements from the history.
+func (cl *cluster) measureLeaving(history []oracle.Event) {
 	since, last := map[string]int64{}, map[string]int64{}
 	for _, event := range history {
 		switch {
 		case event.Leaving != nil && event.Leaving.Leaving:
 			since[event.Leaving.Engine], last[event.Leaving.Engine] = event.At, event.At
 		case event.Leaving != nil:
-			cl.endLeaving(event.Leaving.Engine, since, last)
+			cl.recordLeaving(event.Leaving.Engine, since, last)
 		case event.Began != nil:
 			if _, leaving := since[event.Began.Engine]; leaving {
 				last[event.Began.Engine] = event.At
@@ -95,13 +94,13 @@
 		}
 	}
 	for _, engine := range slices.Sorted(maps.Keys(since)) {
-		cl.endLeaving(engine, since, last)
+		cl.recordLeaving(engine, since, last)
 	}
 }
 
-func (cl *cluster) endLeaving(engine string, since, last map[string]int64) {
-	if began, ok := since[engine]; ok {
-		cl.measured(LeavingTime, last[engine]-began)
+func (cl *cluster) recordLeaving(engine string, since, last map[string]int64) {
+	if markedAt, ok := since[engine]; ok {
+		cl.recordTiming(LeavingTime, last[engine]-markedAt)
 		delete(since, engine)
 	}
 }
--- a/bench/simulate/world.go
+++ b/bench/simulate/world.go
@@ -1,6 +1,6 @@
-// Package simulate runs the cores of control and nodes, and the model of the
-// engines, in virtual time under faults, and has the oracle judge the run. All
-// randomness comes from one seed: a seed gives the same run, event for event.
+// Package simulate runs the cores of control replicas and nodes, with model engines, in virtual
+// time, injects faults, and checks each run with the oracle. All randomness comes from one seed, so
+// that a seed always reproduces the same run.
 package simulate
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/dillchute/dillchute/bench/oracle"
 )
 
-// wallStart is the wall clock at the start of a run, in milliseconds since 1970.
-const wallStart = 1_700_000_000_000
+// wallClockStart is the wall-clock time at the start of a run, in milliseconds since the Unix epoch.
+const wallClockStart = 1_700_000_000_000
 
 type event struct {
 	at       int64
@@ -40,16 +40,16 @@
 	return item
 }
 
-// network holds the faults of the network.
+// network holds the delays and the current faults of the network.
 type network struct {
-	// zoneMillis and jitterMillis make up a message's delay between zones.
-	zoneMillis   int64
-	jitterMillis int64
-	lossPercent  int
-	dupPercent   int
-	// cuts holds the ordered pairs of places that cannot reach each other; a
-	// place is a zone or a process.
-	cuts map[[2]string]bool
+	// A message is delayed by up to jitterMillis, and by zoneMillis in addition between zones.
+	zoneMillis       int64
+	jitterMillis     int64
+	lossPercent      int
+	duplicatePercent int
+	// blockedPairs holds pairs of source and target between which messages are dropped. Each is the
+	// name of a zone or a process.
+	blockedPairs map[[2]string]bool
 }
 
 // World is one simulated run.
@@ -62,18 +62,18 @@
 	history  []oracle.Event
 	digest   hash.Hash64
 	trace    []string
-	// traceAll keeps the whole trace; otherwise only the digest is kept.
-	traceAll bool
-	faults   map[string]int
-	// steadyClocks has processes go by clocks that stand still while their machines are
-	// suspended, as a faulty product would.
-	steadyClocks bool
+	// keepTrace keeps the whole trace; otherwise only its digest is computed.
+	keepTrace bool
+	faults    map[string]int
+	// clocksSkipSuspensions makes monotonic clocks stop while their machines are suspended, to
+	// simulate a bug in the product.
+	clocksSkipSuspensions bool
 }
 
 func newWorld(seed uint64) *World {
 	return &World{
 		random: rand.New(rand.NewPCG(seed, 0)), digest: fnv.New64a(), faults: map[string]int{},
-		network: network{zoneMillis: 1, jitterMillis: 2, cuts: map[[2]string]bool{}},
+		network: network{zoneMillis: 1, jitterMillis: 2, blockedPairs: map[[2]string]bool{}},
 	}
 }
 
@@ -82,7 +82,7 @@
 	heap.Push(&w.events, event{at: w.now + max(delay, 0), sequence: w.sequence, run: run})
 }
 
-// runUntil carries out events up to the time, or until done returns true.
+// runUntil runs events up to the time limit, or until done returns true.
 func (w *World) runUntil(limit int64, done func() bool) {
 	for len(w.events) > 0 && w.events[0].at <= limit && !done() {
 		next := heap.Pop(&w.events).(event)
@@ -91,31 +91,31 @@
 	}
 }
 
-// note adds a line to the trace.
-func (w *World) note(format string, arguments ...any) {
+// tracef adds a line to the trace.
+func (w *World) tracef(format string, arguments ...any) {
 	line := fmt.Sprintf("%8d ", w.now) + fmt.Sprintf(format, arguments...)
 	w.digest.Write([]byte(line))
-	if w.traceAll {
+	if w.keepTrace {
 		w.trace = append(w.trace, line)
 	}
 }
 
-func (w *World) fault(kind, format string, arguments ...any) {
+func (w *World) recordFault(kind, format string, arguments ...any) {
 	w.faults[kind]++
-	w.note("FAULT "+kind+" "+format, arguments...)
+	w.tracef("FAULT "+kind+" "+format, arguments...)
 }
 
-// record adds an observation for the oracle.
+// record adds an event to the history for the oracle.
 func (w *World) record(observed oracle.Event) {
 	observed.At = w.now
 	w.history = append(w.history, observed)
 }
 
-func (w *World) between(low, high int64) int64 { return low + w.random.Int64N(high-low+1) }
+func (w *World) randomBetween(low, high int64) int64 { return low + w.random.Int64N(high-low+1) }
 
-func (w *World) percent(chance int) bool { return chance > 0 && w.random.IntN(100) < chance }
+func (w *World) randomPercent(chance int) bool { return chance > 0 && w.random.IntN(100) < chance }
 
-// process is anything with an address that can be killed, frozen and cut off.
+// process is a simulated process, which can crash, stall and be partitioned from others.
 type process struct {
 	world   *World
 	name    string
@@ -123,74 +123,75 @@
 	address string
 	alive   bool
 	frozen  bool
-	// life counts the process's starts; events of an earlier one are dropped.
-	life     int
-	bornAt   int64
-	rate     float64
-	wallSkew int64
-	deferred []func()
-	// suspending is set while the process is frozen because its machine is suspended, since
-	// frozenAt; suspended is how long it was, in this life and before.
-	suspending          bool
-	frozenAt, suspended int64
+	// incarnation counts the starts of the process; events for an earlier incarnation are dropped.
+	incarnation int
+	startedAt   int64
+	clockRate   float64
+	wallSkew    int64
+	deferred    []func()
+	// machineSuspended is set while the process is frozen because its machine is suspended.
+	// suspendedMillis is the total time of earlier suspensions in this incarnation.
+	machineSuspended          bool
+	frozenAt, suspendedMillis int64
 }
 
-// maxDrift is the greatest rate by which a clock is wrong, and maxSkewMillis by
-// how much wall clocks differ.
+// maxClockDrift bounds the rate error of monotonic clocks, and maxWallSkewMillis the offset of
+// wall clocks.
 const (
-	maxDrift      = 0.02
-	maxSkewMillis = 300
+	maxClockDrift     = 0.02
+	maxWallSkewMillis = 300
 )
 
 func (w *World) newProcess(name, zone string) *process {
 	return &process{
 		world: w, name: name, zone: zone, address: name,
-		rate:     1 + maxDrift*(2*w.random.Float64()-1),
-		wallSkew: w.between(-maxSkewMillis, maxSkewMillis),
+		clockRate: 1 + maxClockDrift*(2*w.random.Float64()-1),
+		wallSkew:  w.randomBetween(-maxWallSkewMillis, maxWallSkewMillis),
 	}
 }
 
-func (p *process) birth() {
-	p.alive, p.frozen, p.suspending, p.deferred, p.suspended = true, false, false, nil, 0
-	p.life++
-	p.bornAt = p.world.now
+func (p *process) markStarted() {
+	p.alive, p.frozen, p.machineSuspended, p.deferred, p.suspendedMillis = true, false, false, nil, 0
+	p.incarnation++
+	p.startedAt = p.world.now
 }
 
-func (p *process) death() {
-	p.alive, p.frozen, p.suspending, p.deferred = false, false, false, nil
+func (p *process) markStopped() {
+	p.alive, p.frozen, p.machineSuspended, p.deferred = false, false, false, nil
 }
 
-// monotonic is the clock that the process's decisions go by, which drifts. It counts
-// suspensions, as package clock does.
+// monotonic returns the time since the process started on its drifting monotonic clock. It
+// includes suspensions, as in package clock, unless clocksSkipSuspensions is set.
 func (p *process) monotonic() int64 {
-	elapsed := p.world.now - p.bornAt
-	if p.world.steadyClocks {
-		elapsed -= p.suspended
+	elapsed := p.world.now - p.startedAt
+	if p.world.clocksSkipSuspensions {
+		elapsed -= p.suspendedMillis
 	}
-	return int64(float64(elapsed) * p.rate)
+	return int64(float64(elapsed) * p.clockRate)
 }
 
-func (p *process) wall() int64 { return wallStart + p.world.now + p.wallSkew }
+func (p *process) wall() int64 { return wallClockStart + p.world.now + p.wallSkew }
 
-// after runs the function in this life of the process, once it is not frozen.
+// after runs the function after the delay, once the process is not frozen, unless the process has
+// ended or restarted since.
 func (p *process) after(delay int64, run func()) {
-	life := p.life
+	incarnation := p.incarnation
 	p.world.schedule(delay, func() {
-		if p.life != life || !p.alive {
+		if p.incarnation != incarnation || !p.alive {
 			return
 		}
-		if p.suspending {
-			// Timers stand still with the machine, and go on for what was left of them.
-			left := p.world.now - p.frozenAt
-			p.enter(func() { p.after(left, run) })
+		if p.machineSuspended {
+			// Timers stop while the machine is suspended and run for their remaining time afterwards.
+			remaining := p.world.now - p.frozenAt
+			p.runOrDefer(func() { p.after(remaining, run) })
 			return
 		}
-		p.enter(run)
+		p.runOrDefer(run)
 	})
 }
 
-// enter runs the function now, or when the process is thawed.
-func (p *process) enter(run func()) {
+// runOrDefer runs the function now, or when a frozen process resumes.
+func (p *process) runOrDefer(run func()) {
 	if p.frozen {
 		p.deferred = append(p.deferred, run)
 		return
@@ -204,38 +205,38 @@
 	}
 }
 
-// suspend freezes the process as its machine is suspended.
+// suspend freezes the process and its timers, as a suspension of its machine does.
 func (p *process) suspend() {
 	p.freeze()
-	p.suspending = p.frozen
+	p.machineSuspended = p.frozen
 }
 
-func (p *process) thaw() {
+func (p *process) resume() {
 	if !p.frozen {
 		return
 	}
-	if p.suspending {
-		p.suspended += p.world.now - p.frozenAt
+	if p.machineSuspended {
+		p.suspendedMillis += p.world.now - p.frozenAt
 	}
-	p.frozen, p.suspending = false, false
-	waiting := p.deferred
+	p.frozen, p.machineSuspended = false, false
+	deferred := p.deferred
 	p.deferred = nil
-	for position, run := range waiting {
+	for position, run := range deferred {
 		if p.frozen || !p.alive {
-			p.deferred = append(p.deferred, waiting[position:]...)
+			p.deferred = append(p.deferred, deferred[position:]...)
 			return
 		}
 		run()
 	}
 }
 
-func (w *World) cut(from, to *process) bool {
-	if len(w.network.cuts) == 0 {
+func (w *World) blocked(from, to *process) bool {
+	if len(w.network.blockedPairs) == 0 {
 		return false
 	}
 	for _, source := range [...]string{from.zone, from.name} {
 		for _, target := range [...]string{to.zone, to.name} {
-			if source != target && w.network.cuts[[2]string{source, target}] {
+			if source != target && w.network.blockedPairs[[2]string{source, target}] {
 				return true
 			}
 		}
@@ -243,28 +244,28 @@
 	return false
 }
 
-func (w *World) delay(from, to *process) int64 {
-	delay := w.between(0, w.network.jitterMillis)
+func (w *World) messageDelay(from, to *process) int64 {
+	delay := w.randomBetween(0, w.network.jitterMillis)
 	if from.zone != to.zone {
 		delay += w.network.zoneMillis
 	}
 	return delay
 }
 
-// datagram carries something that may be lost, repeated and reordered.
-func (w *World) datagram(from, to *process, deliver func()) {
+// sendDatagram delivers a message that may be lost, duplicated and reordered.
+func (w *World) sendDatagram(from, to *process, deliver func()) {
 	copies := 1
-	if w.percent(w.network.dupPercent) {
+	if w.randomPercent(w.network.duplicatePercent) {
 		copies = 2
 	}
 	for range copies {
-		if w.cut(from, to) || w.percent(w.network.lossPercent) {
+		if w.blocked(from, to) || w.randomPercent(w.network.lossPercent) {
 			continue
 		}
-		life := to.life
-		w.schedule(w.delay(from, to), func() {
-			if to.alive && to.life == life && !w.cut(from, to) {
-				to.enter(deliver)
+		incarnation := to.incarnation
+		w.schedule(w.messageDelay(from, to), func() {
+			if to.alive && to.incarnation == incarnation && !w.blocked(from, to) {
+				to.runOrDefer(deliver)
 			}
 		})
 	}
--- a/bench/standin/caller.go
+++ b/bench/standin/caller.go
@@ -20,7 +20,7 @@
 	"github.com/dillchute/dillchute/server"
 )
 
-// Caller runs the live callers of one pool as a process.
+// Caller is a process that sends live requests to one pool.
 type Caller struct {
 	Nodes                []string      `required:"" help:"Addresses at which nodes take callers' requests."`
 	Pool                 string        `required:"" help:"Pool to call."`
@@ -39,15 +39,15 @@
 }
 
 const (
-	maxSends = 5
-	// resendWindow is for how long a request that must not repeat is resent.
+	maxAttempts = 5
+	// resendWindow is the time during which a request that must not repeat may be resent.
 	resendWindow = 5 * time.Minute
-	// unknownPause is the pause before asking again about a lost answer.
-	unknownPause = 300 * time.Millisecond
+	// minRetryPause is the minimum pause before a retry.
+	minRetryPause = 300 * time.Millisecond
 )
 
-// Run calls until the duration has passed or the context ends, and waits for
-// the answers.
+// Run sends requests until the duration has passed or the context ends, then waits for the pending
+// answers.
 func (c *Caller) Run(ctx context.Context) error {
 	recorder, err := NewRecorder(c.Record)
 	if err != nil {
@@ -78,21 +78,21 @@
 	return nil
 }
 
-// pause is exponentially distributed around a rate that rises towards each peak.
+// pause returns an exponentially distributed pause. The rate rises towards each peak.
 func (c *Caller) pause(random *rand.Rand, elapsed time.Duration) time.Duration {
 	phase := math.Mod(elapsed.Seconds(), c.PeakEvery.Seconds()) / c.PeakEvery.Seconds()
-	// The cubic rise from 0 to 1 has the mean 1/4.
+	// phase^3 has a mean of 1/4, so this base factor keeps the mean rate at c.Rate.
 	low := (4 - c.PeakFactor) / 3
 	rate := c.Rate * (low + (c.PeakFactor-low)*phase*phase*phase)
 	return time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// request sends a request until it is answered or cannot be any more. One that
-// must not repeat keeps its identity; another gets a new one for each send.
+// request sends a request and retries it until it is answered or cannot be retried. A request that
+// must not repeat keeps its key; any other gets a new key for each attempt.
 func (c *Caller) request(key string, notRepeatable bool, random *rand.Rand) {
 	issued := time.Now()
 	unresolved := false
-	for attempt := uint32(1); attempt <= maxSends; attempt++ {
+	for attempt := uint32(1); attempt <= maxAttempts; attempt++ {
 		sent := oracle.Sent{
 			Key: key, Attempt: attempt, Prompt: "live " + key, MaxTokens: c.MaxTokens, NotRepeatable: notRepeatable,
 		}
@@ -102,12 +102,12 @@
 		c.recorder.Record(oracle.Event{Sent: &sent})
 		ended, retry := c.send(sent, issued, unresolved, random)
 		c.recorder.Record(oracle.Event{Ended: &ended})
-		again := ended.Outcome == protocol.OutcomeNotRun || (notRepeatable && ended.Reason != protocol.ReasonOutcomeLost)
-		if ended.Outcome == protocol.OutcomeAnswered || !again {
+		retryable := ended.Outcome == protocol.OutcomeNotRun || (notRepeatable && ended.Reason != protocol.ReasonOutcomeLost)
+		if ended.Outcome == protocol.OutcomeAnswered || !retryable {
 			return
 		}
 		unresolved = unresolved || ended.Outcome == protocol.OutcomeUnknown
-		time.Sleep(max(retry, unknownPause))
+		time.Sleep(max(retry, minRetryPause))
 	}
 }
 
@@ -116,12 +116,12 @@
 	stream := random.IntN(2) == 0
 	body, err := json.Marshal(completionBody{Model: c.Pool, Prompt: sent.Prompt, MaxTokens: sent.MaxTokens, Stream: stream})
 	if err != nil {
-		panic("standin: a request must encode: " + err.Error())
+		panic("standin: encode request: " + err.Error())
 	}
 	address := c.Nodes[random.IntN(len(c.Nodes))]
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
-		panic("standin: " + err.Error())
+		panic("standin: create request: " + err.Error())
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(server.HeaderRequestID, sent.Key)
@@ -138,7 +138,7 @@
 		return ended, 0
 	}
 	defer response.Body.Close()
-	return parseAnswer(ended, response, stream)
+	return parseResponse(ended, response, stream)
 }
 
 // completionBody is the body of a live request.
@@ -149,8 +149,8 @@
 	Stream    bool   `json:"stream"`
 }
 
-// answerPart is what of an answer's JSON the caller reads.
-type answerPart struct {
+// responsePart is the part of a response that the caller decodes.
+type responsePart struct {
 	Choices []struct {
 		Text         string `json:"text"`
 		FinishReason string `json:"finish_reason"`
@@ -162,11 +162,11 @@
 	} `json:"error"`
 }
 
-func parseAnswer(ended oracle.Ended, response *http.Response, stream bool) (oracle.Ended, time.Duration) {
+func parseResponse(ended oracle.Ended, response *http.Response, stream bool) (oracle.Ended, time.Duration) {
 	var text strings.Builder
 	retry := time.Duration(0)
-	take := func(data []byte) {
-		var part answerPart
+	parsePart := func(data []byte) {
+		var part responsePart
 		if json.Unmarshal(data, &part) != nil {
 			return
 		}
@@ -187,14 +187,14 @@
 	}
 	if stream && response.StatusCode == http.StatusOK {
 		scanner := bufio.NewScanner(response.Body)
-		scanner.Buffer(nil, maxBody)
+		scanner.Buffer(nil, maxBodyBytes)
 		for scanner.Scan() {
 			if data, ok := strings.CutPrefix(scanner.Text(), "data: "); ok && data != "[DONE]" {
-				take([]byte(data))
+				parsePart([]byte(data))
 			}
 		}
 	} else if data, err := io.ReadAll(response.Body); err == nil {
-		take(data)
+		parsePart(data)
 	}
 	ended.Tokens = parseTokens(text.String())
 	return ended, retry
--- a/bench/standin/engine.go
+++ b/bench/standin/engine.go
@@ -19,7 +19,7 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// Engine runs one model engine as a process.
+// Engine is a process that serves one model engine.
 type Engine struct {
 	Name                string        `required:"" help:"Name of the engine."`
 	Address             string        `required:"" help:"IP address and port to listen on."`
@@ -34,12 +34,12 @@
 	Record              string        `help:"File to append the record to."`
 	Tick                time.Duration `default:"10ms" help:"Time between steps of the model."`
 
-	loop     *eventloop.Loop
-	engine   *model.Engine
-	recorder *Recorder
-	start    time.Time
-	boxes    map[string]*eventloop.Mailbox[protocol.EngineMessage]
-	counter  int
+	loop           *eventloop.Loop
+	engine         *model.Engine
+	recorder       *Recorder
+	start          time.Time
+	mailboxes      map[string]*eventloop.Mailbox[protocol.EngineMessage]
+	lastConnection int
 }
 
 // Run listens on the address and serves until the context ends.
@@ -51,34 +51,33 @@
 	return e.Serve(ctx, listener)
 }
 
-// Serve serves until the context ends; then it refuses new streams, lets those
-// that run end, and stops.
+// Serve serves until the context ends, then refuses new streams, waits for running ones, and stops.
 func (e *Engine) Serve(ctx context.Context, listener net.Listener) error {
 	recorder, err := NewRecorder(e.Record)
 	if err != nil {
 		return err
 	}
 	e.recorder, e.loop, e.start = recorder, eventloop.New(), time.Now()
-	e.boxes = map[string]*eventloop.Mailbox[protocol.EngineMessage]{}
+	e.mailboxes = map[string]*eventloop.Mailbox[protocol.EngineMessage]{}
 	e.engine = model.NewEngine(model.Config{
 		Name: e.Name, Incarnation: uint64(e.start.UnixMilli()), Model: e.Model, Slots: e.Slots, StepMillis: e.StepMillis,
 		StepMillisPerStream: e.StepMillisPerStream, ChunkTokens: e.ChunkTokens, SwapMillis: e.SwapMillis,
 	})
-	serving, stop := context.WithCancel(context.Background())
+	serveCtx, stop := context.WithCancel(context.Background())
 	go func() {
 		<-ctx.Done()
-		e.leave()
+		e.drain()
 		stop()
 	}()
 	go func() {
 		// The loop ends with the context and flush never fails.
-		_ = e.loop.Run(serving, e.Tick, func() { e.engine.Tick(e.now()) }, e.flush)
+		_ = e.loop.Run(serveCtx, e.Tick, func() { e.engine.Tick(e.now()) }, e.flush)
 	}()
-	return serveOn(serving, listener, e.routes())
+	return serveListener(serveCtx, listener, e.routes())
 }
 
-// leave marks the engine as leaving and waits for its streams.
-func (e *Engine) leave() {
+// drain marks the engine as leaving and waits for its streams to end.
+func (e *Engine) drain() {
 	e.recorder.Record(oracle.Event{Leaving: &oracle.Leaving{Engine: e.Name, Leaving: true}})
 	for {
 		running, ok := eventloop.Call(e.loop, func() int {
@@ -106,7 +105,7 @@
 		}})
 	}
 	for _, reply := range e.engine.TakeReplies() {
-		if box := e.boxes[reply.To]; box != nil {
+		if box := e.mailboxes[reply.To]; box != nil {
 			box.Put(reply.Message)
 		}
 	}
@@ -134,20 +133,20 @@
 	return router
 }
 
-// exchange hands a message to the model under a connection of its own, and
-// returns the mailbox of replies and what to call when the connection ends.
-func (e *Engine) exchange(message protocol.EngineMessage) (*eventloop.Mailbox[protocol.EngineMessage], func()) {
+// send passes a message to the model over a new connection. It returns the mailbox of replies and a
+// function that closes the connection.
+func (e *Engine) send(message protocol.EngineMessage) (*eventloop.Mailbox[protocol.EngineMessage], func()) {
 	box := eventloop.NewMailbox[protocol.EngineMessage]()
 	var connection string
 	e.loop.Submit(func() {
-		e.counter++
-		connection = strconv.Itoa(e.counter)
-		e.boxes[connection] = box
+		e.lastConnection++
+		connection = strconv.Itoa(e.lastConnection)
+		e.mailboxes[connection] = box
 		e.engine.Receive(e.now(), connection, message)
 	})
 	return box, func() {
 		e.loop.Submit(func() {
-			delete(e.boxes, connection)
+			delete(e.mailboxes, connection)
 			e.engine.Disconnect(connection)
 		})
 	}
@@ -158,7 +157,7 @@
 	if !readJSON(response, request, &start) {
 		return
 	}
-	box, end := e.exchange(protocol.EngineMessage{Start: &start})
+	box, end := e.send(protocol.EngineMessage{Start: &start})
 	defer end()
 	started := false
 	for {
@@ -172,7 +171,7 @@
 				return
 			}
 			if message.Lost != nil {
-				// Ending the body without a last chunk tells that the stream broke.
+				// Aborting the response without a last chunk signals that the stream broke.
 				panic(http.ErrAbortHandler)
 			}
 			if !started {
@@ -191,7 +190,7 @@
 func writeEvent(response http.ResponseWriter, chunk *protocol.EngineChunk) {
 	data, err := json.Marshal(chunk)
 	if err != nil {
-		panic("standin: a chunk must encode: " + err.Error())
+		panic("standin: encode chunk: " + err.Error())
 	}
 	fmt.Fprintf(response, "data: %s\n\n", data)
 }
@@ -201,7 +200,7 @@
 	if !readJSON(response, request, &order) {
 		return
 	}
-	box, end := e.exchange(protocol.EngineMessage{Order: &order})
+	box, end := e.send(protocol.EngineMessage{Order: &order})
 	defer end()
 	if messages, ok := box.Take(request.Context()); ok {
 		writeJSON(response, http.StatusOK, messages[0].OrderResult)
@@ -209,7 +208,7 @@
 }
 
 func (e *Engine) status(response http.ResponseWriter, request *http.Request) {
-	box, end := e.exchange(protocol.EngineMessage{Probe: &protocol.EngineProbe{}})
+	box, end := e.send(protocol.EngineMessage{Probe: &protocol.EngineProbe{}})
 	defer end()
 	if messages, ok := box.Take(request.Context()); ok {
 		writeJSON(response, http.StatusOK, messages[0].Report)
--- a/bench/standin/http.go
+++ b/bench/standin/http.go
@@ -17,15 +17,15 @@
 	if err != nil {
 		return err
 	}
-	return serveOn(ctx, listener, handler)
+	return serveListener(ctx, listener, handler)
 }
 
-func serveOn(ctx context.Context, listener net.Listener, handler http.Handler) error {
+func serveListener(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: shutdownTimeout}
 	stop := context.AfterFunc(ctx, func() {
-		limited, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		if server.Shutdown(limited) != nil {
+		if server.Shutdown(shutdownCtx) != nil {
 			server.Close()
 		}
 	})
@@ -39,15 +39,15 @@
 func writeJSON(response http.ResponseWriter, status int, body any) {
 	response.Header().Set("Content-Type", "application/json")
 	response.WriteHeader(status)
-	// The peer may have gone; there is nobody to tell then.
+	// An error means that the client disconnected.
 	_ = json.NewEncoder(response).Encode(body)
 }
 
-// maxBody bounds what a stand-in reads of a request.
-const maxBody = 16 << 20
+// maxBodyBytes bounds the size of a request body and of a line of a streamed response.
+const maxBodyBytes = 16 << 20
 
 func readJSON(response http.ResponseWriter, request *http.Request, into any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(response, request.Body, maxBody)).Decode(into); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(response, request.Body, maxBodyBytes)).Decode(into); err != nil {
 		http.Error(response, err.Error(), http.StatusBadRequest)
 		return false
 	}
--- a/bench/standin/record.go
+++ b/bench/standin/record.go
@@ -1,5 +1,5 @@
-// Package standin holds the processes that stand in for what surrounds
-// dillchute: engines, the weight store, the platform, trainers, scorers and callers.
+// Package standin implements stand-ins for the processes around dillchute: engines, the weight
+// store, the platform, trainers, scorers and callers.
 package standin
 
 import (
@@ -11,28 +11,27 @@
 	"github.com/dillchute/dillchute/bench/oracle"
 )
 
-// Recorder appends events to a file, one write for each, so that a killed
-// process leaves all but perhaps its last.
+// Recorder appends events to a file with one write each, so that a crash loses at most the last one.
 type Recorder struct {
 	mutex sync.Mutex
 	file  *os.File
 }
 
-const recordMode = 0o600
+const recordFileMode = 0o600
 
-// NewRecorder opens the file for appending; an empty path records nothing.
+// NewRecorder opens the file for appending. With an empty path, events are discarded.
 func NewRecorder(path string) (*Recorder, error) {
 	if path == "" {
 		return &Recorder{}, nil
 	}
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, recordMode)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, recordFileMode)
 	if err != nil {
 		return nil, err
 	}
 	return &Recorder{file: file}, nil
 }
 
-// Record writes the event under the current time.
+// Record writes the event with the current time.
 func (r *Recorder) Record(event oracle.Event) {
 	if r.file == nil {
 		return
@@ -42,9 +41,9 @@
 	event.At = time.Now().UnixMilli()
 	line, err := json.Marshal(event)
 	if err != nil {
-		panic("standin: an event must encode: " + err.Error())
+		panic("standin: encode event: " + err.Error())
 	}
-	// A full disk ends the experiment: its record would not be complete.
+	// An incomplete record would invalidate the experiment.
 	if _, err := r.file.Write(append(line, '\n')); err != nil {
 		panic("standin: write record: " + err.Error())
 	}
--- a/bench/standin/services.go
+++ b/bench/standin/services.go
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 )
 
-// WeightStore serves weights at a limited rate.
+// WeightStore simulates a weight store with a limited rate of loads.
 type WeightStore struct {
 	Address        string  `required:"" help:"IP address and port to listen on."`
 	LoadsPerSecond float64 `default:"20" help:"Weight loads delivered a second, over all engines."`
@@ -29,7 +29,7 @@
 	return serve(ctx, w.Address, router)
 }
 
-// Platform serves the list of engines, as it stands in a file, with a lag.
+// Platform serves the list of engines from a file, delayed by a lag.
 type Platform struct {
 	Address string        `required:"" help:"IP address and port to listen on."`
 	List    string        `required:"" help:"File with the list of engines, as JSON."`
@@ -38,30 +38,30 @@
 
 // Run serves until the context ends.
 func (p *Platform) Run(ctx context.Context) error {
-	var shown, read []byte
+	var served, latest []byte
 	var readAt time.Time
-	loop := make(chan struct{}, 1)
+	lock := make(chan struct{}, 1)
 	router := mux.NewRouter()
 	router.HandleFunc("/v1/engines", func(response http.ResponseWriter, _ *http.Request) {
-		loop <- struct{}{}
-		defer func() { <-loop }()
+		lock <- struct{}{}
+		defer func() { <-lock }()
 		if time.Since(readAt) >= p.Lag {
-			shown = read
+			served = latest
 			if current, err := os.ReadFile(p.List); err == nil {
-				read, readAt = current, time.Now()
+				latest, readAt = current, time.Now()
 			}
 		}
-		if shown == nil {
-			shown = read
+		if served == nil {
+			served = latest
 		}
 		response.Header().Set("Content-Type", "application/json")
-		// The peer may have gone; there is nobody to tell then.
-		_, _ = response.Write(shown)
+		// An error means that the client disconnected.
+		_, _ = response.Write(served)
 	}).Methods(http.MethodGet)
 	return serve(ctx, p.Address, router)
 }
 
-// Scorer gives rewards to results.
+// Scorer computes rewards for results.
 type Scorer struct {
 	Address string        `required:"" help:"IP address and port to listen on."`
 	Delay   time.Duration `default:"20ms" help:"Time to score a result."`
@@ -88,13 +88,13 @@
 		case <-request.Context().Done():
 			return
 		}
-		writeJSON(response, http.StatusOK, scoreReply{Reward: rewardOf(body.Tokens)})
+		writeJSON(response, http.StatusOK, scoreReply{Reward: reward(body.Tokens)})
 	}).Methods(http.MethodPost)
 	return serve(ctx, s.Address, router)
 }
 
-// rewardOf is any fixed function of the tokens, from 0 to 1.
-func rewardOf(tokens []uint32) float64 {
+// reward returns an arbitrary deterministic reward between 0 and 1.
+func reward(tokens []uint32) float64 {
 	sum := uint32(0)
 	for _, token := range tokens {
 		sum += token
--- a/bench/standin/trainer.go
+++ b/bench/standin/trainer.go
@@ -11,8 +11,8 @@
 	"github.com/dillchute/dillchute/client"
 )
 
-// Trainer runs one trainer as a process: it asks for steps of samples, waits
-// for each whole, trains, and publishes new weights.
+// Trainer is a process that submits steps, waits for all samples of each step, simulates training,
+// and publishes new weight versions.
 type Trainer struct {
 	Controls  []string      `required:"" help:"Addresses of the control replicas."`
 	Pool      string        `required:"" help:"Pool to take samples from."`
@@ -28,7 +28,7 @@
 	recorder *Recorder
 	client   *client.Client
 	trainer  *client.Trainer
-	// received counts the samples of each step that have been taken over.
+	// received counts the samples received for each step.
 	received  map[uint64]int
 	submitted uint64
 	done      uint64
@@ -49,16 +49,16 @@
 	t.recorder = recorder
 	t.recorder.Record(oracle.Event{Pool: &oracle.Pool{Name: t.Pool, Model: t.Model, MaxStalenessVersions: t.Staleness}})
 	for step := t.done + 1; step <= t.Steps; step++ {
-		if err := t.step(ctx, step); err != nil {
+		if err := t.trainStep(ctx, step); err != nil {
 			return err
 		}
 	}
-	// One more fetch acknowledges the last samples.
+	// A final fetch acknowledges the last samples.
 	_, err = t.trainer.Fetch(ctx, t.published, 1, 0)
 	return err
 }
 
-// restore takes up what an earlier process of this trainer recorded.
+// restore restores the state that an earlier process of this trainer recorded.
 func (t *Trainer) restore() error {
 	t.client, t.received = client.New(t.Controls), map[uint64]int{}
 	cursor := uint64(0)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (t *Trainer) step(ctx context.Context, step uint64) error {
+func (t *Trainer) trainStep(ctx context.Context, step uint64) error {
 	if t.published < step {
 		if err := t.publish(ctx, step); err != nil {
 			return err
@@ -96,13 +96,13 @@
 			return err
 		}
 	}
-	began := time.Now()
+	waitStart := time.Now()
 	for t.received[step] < t.Samples {
 		if err := t.fetch(ctx); err != nil {
 			return err
 		}
 	}
-	waited := time.Since(began)
+	waited := time.Since(waitStart)
 	select {
 	case <-time.After(t.Train):
 	case <-ctx.Done():
