--- a/bench/model/engine.go
+++ b/bench/model/engine.go
@@ -256,42 +256,42 @@
 	}
 }
 
-func (e *Engine) generate(attempt string, running *stream, steps float64) {
-	running.progress += steps
-	for running.progress >= 1 && running.generated < running.answerLength {
-		running.progress--
-		if running.pendingVersion != e.version {
-			e.sendChunk(attempt, running, false)
-			running.pendingVersion = e.version
+func (e *Engine) generate(attempt string, s *stream, steps float64) {
+	s.progress += steps
+	for s.progress >= 1 && s.generated < s.answerLength {
+		s.progress--
+		if s.pendingVersion != e.version {
+			e.sendChunk(attempt, s, false)
+			s.pendingVersion = e.version
 		}
-		running.pending = append(running.pending, Token(running.start.Prompt, running.generated))
-		running.generated++
-		if len(running.pending) >= e.config.ChunkTokens {
-			e.sendChunk(attempt, running, false)
+		s.pending = append(s.pending, Token(s.start.Prompt, s.generated))
+		s.generated++
+		if len(s.pending) >= e.config.ChunkTokens {
+			e.sendChunk(attempt, s, false)
 		}
 	}
-	if running.generated >= running.answerLength {
-		running.pendingVersion = max(running.pendingVersion, 1)
-		e.sendChunk(attempt, running, true)
+	if s.generated >= s.answerLength {
+		s.pendingVersion = max(s.pendingVersion, 1)
+		e.sendChunk(attempt, s, true)
 		delete(e.streams, attempt)
 	}
 }
 
-func (e *Engine) sendChunk(attempt string, running *stream, done bool) {
-	if len(running.pending) == 0 && !done {
+func (e *Engine) sendChunk(attempt string, s *stream, done bool) {
+	if len(s.pending) == 0 && !done {
 		return
 	}
-	count := uint32(len(running.pending))
+	count := uint32(len(s.pending))
 	e.records = append(e.records, Record{
-		Attempt: attempt, Request: running.start.Request,
-		First: running.generated - count, Count: count, Version: running.pendingVersion,
+		Attempt: attempt, Request: s.start.Request,
+		First: s.generated - count, Count: count, Version: s.pendingVersion,
 	})
-	e.reply(running.to, protocol.EngineMessage{Chunk: &protocol.EngineChunk{
-		Attempt: attempt, Index: running.nextChunk, Epoch: running.start.Epoch,
-		Version: running.pendingVersion, Tokens: running.pending, Done: done,
+	e.reply(s.to, protocol.EngineMessage{Chunk: &protocol.EngineChunk{
+		Attempt: attempt, Index: s.nextChunk, Epoch: s.start.Epoch,
+		Version: s.pendingVersion, Tokens: s.pending, Done: done,
 	}})
-	running.nextChunk++
-	running.pending = nil
+	s.nextChunk++
+	s.pending = nil
 }
 
 func (e *Engine) sortedAttempts() []string {
--- a/bench/oracle/check_test.go
+++ b/bench/oracle/check_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	testPrompt = "prompt"
-	testTokens = 100
+	testPrompt    = "prompt"
+	testMaxTokens = 100
 )
 
 // history holds the events of a run.
@@ -23,27 +23,27 @@
 	return &h.events[len(h.events)-1]
 }
 
-func answer() []uint32 { return model.Answer(testPrompt, testTokens) }
+func testAnswer() []uint32 { return model.Answer(testPrompt, testMaxTokens) }
 
 // validHistory returns a history that keeps every promise. It has a sample generated under two
 // versions, a request that is resent, two changes to one revision, and an engine that leaves.
 func validHistory() *history {
 	h := &history{}
-	count := uint32(len(answer()))
+	count := uint32(len(testAnswer()))
 	h.add(0, Event{Pool: &Pool{Name: "p", Model: "m", MaxStalenessVersions: 1}})
 	h.add(10, Event{Published: &Published{Model: "m", Version: 1}})
-	h.add(20, Event{Submitted: &Submitted{Pool: "p", Step: 1, Prompts: []Prompt{{Index: 0, Prompt: testPrompt, MaxTokens: testTokens}}}})
+	h.add(20, Event{Submitted: &Submitted{Pool: "p", Step: 1, Prompts: []Prompt{{Index: 0, Prompt: testPrompt, MaxTokens: testMaxTokens}}}})
 	h.add(30, Event{Began: &Began{Engine: "e", Attempt: "a", Request: "p/1/0"}})
 	h.add(40, Event{Generated: &Generated{Engine: "e", Request: "p/1/0", Segment: Segment{Version: 1, First: 0, Count: 2}}})
 	h.add(50, Event{Published: &Published{Model: "m", Version: 2}})
 	h.add(60, Event{Generated: &Generated{Engine: "e", Request: "p/1/0", Segment: Segment{Version: 2, First: 2, Count: count - 2}}})
-	h.add(70, Event{Delivered: &Delivered{Pool: "p", Number: 1, Step: 1, FetchedAt: 65, Tokens: answer(),
+	h.add(70, Event{Delivered: &Delivered{Pool: "p", Number: 1, Step: 1, FetchedAt: 65, Tokens: testAnswer(),
 		Segments: []Segment{{Version: 1, First: 0, Count: 2}, {Version: 2, First: 2, Count: count - 2}}}})
-	h.add(80, Event{Sent: &Sent{Key: "k", Attempt: 1, Prompt: testPrompt, MaxTokens: testTokens, NotRepeatable: true}})
+	h.add(80, Event{Sent: &Sent{Key: "k", Attempt: 1, Prompt: testPrompt, MaxTokens: testMaxTokens, NotRepeatable: true}})
 	h.add(90, Event{Ended: &Ended{Key: "k", Attempt: 1, Outcome: protocol.OutcomeNotRun, Reason: protocol.ReasonQueueFull}})
-	h.add(100, Event{Sent: &Sent{Key: "k", Attempt: 2, Prompt: testPrompt, MaxTokens: testTokens, NotRepeatable: true}})
+	h.add(100, Event{Sent: &Sent{Key: "k", Attempt: 2, Prompt: testPrompt, MaxTokens: testMaxTokens, NotRepeatable: true}})
 	h.add(110, Event{Began: &Began{Engine: "e", Attempt: "b", Request: "k"}})
-	h.add(120, Event{Ended: &Ended{Key: "k", Attempt: 2, Outcome: protocol.OutcomeAnswered, Tokens: answer()}})
+	h.add(120, Event{Ended: &Ended{Key: "k", Attempt: 2, Outcome: protocol.OutcomeAnswered, Tokens: testAnswer()}})
 	h.add(130, Event{Applied: &Applied{ChangeID: "c1", Base: 5, Accepted: true, Revision: 6}})
 	h.add(140, Event{Applied: &Applied{ChangeID: "c2", Base: 5, Accepted: false}})
 	h.add(150, Event{Acting: &Acting{Node: "n", Revision: 6}})
@@ -100,19 +100,19 @@
 			h.add(75, Event{Delivered: &second})
 		}, ExactlyOnce},
 		"number reused": {func(h *history) {
-			h.add(21, Event{Submitted: &Submitted{Pool: "p", Step: 2, Prompts: []Prompt{{Prompt: testPrompt, MaxTokens: testTokens}}}})
-			h.add(22, Event{Generated: &Generated{Engine: "e", Request: "p/2/0", Segment: Segment{Version: 1, Count: uint32(len(answer()))}}})
-			h.add(76, Event{Delivered: &Delivered{Pool: "p", Number: 1, Step: 2, FetchedAt: 70, Tokens: answer(),
-				Segments: []Segment{{Version: 1, Count: uint32(len(answer()))}}}})
+			h.add(21, Event{Submitted: &Submitted{Pool: "p", Step: 2, Prompts: []Prompt{{Prompt: testPrompt, MaxTokens: testMaxTokens}}}})
+			h.add(22, Event{Generated: &Generated{Engine: "e", Request: "p/2/0", Segment: Segment{Version: 1, Count: uint32(len(testAnswer()))}}})
+			h.add(76, Event{Delivered: &Delivered{Pool: "p", Number: 1, Step: 2, FetchedAt: 70, Tokens: testAnswer(),
+				Segments: []Segment{{Version: 1, Count: uint32(len(testAnswer()))}}}})
 		}, ExactlyOnce},
 		"never delivered": {func(h *history) {
 			h.find(func(event Event) bool { return event.Delivered != nil }).Delivered = nil
 		}, ExactlyOnce},
 		"never submitted": {func(h *history) {
-			h.add(77, Event{Delivered: &Delivered{Pool: "p", Number: 2, Step: 9, Tokens: answer()}})
+			h.add(77, Event{Delivered: &Delivered{Pool: "p", Number: 2, Step: 9, Tokens: testAnswer()}})
 		}, ExactlyOnce},
-		"incomplete answer":              {func(h *history) { h.ended(2).Tokens = answer()[1:] }, CompleteAnswers},
-		"another request's answer":       {func(h *history) { h.ended(2).Tokens = model.Answer("other", testTokens) }, CompleteAnswers},
+		"incomplete answer":              {func(h *history) { h.ended(2).Tokens = testAnswer()[1:] }, CompleteAnswers},
+		"another request's answer":       {func(h *history) { h.ended(2).Tokens = model.Answer("other", testMaxTokens) }, CompleteAnswers},
 		"answer to a request never sent": {func(h *history) { h.ended(2).Key = "other" }, CompleteAnswers},
 		"not run but began before": {func(h *history) {
 			h.find(func(event Event) bool { return event.Began != nil && event.Began.Request == "k" }).At = 85
--- a/bench/simulate/caller.go
+++ b/bench/simulate/caller.go
@@ -40,7 +40,7 @@
 	c.sequence++
 	c.pending++
 	key := fmt.Sprintf("%s-%d", c.name, c.sequence)
-	c.send(key, 1, c.world.randomPercent(c.notRepeatablePercent), c.wall(), false)
+	c.send(key, 1, c.world.randomPercent(c.notRepeatablePercent), c.wallClock(), false)
 	c.after(c.world.randomBetween(1, 2*c.pauseMillis), c.sendNext)
 }
 
--- a/bench/simulate/client.go
+++ b/bench/simulate/client.go
@@ -24,8 +24,8 @@
 }
 
 // sendReply sends the reply to the client.
-func (r *pendingCall) sendReply(from *controlProcess, reply control.Reply) {
-	from.world.sendDatagram(from.process, r.client.process, func() { r.client.receive(r.attempt, reply) })
+func (c *pendingCall) sendReply(from *controlProcess, reply control.Reply) {
+	from.world.sendDatagram(from.process, c.client.process, func() { c.client.receive(c.attempt, reply) })
 }
 
 // clientProcess is a client of control, such as an operator or a trainer. It makes one call at a
@@ -40,7 +40,7 @@
 }
 
 // sender starts one attempt of a call at a replica.
-type sender func(at *controlProcess, id uint64)
+type sender func(replica *controlProcess, id uint64)
 
 // request makes a call. prepare is called for each attempt; onDone receives the final reply.
 func (c *clientProcess) request(prepare func() sender, onDone func(control.Reply)) {
@@ -96,7 +96,7 @@
 // proposal returns a prepare function that proposes the same command in each attempt.
 func proposal(command state.Command) func() sender {
 	return func() sender {
-		return func(at *controlProcess, id uint64) { at.core.Propose(at.clock(), id, command) }
+		return func(replica *controlProcess, id uint64) { replica.core.Propose(replica.clock(), id, command) }
 	}
 }
 
@@ -213,7 +213,7 @@
 	command := &state.Fetch{
 		Pool: t.pool, Session: t.session, Sequence: t.sequence, Cursor: t.cursor, HeldVersion: t.published, Max: limit,
 	}
-	return func(at *controlProcess, id uint64) { at.core.Fetch(at.clock(), id, command, waitMillis) }
+	return func(replica *controlProcess, id uint64) { replica.core.Fetch(replica.clock(), id, command, waitMillis) }
 }
 
 func (t *trainerProcess) recordDeliveries(sentAt int64, reply control.Reply) {
@@ -270,7 +270,7 @@
 // readRevision reads the newest revision and applies a change based on it.
 func (o *operatorProcess) readRevision() {
 	read := func() sender {
-		return func(at *controlProcess, id uint64) { at.core.Read(at.clock(), id) }
+		return func(replica *controlProcess, id uint64) { replica.core.Read(replica.clock(), id) }
 	}
 	calledAt := o.world.now
 	o.request(read, func(reply control.Reply) {
--- a/bench/simulate/cluster.go
+++ b/bench/simulate/cluster.go
@@ -121,7 +121,7 @@
 	return p
 }
 
-func (cl *cluster) zone(number int) string { return cl.topology.Zones[number%len(cl.topology.Zones)] }
+func (cl *cluster) zone(i int) string { return cl.topology.Zones[i%len(cl.topology.Zones)] }
 
 func (cl *cluster) region(zone string) string {
 	region, _, _ := strings.Cut(zone, "/")
@@ -130,18 +130,18 @@
 
 func (cl *cluster) addControls() {
 	var membership consensus.Membership
-	for number := range cl.topology.Controls {
-		name := fmt.Sprintf("control-%d", number+1)
-		replica := &controlProcess{process: cl.addProcess(cl.world.newProcess(name, cl.zone(number))), cluster: cl}
+	for i := range cl.topology.Controls {
+		name := fmt.Sprintf("control-%d", i+1)
+		replica := &controlProcess{process: cl.addProcess(cl.world.newProcess(name, cl.zone(i))), cluster: cl}
 		cl.controls = append(cl.controls, replica)
 		cl.receiverByAddress[name] = replica.receive
 		cl.lastReplicaID++
 		membership.Members = append(membership.Members, consensus.Member{ID: cl.lastReplicaID, Address: name, Voter: true})
 	}
-	for number, replica := range cl.controls {
+	for i, replica := range cl.controls {
 		initial := consensus.Snapshot{Index: 1, Term: 1, Membership: membership}
 		replica.disk = &disk{
-			replicaID: consensus.ReplicaID(number + 1), snapshot: initial,
+			replicaID: consensus.ReplicaID(i + 1), snapshot: initial,
 			hardState: consensus.HardState{Term: 1, Commit: 1},
 		}
 	}
@@ -149,8 +149,8 @@
 
 func (cl *cluster) addNodes() {
 	for _, zone := range cl.topology.Zones {
-		for number := range cl.topology.NodesPerZone {
-			name := fmt.Sprintf("node-%s-%d", zone, number+1)
+		for i := range cl.topology.NodesPerZone {
+			name := fmt.Sprintf("node-%s-%d", zone, i+1)
 			added := &nodeProcess{process: cl.addProcess(cl.world.newProcess(name, zone)), cluster: cl}
 			cl.nodes = append(cl.nodes, added)
 			cl.receiverByAddress[name] = added.receive
@@ -159,10 +159,10 @@
 }
 
 func (cl *cluster) addEngines(group, modelName string, count int) {
-	for number := range count {
-		name := fmt.Sprintf("%s-%d", group, number+1)
+	for i := range count {
+		name := fmt.Sprintf("%s-%d", group, i+1)
 		added := &engineProcess{
-			process: cl.addProcess(cl.world.newProcess(name, cl.zone(number))), cluster: cl, group: group,
+			process: cl.addProcess(cl.world.newProcess(name, cl.zone(i))), cluster: cl, group: group,
 			config: model.Config{
 				Name: name, Model: modelName, Slots: cl.topology.Slots, StepMillis: 10, StepMillisPerStream: 0.5,
 				ChunkTokens: 8, SwapMillis: 200,
@@ -186,22 +186,22 @@
 		samples: cl.load.Samples, maxTokens: cl.load.MaxTokens, steps: cl.load.Steps, trainMillis: cl.load.TrainMillis,
 		received: map[uint64]uint32{},
 	}
-	for number, pool := range []string{samplePool, livePool} {
+	for i, pool := range []string{samplePool, livePool} {
 		cl.callers = append(cl.callers, &callerProcess{
-			process: cl.addProcess(cl.world.newProcess("caller-"+pool, cl.zone(number))), cluster: cl, pool: pool,
+			process: cl.addProcess(cl.world.newProcess("caller-"+pool, cl.zone(i))), cluster: cl, pool: pool,
 			remaining: cl.load.LiveRequests, pauseMillis: cl.load.LivePause, notRepeatablePercent: cl.load.NotRepeatable,
 		})
 	}
-	for number := range cl.load.Operators {
+	for i := range cl.load.Operators {
 		cl.operators = append(cl.operators, &operatorProcess{
-			clientProcess: cl.newClient(fmt.Sprintf("operator-%d", number+1), number), remaining: cl.load.Changes,
-			maxPauseMillis: cl.load.ChangePause, queueLimitOffset: number * 1000, clientID: number,
+			clientProcess: cl.newClient(fmt.Sprintf("operator-%d", i+1), i), remaining: cl.load.Changes,
+			maxPauseMillis: cl.load.ChangePause, queueLimitOffset: i * 1000, clientID: i,
 		})
 	}
 }
 
-// start starts all servers and engines and declares the pools. The trainer, the callers and the
-// operators start once the pools are declared.
+// start starts the control replicas, nodes and engines and declares the pools. The trainer, the
+// callers and the operators start once the pools are declared.
 func (cl *cluster) start() {
 	for _, pool := range cl.pools {
 		cl.world.record(oracle.Event{Pool: &oracle.Pool{
@@ -287,8 +287,8 @@
 // that holds a lease.
 const inForceLimitMillis = 4000
 
-// scheduleInForceCheck checks, after inForceLimitMillis, that no node with a lease still uses an
-// earlier revision.
+// scheduleInForceCheck schedules a check, after inForceLimitMillis, that no node with a lease still
+// uses an earlier revision. It also measures InForceTime.
 func (cl *cluster) scheduleInForceCheck(revision uint64) {
 	cl.measureInForce(revision)
 	cl.world.schedule(inForceLimitMillis, func() {
@@ -296,7 +296,7 @@
 			if !target.alive || target.frozen {
 				continue
 			}
-			target.core.Tick(target.monotonic())
+			target.core.Tick(target.monotonicClock())
 			if target.core.HasLease() && target.core.Revision() < revision {
 				cl.addViolation(oracle.ConfigurationInForce, "%s uses revision %d; revision %d was accepted %d ms ago",
 					target.name, target.core.Revision(), revision, inForceLimitMillis)
--- a/bench/simulate/control.go
+++ b/bench/simulate/control.go
@@ -60,7 +60,7 @@
 }
 
 func (c *controlProcess) clock() control.Clock {
-	return control.Clock{Monotonic: c.monotonic(), Wall: c.wall()}
+	return control.Clock{Monotonic: c.monotonicClock(), Wall: c.wallClock()}
 }
 
 func (c *controlProcess) start() {
--- a/bench/simulate/engine.go
+++ b/bench/simulate/engine.go
@@ -85,7 +85,7 @@
 		c.engine.nextID++
 		c.id = strconv.Itoa(c.engine.nextID)
 		c.engine.connections[c.id] = c
-		c.engine.engine.Receive(c.engine.monotonic(), c.id, c.message)
+		c.engine.engine.Receive(c.engine.monotonicClock(), c.id, c.message)
 		c.engine.flush()
 	})
 }
@@ -114,7 +114,7 @@
 		return
 	}
 	c.node.after(delay, func() {
-		c.node.core.ReceiveEngine(c.node.monotonic(), c.engine.name, message)
+		c.node.core.ReceiveEngine(c.node.monotonicClock(), c.engine.name, message)
 		c.node.flush()
 	})
 }
@@ -141,7 +141,7 @@
 
 func (e *engineProcess) tick() {
 	e.ticking = false
-	e.engine.Tick(e.monotonic())
+	e.engine.Tick(e.monotonicClock())
 	e.flush()
 }
 
@@ -204,7 +204,7 @@
 		e.world.recordFault("swap-fails", "%s", e.name)
 	}
 	e.after(e.cluster.weightStoreFreeAt-e.world.now, func() {
-		e.engine.WeightsFetched(e.monotonic(), ok)
+		e.engine.WeightsFetched(e.monotonicClock(), ok)
 		e.flush()
 	})
 }
--- a/bench/simulate/node.go
+++ b/bench/simulate/node.go
@@ -33,9 +33,9 @@
 }
 
 func (n *nodeProcess) tick() {
-	n.core.Tick(n.monotonic())
+	n.core.Tick(n.monotonicClock())
 	if n.core.Drained() {
-		n.core.Leave(n.monotonic())
+		n.core.Leave(n.monotonicClock())
 		n.flush()
 		n.markStopped()
 		return
@@ -46,17 +46,17 @@
 
 func (n *nodeProcess) drain() {
 	n.draining = true
-	n.core.Drain(n.monotonic())
+	n.core.Drain(n.monotonicClock())
 	n.flush()
 }
 
 func (n *nodeProcess) receive(message protocol.Message) {
-	n.core.Receive(n.monotonic(), message)
+	n.core.Receive(n.monotonicClock(), message)
 	n.flush()
 }
 
 func (n *nodeProcess) submitLive(live protocol.LiveRequest, onEvent func(node.CallerEvent)) uint64 {
-	id := n.core.Submit(n.monotonic(), live)
+	id := n.core.Submit(n.monotonicClock(), live)
 	n.callers[id] = onEvent
 	n.flush()
 	return id
@@ -71,7 +71,7 @@
 	}
 	for _, score := range n.core.TakeScoreRequests() {
 		n.after(scoreDelayMillis, func() {
-			n.core.ReceiveScore(n.monotonic(), score.Request, 1)
+			n.core.ReceiveScore(n.monotonicClock(), score.Request, 1)
 			n.flush()
 		})
 	}
--- a/bench/simulate/run.go
+++ b/bench/simulate/run.go
@@ -61,13 +61,13 @@
 const NoProgress oracle.Promise = "progress"
 
 func (cl *cluster) describeUnfinished() string {
-	text := fmt.Sprintf("trainer: step %d of %d done, %d received of the next, submitted %d, cursor %d, finished %t;",
+	text := fmt.Sprintf("trainer: %d of %d steps done, %d samples received for the next, %d steps submitted, cursor %d, finished %t;",
 		cl.trainer.done, cl.trainer.steps, cl.trainer.received[cl.trainer.done+1], cl.trainer.submitted, cl.trainer.cursor, cl.trainer.finished)
 	for _, caller := range cl.callers {
-		text += fmt.Sprintf(" %s: %d left, %d open;", caller.name, caller.remaining, caller.pending)
+		text += fmt.Sprintf(" %s: %d remaining, %d pending;", caller.name, caller.remaining, caller.pending)
 	}
 	for _, operator := range cl.operators {
-		text += fmt.Sprintf(" %s: %d left;", operator.name, operator.remaining)
+		text += fmt.Sprintf(" %s: %d remaining;", operator.name, operator.remaining)
 	}
 	if leader := cl.leader(); leader.alive {
 		machine := leader.core.Machine()
@@ -139,8 +139,8 @@
 	}
 	go func() {
 		for _, scenario := range scenarios {
-			for number := range seeds {
-				jobs <- job{scenario: scenario, seed: first + uint64(number)}
+			for i := range seeds {
+				jobs <- job{scenario: scenario, seed: first + uint64(i)}
 			}
 		}
 		close(jobs)
--- a/bench/simulate/world.go
+++ b/bench/simulate/world.go
@@ -62,7 +62,7 @@
 	history  []oracle.Event
 	digest   hash.Hash64
 	trace    []string
-	// keepTrace keeps the whole trace; otherwise only its digest is computed.
+	// keepTrace keeps the whole trace; the digest is computed in any case.
 	keepTrace bool
 	faults    map[string]int
 	// clocksSkipSuspensions makes monotonic clocks stop while their machines are suspended, to
@@ -113,7 +113,7 @@
 
 func (w *World) randomBetween(low, high int64) int64 { return low + w.random.Int64N(high-low+1) }
 
-func (w *World) randomPercent(chance int) bool { return chance > 0 && w.random.IntN(100) < chance }
+func (w *World) randomPercent(percent int) bool { return percent > 0 && w.random.IntN(100) < percent }
 
 // process is a simulated process, which can crash, stall and be partitioned from others.
 type process struct {
@@ -124,11 +124,11 @@
 	alive   bool
 	frozen  bool
 	// incarnation counts the starts of the process; events for an earlier incarnation are dropped.
-	incarnation int
-	startedAt   int64
-	clockRate   float64
-	wallSkew    int64
-	deferred    []func()
+	incarnation    int
+	startedAt      int64
+	clockRate      float64
+	wallSkewMillis int64
+	deferred       []func()
 	// machineSuspended is set while the process is frozen because its machine is suspended.
 	// suspendedMillis is the total time of earlier suspensions in this incarnation.
 	machineSuspended          bool
@@ -145,8 +145,8 @@
 func (w *World) newProcess(name, zone string) *process {
 	return &process{
 		world: w, name: name, zone: zone, address: name,
-		clockRate: 1 + maxClockDrift*(2*w.random.Float64()-1),
-		wallSkew:  w.randomBetween(-maxWallSkewMillis, maxWallSkewMillis),
+		clockRate:      1 + maxClockDrift*(2*w.random.Float64()-1),
+		wallSkewMillis: w.randomBetween(-maxWallSkewMillis, maxWallSkewMillis),
 	}
 }
 
@@ -160,9 +160,9 @@
 	p.alive, p.frozen, p.machineSuspended, p.deferred = false, false, false, nil
 }
 
-// monotonic returns the time since the process started on its drifting monotonic clock. It
+// monotonicClock returns the time since the process started on its drifting monotonic clock. It
 // includes suspensions, as in package clock, unless clocksSkipSuspensions is set.
-func (p *process) monotonic() int64 {
+func (p *process) monotonicClock() int64 {
 	elapsed := p.world.now - p.startedAt
 	if p.world.clocksSkipSuspensions {
 		elapsed -= p.suspendedMillis
@@ -170,7 +170,7 @@
 	return int64(float64(elapsed) * p.clockRate)
 }
 
-func (p *process) wall() int64 { return wallClockStart + p.world.now + p.wallSkew }
+func (p *process) wallClock() int64 { return wallClockStart + p.world.now + p.wallSkewMillis }
 
 // after runs the function after the delay, once the process is not frozen, unless the process has
 // ended or restarted since.
