--- a/bench/command/command.go
+++ b/bench/command/command.go
@@ -1,5 +1,5 @@
-// Package command holds the command line of dillchute-bench: the stand-ins,
-// the fleet runner and the tools that measure.
+// Package command implements the command line of dillchute-bench: the stand-ins,
+// the fleet runner and the measurement tools.
 package command
 
 import (
@@ -79,7 +79,7 @@
 	Limit    time.Duration `default:"5m" help:"Longest time of the run."`
 }
 
-// Run runs the fleet.
+// Run runs the fleet and prints its report.
 func (c *fleetCommand) Run(ctx context.Context, streams command.Streams) error {
 	loaded, err := workload.Load(c.Workload)
 	if err != nil {
@@ -93,19 +93,19 @@
 	}
 	bench, err := os.Executable()
 	if err != nil {
-		return command.ErrFailed.Wrap(err, "find this program")
+		return command.ErrFailed.Wrap(err, "find the path of this program")
 	}
-	if c.Product, err = productBeside(c.Product); err != nil {
+	if c.Product, err = productPath(c.Product); err != nil {
 		return err
 	}
 	if c.Folder == "" {
 		if c.Folder, err = os.MkdirTemp("", "dillchute-fleet-"); err != nil {
-			return command.ErrFailed.Wrap(err, "make a folder")
+			return command.ErrFailed.Wrap(err, "create folder")
 		}
 		defer os.RemoveAll(c.Folder)
 	}
 	report, err := fleet.Run(ctx, fleet.Config{
-		Workload: loaded, Folder: c.Folder, Product: c.Product, Bench: bench, Limit: c.Limit, Faults: faults, Out: streams.Out,
+		Workload: loaded, Folder: c.Folder, Product: c.Product, Bench: bench, Timeout: c.Limit, Faults: faults, Out: streams.Out,
 	})
 	if report != nil {
 		report.Print(streams.Out)
@@ -118,14 +118,14 @@
 	return err
 }
 
-// productBeside returns the path, or that of the product beside this program.
-func productBeside(path string) (string, error) {
+// productPath returns the path, or by default that of dillchute in the folder of this program.
+func productPath(path string) (string, error) {
 	if path != "" {
 		return path, nil
 	}
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
-		return "", command.ErrFailed.Wrap(err, "find this program")
+		return "", command.ErrFailed.Wrap(err, "find the path of this program")
 	}
-	return filepath.Join(filepath.Dir(own), "dillchute"), nil
+	return filepath.Join(filepath.Dir(executable), "dillchute"), nil
 }
--- a/bench/command/experiment.go
+++ b/bench/command/experiment.go
@@ -10,7 +10,7 @@
 	CSV  string `help:"File to write the figures of each run to." type:"path"`
 }
 
-// Run runs the experiment and reports.
+// Run runs the experiment and prints the comparison.
 func (c *experimentCommand) Run(streams command.Streams) error {
 	loaded, err := experiment.Load(c.File)
 	if err != nil {
--- a/bench/command/plays.go
+++ b/bench/command/plays.go
@@ -25,7 +25,7 @@
 	Table string `default:"bench/plays/played.csv" type:"path" help:"The table of plays."`
 }
 
-// Run prints the plays.
+// Run prints the plays and their commits.
 func (c *playsListCommand) Run(streams command.Streams) error {
 	site, err := plays.LoadSite(c.Site)
 	if err != nil {
@@ -36,13 +36,13 @@
 		return err
 	}
 	out := tabwriter.NewWriter(streams.Out, 0, 0, 2, ' ', 0)
-	made, all := 0, plays.Generate(site)
-	for _, play := range all {
+	playedCount, generated := 0, plays.Generate(site)
+	for _, play := range generated {
 		commits := table.Commits(site.Name, play.Name)
-		made += min(len(commits), 1)
+		playedCount += min(len(commits), 1)
 		fmt.Fprintf(out, "%s\tseed %d\t%s\n", play.Name, play.Seed, strings.Join(commits, " "))
 	}
-	fmt.Fprintf(out, "%d of %d plays made\n", made, len(all))
+	fmt.Fprintf(out, "%d of %d plays run\n", playedCount, len(generated))
 	return out.Flush()
 }
 
@@ -52,14 +52,14 @@
 	Name   string `help:"What the names of the plays must hold."`
 }
 
-// Run writes the days.
+// Run writes the day files.
 func (c *playsWriteCommand) Run(streams command.Streams) error {
 	site, err := plays.LoadSite(c.Site)
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(c.Folder, 0o755); err != nil {
-		return command.ErrFailed.Wrap(err, "make the folder")
+		return command.ErrFailed.Wrap(err, "create folder")
 	}
 	written := 0
 	for _, play := range plays.Generate(site) {
@@ -71,7 +71,7 @@
 			return err
 		}
 		if err := os.WriteFile(filepath.Join(c.Folder, site.Name+"-"+play.Name+".toml"), day, 0o644); err != nil {
-			return command.ErrFailed.Wrap(err, "write the day")
+			return command.ErrFailed.Wrap(err, "write day file")
 		}
 		written++
 	}
@@ -84,7 +84,7 @@
 	Logs []string `arg:"" type:"existingfile" help:"What the bench printed of plays with --log all."`
 }
 
-// Run prints what the checks find.
+// Run prints the findings of the checks.
 func (c *playsCheckCommand) Run(streams command.Streams) error {
 	site, err := plays.LoadSite(c.Site)
 	if err != nil {
@@ -102,7 +102,7 @@
 		found += len(findings)
 	}
 	if found > 0 {
-		return command.ErrFailed.New("checks fired %d times", found)
+		return command.ErrFailed.New("%d findings", found)
 	}
 	return nil
 }
@@ -110,14 +110,14 @@
 func checkFile(path string, site *plays.Site) ([]plays.Finding, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, command.ErrFailed.Wrap(err, "open the log")
+		return nil, command.ErrFailed.Wrap(err, "open log")
 	}
 	defer file.Close()
 	log, err := plays.ReadLog(file)
 	if err != nil {
 		return nil, err
 	}
-	return plays.Find(log, site.Bounds()), nil
+	return plays.RunChecks(log, site.Bounds()), nil
 }
 
 type playsRunCommand struct {
@@ -134,16 +134,16 @@
 	Why        string        `required:"" help:"What is looked for, for the journal."`
 }
 
-// Run makes the plays.
+// Run runs the plays.
 func (c *playsRunCommand) Run(ctx context.Context, streams command.Streams) error {
 	driver := &plays.Driver{Program: c.Program, Repository: c.Repository, Sites: c.Sites, TableFile: c.Table,
 		Folder: c.Folder, Jobs: c.Jobs, Why: c.Why, Out: streams.Out}
-	found, err := driver.Play(ctx, plays.Choice{Count: c.Count, Again: c.Again, Name: c.Name, Limit: c.Limit})
+	found, err := driver.Run(ctx, plays.Selection{MaxPlays: c.Count, Replay: c.Again, NamePart: c.Name, TimeLimit: c.Limit})
 	if err != nil {
 		return err
 	}
 	if found > 0 {
-		return command.ErrFailed.New("rules were broken or checks fired in %d plays", found)
+		return command.ErrFailed.New("%d plays broke rules or have findings", found)
 	}
 	return nil
 }
--- a/bench/command/plays_test.go
+++ b/bench/command/plays_test.go
@@ -11,7 +11,7 @@
 	"github.com/dillchute/dillchute/command"
 )
 
-const playedSite = `
+const testSite = `
 name = "site"
 length_s = 34.0
 machines = [
@@ -33,9 +33,9 @@
 
 func runPlays(t *testing.T, arguments ...string) (code int, out, err string) {
 	t.Helper()
-	var printed, errors bytes.Buffer
-	code = Main(append([]string{"plays"}, arguments...), command.Streams{Out: &printed, Err: &errors})
-	return code, printed.String(), errors.String()
+	var stdout, stderr bytes.Buffer
+	code = Main(append([]string{"plays"}, arguments...), command.Streams{Out: &stdout, Err: &stderr})
+	return code, stdout.String(), stderr.String()
 }
 
 func writeFile(t *testing.T, name, text string) string {
@@ -45,21 +45,21 @@
 	return path
 }
 
-func TestPlaysCheckFailsWhereAReplicaStaysOutside(t *testing.T) {
-	site := writeFile(t, "site.toml", playedSite)
+func TestPlaysCheckReportsNonMemberReplica(t *testing.T) {
+	site := writeFile(t, "site.toml", testSite)
 	log := writeFile(t, "play.log", "10.0 core-a-1 {\"event\":1010}\n30.0 core-a-2 {\"event\":5012}\n")
 	code, out, _ := runPlays(t, "check", "--site", site, log)
 	require.Equal(t, 1, code)
 	require.Contains(t, out, "play.log: replica-outside at 16.000 s, core-a-1")
 
-	sound := writeFile(t, "sound.log", "10.0 core-a-1 {\"event\":1010}\n10.1 core-a-1 {\"event\":1012,\"members\":6}\n30.0 core-a-2 {\"event\":5012}\n")
-	code, out, _ = runPlays(t, "check", "--site", site, sound)
+	healthyLog := writeFile(t, "sound.log", "10.0 core-a-1 {\"event\":1010}\n10.1 core-a-1 {\"event\":1012,\"members\":6}\n30.0 core-a-2 {\"event\":5012}\n")
+	code, out, _ = runPlays(t, "check", "--site", site, healthyLog)
 	require.Zero(t, code)
 	require.Empty(t, out)
 }
 
-func TestPlaysWriteAndListNameTheSamePlays(t *testing.T) {
-	site, folder := writeFile(t, "site.toml", playedSite), t.TempDir()
+func TestPlaysWriteAndList(t *testing.T) {
+	site, folder := writeFile(t, "site.toml", testSite), t.TempDir()
 	code, out, _ := runPlays(t, "write", "--site", site, "--folder", folder, "--name", "series-wipe-core-x")
 	require.Zero(t, code)
 	require.Equal(t, "3 days written\n", out)
--- a/bench/command/simulate.go
+++ b/bench/command/simulate.go
@@ -22,11 +22,11 @@
 
 const (
 	maxFailuresShown = 5
-	// traceAround is how much of the trace is shown before a violation.
-	traceAround = 40
+	// traceLinesShown is the number of trace lines printed before a violation.
+	traceLinesShown = 40
 )
 
-// Run runs the scenarios and reports.
+// Run runs the scenarios and prints a summary.
 func (c *simulateCommand) Run(streams command.Streams) error {
 	scenarios, err := c.scenarios()
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	if c.List {
 		for _, scenario := range scenarios {
-			fmt.Fprintf(streams.Out, "%s: attacks %v with %v\n", scenario.Name, scenario.Promises, scenario.Faults)
+			fmt.Fprintf(streams.Out, "%s: tests %v with %v\n", scenario.Name, scenario.Promises, scenario.Faults)
 		}
 		return nil
 	}
@@ -44,14 +44,14 @@
 		}
 		return nil
 	}
-	began := time.Now()
+	startTime := time.Now()
 	summary := simulate.RunAll(scenarios, c.FirstSeed, c.Seeds)
-	printSummary(streams.Out, scenarios, summary, time.Since(began))
+	printSummary(streams.Out, scenarios, summary, time.Since(startTime))
 	if len(summary.Failed) > 0 {
-		return command.ErrFailed.New("%d of %d runs broke a promise", len(summary.Failed), summary.Seeds)
+		return command.ErrFailed.New("%d of %d runs violated a promise", len(summary.Failed), summary.Seeds)
 	}
 	if summary.Delivered == 0 {
-		return command.ErrFailed.New("nothing was delivered: this is no pass")
+		return command.ErrFailed.New("no samples were delivered")
 	}
 	return nil
 }
@@ -68,22 +68,22 @@
 	if len(c.Scenario) == 0 {
 		return all, nil
 	}
-	var chosen []simulate.Scenario
+	var selected []simulate.Scenario
 	for _, name := range c.Scenario {
 		found := false
 		for _, scenario := range all {
 			if scenario.Name == name {
-				chosen, found = append(chosen, scenario), true
+				selected, found = append(selected, scenario), true
 			}
 		}
 		if !found {
-			return nil, command.ErrUsage.New("there is no scenario %q; --list names them", name)
+			return nil, command.ErrUsage.New("unknown scenario %q; --list prints all", name)
 		}
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-func printSummary(out io.Writer, scenarios []simulate.Scenario, summary simulate.Summary, took time.Duration) {
+func printSummary(out io.Writer, scenarios []simulate.Scenario, summary simulate.Summary, elapsed time.Duration) {
 	byName := map[string]simulate.Scenario{}
 	for _, scenario := range scenarios {
 		byName[scenario.Name] = scenario
@@ -95,7 +95,7 @@
 		}
 		printFailure(out, byName[failed.Scenario], failed)
 	}
-	fmt.Fprintf(out, "%d runs of %d scenarios in %s\n", summary.Seeds, len(scenarios), took.Round(time.Millisecond))
+	fmt.Fprintf(out, "%d runs of %d scenarios in %s\n", summary.Seeds, len(scenarios), elapsed.Round(time.Millisecond))
 	kinds := make([]string, 0, len(summary.Faults))
 	for kind := range summary.Faults {
 		kinds = append(kinds, kind)
@@ -107,15 +107,15 @@
 	fmt.Fprintf(out, "  samples submitted %d, delivered %d\n", summary.Submitted, summary.Delivered)
 	fmt.Fprintf(out, "  live answered %d, not run %d, unknown %d\n", summary.Answered, summary.NotRun, summary.Unknown)
 	fmt.Fprintf(out, "  trainer idle share %.3f\n", summary.IdleShare())
-	printTimes(out, "virtual time to the end", summary.EndMillis)
+	printPercentiles(out, "virtual time to the end", summary.EndMillis)
 	for _, timing := range simulate.Timings {
-		printTimes(out, "time "+string(timing), summary.Timings[timing])
+		printPercentiles(out, "time "+string(timing), summary.Timings[timing])
 	}
 	fmt.Fprintf(out, "  failed runs %d, violations %v\n", len(summary.Failed), summary.Violations)
 }
 
-// printTimes prints the spread of times that are in ascending order.
-func printTimes(out io.Writer, name string, times []int64) {
+// printPercentiles prints percentiles of times in ascending order.
+func printPercentiles(out io.Writer, name string, times []int64) {
 	count := len(times)
 	if count == 0 {
 		return
@@ -124,8 +124,7 @@
 		name, times[count/2], times[count*99/100], times[count-1], count)
 }
 
-// printFailure runs the seed again for its trace and prints what came before
-// the first violation.
+// printFailure repeats the run with a trace and prints the lines before the first violation.
 func printFailure(out io.Writer, scenario simulate.Scenario, failed simulate.Result) {
 	fmt.Fprintf(out, "FAILED scenario %s, seed %d\n", failed.Scenario, failed.Seed)
 	first := failed.Violations[0]
@@ -141,7 +140,7 @@
 	if first.At > 0 {
 		end = sort.Search(len(trace), func(i int) bool { return trace[i][:8] > fmt.Sprintf("%8d", first.At) })
 	}
-	for _, line := range trace[max(0, end-traceAround):end] {
+	for _, line := range trace[max(0, end-traceLinesShown):end] {
 		fmt.Fprintln(out, "  | "+line)
 	}
 }
--- a/bench/experiment/experiment.go
+++ b/bench/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment runs variants of a deployment side by side in the
-// simulator, each over the same seeds, and compares the users' two measures.
+// Package experiment runs variants of a deployment in the simulator over the same
+// seeds and compares their idle and wasted shares.
 package experiment
 
 import (
@@ -23,11 +23,11 @@
 
 var (
 	namespace = errorx.NewNamespace("experiment")
-	// ErrInvalid: the file cannot be read or holds something wrong.
+	// ErrInvalid reports an experiment file that cannot be read or is invalid.
 	ErrInvalid = namespace.NewType("invalid")
 )
 
-// Experiment is what to compare.
+// Experiment describes the variants to compare.
 type Experiment struct {
 	Name      string    `yaml:"name"`
 	Seeds     int       `yaml:"seeds"`
@@ -35,13 +35,13 @@
 	Variants  []Variant `yaml:"variants"`
 }
 
-// Variant is one way to run the deployment.
+// Variant is one configuration of the deployment.
 type Variant struct {
 	Name     string            `yaml:"name"`
 	Scenario simulate.Scenario `yaml:"scenario"`
 }
 
-// UnmarshalYAML lays the file's fields over a scenario without faults.
+// UnmarshalYAML applies the file's fields to a default scenario without faults.
 func (v *Variant) UnmarshalYAML(node ast.Node) error {
 	type plain Variant
 	defaults := plain{Scenario: simulate.BaseScenario("variant")}
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Load reads and checks an experiment's file.
+// Load reads and checks an experiment file.
 func Load(path string) (*Experiment, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -76,50 +76,50 @@
 	return loaded, nil
 }
 
-// Outcome holds the results of one variant, one for each seed.
+// Outcome holds the results of one variant, one per seed.
 type Outcome struct {
 	Variant string
 	Results []simulate.Result
 }
 
-// Run runs all variants over the seeds on all cores.
+// Run runs all variants over the seeds in parallel.
 func (e *Experiment) Run() []Outcome {
 	outcomes := make([]Outcome, len(e.Variants))
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var running sync.WaitGroup
+	var group sync.WaitGroup
 	for position, variant := range e.Variants {
 		outcomes[position] = Outcome{Variant: variant.Name, Results: make([]simulate.Result, e.Seeds)}
 		for number := range e.Seeds {
 			slots <- struct{}{}
-			running.Go(func() {
+			group.Go(func() {
 				defer func() { <-slots }()
 				outcomes[position].Results[number] = simulate.Run(variant.Scenario, e.FirstSeed+uint64(number), false)
 			})
 		}
 	}
-	running.Wait()
+	group.Wait()
 	return outcomes
 }
 
-// Print writes a table. Means come with their standard deviation over seeds;
-// the ratio is that of the mean idle share to the first variant's.
+// Print writes a table of means and standard deviations over the seeds. The ratio
+// compares the mean idle share with that of the first variant.
 func (e *Experiment) Print(out io.Writer, outcomes []Outcome) {
 	fmt.Fprintf(out, "%s: %d seeds from %d\n", e.Name, e.Seeds, e.FirstSeed)
 	fmt.Fprintf(out, "%-28s %16s %7s %16s %22s %7s\n", "variant", "idle share", "ratio", "wasted tokens", "stale ms p50/p99/max", "failed")
-	first := 0.0
+	baseline := 0.0
 	for position, outcome := range outcomes {
-		idle, idleSpread := outcome.meanOf(func(r simulate.Result) float64 { return r.Counts.IdleShare() })
-		wasted, wastedSpread := outcome.meanOf(func(r simulate.Result) float64 { return r.Counts.WastedShare() })
+		idle, idleDeviation := outcome.meanAndDeviation(func(r simulate.Result) float64 { return r.Counts.IdleShare() })
+		wasted, wastedDeviation := outcome.meanAndDeviation(func(r simulate.Result) float64 { return r.Counts.WastedShare() })
 		if position == 0 {
-			first = idle
+			baseline = idle
 		}
-		p50, p99, highest := outcome.staleness()
+		p50, p99, maximum := outcome.staleness()
 		fmt.Fprintf(out, "%-28s %7.3f ± %6.3f %7.3f %7.3f ± %6.3f %22s %7d\n", outcome.Variant,
-			idle, idleSpread, idle/first, wasted, wastedSpread, fmt.Sprintf("%d/%d/%d", p50, p99, highest), outcome.failed())
+			idle, idleDeviation, idle/baseline, wasted, wastedDeviation, fmt.Sprintf("%d/%d/%d", p50, p99, maximum), outcome.failedRuns())
 	}
 }
 
-func (o Outcome) meanOf(value func(simulate.Result) float64) (mean, deviation float64) {
+func (o Outcome) meanAndDeviation(value func(simulate.Result) float64) (mean, deviation float64) {
 	for _, result := range o.Results {
 		mean += value(result) / float64(len(o.Results))
 	}
@@ -130,7 +130,7 @@
 	return mean, math.Sqrt(deviation)
 }
 
-func (o Outcome) staleness() (p50, p99, highest int64) {
+func (o Outcome) staleness() (p50, p99, maximum int64) {
 	var times []int64
 	for _, result := range o.Results {
 		times = append(times, result.Counts.StaleMillis...)
@@ -142,8 +142,8 @@
 	return times[len(times)/2], times[len(times)*99/100], times[len(times)-1]
 }
 
-// failed counts the seeds in which a promise was broken or work was left.
-func (o Outcome) failed() int {
+// failedRuns returns the number of runs with violations.
+func (o Outcome) failedRuns() int {
 	count := 0
 	for _, result := range o.Results {
 		if len(result.Violations) > 0 {
@@ -153,7 +153,7 @@
 	return count
 }
 
-// WriteCSV writes the figures of each run.
+// WriteCSV writes the results of each run.
 func WriteCSV(path string, outcomes []Outcome) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/bench/experiment/experiment_test.go
+++ b/bench/experiment/experiment_test.go
@@ -16,9 +16,8 @@
 	return Load(path)
 }
 
-// TestSameFileGivesSameTable: the comparison does not depend on how the runs
-// are spread over cores.
-func TestSameFileGivesSameTable(t *testing.T) {
+// The table must not depend on how the runs are scheduled.
+func TestRunIsDeterministic(t *testing.T) {
 	loaded, err := load(t, `
 name: bounds
 seeds: 3
@@ -32,9 +31,9 @@
 	outcomes := loaded.Run()
 	loaded.Print(&second, outcomes)
 	require.Equal(t, first.String(), second.String())
-	require.Zero(t, outcomes[0].failed())
-	_, _, highest := outcomes[1].staleness()
-	require.Zero(t, highest, "a bound of no version lets nothing stale through")
+	require.Zero(t, outcomes[0].failedRuns())
+	_, _, maximum := outcomes[1].staleness()
+	require.Zero(t, maximum, "a staleness bound of 0 must not admit stale samples")
 	path := filepath.Join(t.TempDir(), "figures.csv")
 	require.NoError(t, WriteCSV(path, outcomes))
 	data, err := os.ReadFile(path)
@@ -42,8 +41,8 @@
 	require.Equal(t, 1+2*3, bytes.Count(data, []byte("\n")))
 }
 
-func TestWrongFilesAreNamed(t *testing.T) {
-	for text, part := range map[string]string{
+func TestLoadRejectsInvalidFiles(t *testing.T) {
+	for text, message := range map[string]string{
 		"name: x\nvariants: []\n":                         "there must be variants",
 		"name: x\nvariants: [{scenario: {}}]\n":           "variants[0].name",
 		"name: x\nvariants: [{name: a, scenaro: {}}]\n":   "scenaro",
@@ -53,6 +52,6 @@
 		_, err := load(t, text)
 		require.Error(t, err)
 		require.True(t, errorx.IsOfType(err, ErrInvalid))
-		require.ErrorContains(t, err, part)
+		require.ErrorContains(t, err, message)
 	}
 }
--- a/bench/fleet/fault.go
+++ b/bench/fleet/fault.go
@@ -15,7 +15,7 @@
 	"github.com/dillchute/dillchute/config"
 )
 
-// Action is what a fault does to a part.
+// Action is the effect of a fault on a part.
 type Action string
 
 // The actions.
@@ -23,31 +23,31 @@
 	// ActionKill kills the process; ActionStart starts it again.
 	ActionKill  Action = "kill"
 	ActionStart Action = "start"
-	// ActionStop asks the process to stop as planned.
+	// ActionStop requests a graceful shutdown.
 	ActionStop Action = "stop"
-	// ActionFreeze and ActionThaw stop and continue the process.
+	// ActionFreeze and ActionThaw suspend and resume the process.
 	ActionFreeze Action = "freeze"
 	ActionThaw   Action = "thaw"
 	// ActionWipe kills the process and removes its data folder.
 	ActionWipe Action = "wipe"
-	// ActionLeaving marks an engine as leaving in the platform's list.
+	// ActionLeaving marks an engine as leaving in the platform's engine list.
 	ActionLeaving Action = "leaving"
 )
 
-// Fault is something done to a part of the fleet.
+// Fault is an action on a part of the fleet at a given time.
 type Fault struct {
-	// After is the time since the load began.
+	// After is the time since the load started.
 	After  time.Duration `yaml:"after"`
 	Action Action        `yaml:"action"`
 	Part   string        `yaml:"part"`
 }
 
-// faultFile is the form of a file of faults.
+// faultFile is the format of a fault file.
 type faultFile struct {
 	Faults []Fault `yaml:"faults"`
 }
 
-// LoadFaults reads and checks a file of faults.
+// LoadFaults reads and checks a fault file and returns the faults ordered by time.
 func LoadFaults(path string) ([]Fault, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -69,16 +69,16 @@
 }
 
 func (f *Fleet) injectFaults(ctx context.Context) {
-	began := time.Now()
+	startTime := time.Now()
 	for _, fault := range f.config.Faults {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(fault.After - time.Since(began)):
+		case <-time.After(fault.After - time.Since(startTime)):
 		}
-		f.say("%s: %s %s", fault.After, fault.Action, fault.Part)
+		f.logf("%s: %s %s", fault.After, fault.Action, fault.Part)
 		if err := f.inject(fault); err != nil {
-			f.say("%s", err)
+			f.logf("%s", err)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 func (f *Fleet) inject(fault Fault) error {
 	target := f.parts[fault.Part]
 	if target == nil {
-		return ErrStart.New("there is no part %q", fault.Part)
+		return ErrStart.New("unknown part %q", fault.Part)
 	}
 	switch fault.Action {
 	case ActionKill:
@@ -96,9 +96,9 @@
 		target.expectRestart()
 		target.terminate()
 	case ActionStart:
-		_, ended, _ := target.current()
-		<-ended
-		if err := f.rejoin(target); err != nil {
+		_, exited, _ := target.current()
+		<-exited
+		if err := f.prepareRejoin(target); err != nil {
 			return err
 		}
 		return target.start()
@@ -116,9 +116,8 @@
 	return nil
 }
 
-// rejoin makes a new folder, under a new identity, for a control replica that
-// has lost its own.
-func (f *Fleet) rejoin(target *part) error {
+// prepareRejoin creates a data folder with a new identity for a control replica whose folder was wiped.
+func (f *Fleet) prepareRejoin(target *part) error {
 	if !slices.Contains(f.controlNames(), target.name) {
 		return nil
 	}
@@ -126,7 +125,7 @@
 		return nil
 	}
 	target.arguments = append(target.arguments, "--join", strings.Join(f.controls, ","))
-	return f.runOnce(f.config.Product, "control", "join", "--config", f.path(target.name+".yaml"))
+	return f.runProgram(f.config.Product, "control", "join", "--config", f.path(target.name+".yaml"))
 }
 
 func (f *Fleet) controlNames() []string {
@@ -143,5 +142,5 @@
 			f.engines[position].Leaving = true
 		}
 	}
-	return f.writeList()
+	return f.writeEngineList()
 }
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet runs a whole deployment on one machine, each part a process of
-// its own, and reports what an oracle makes of the records. It is the only
-// place that starts processes.
+// Package fleet runs a complete deployment on one machine, with one process per
+// part, and reports the oracle's check of the records.
 package fleet
 
 import (
@@ -24,23 +23,23 @@
 
 var (
 	namespace = errorx.NewNamespace("fleet")
-	// ErrStart: a part of the fleet could not be started.
+	// ErrStart reports a part of the fleet that could not be started.
 	ErrStart = namespace.NewType("start")
-	// ErrViolated: a promise was broken, or the run reached too little.
+	// ErrViolated reports violated promises, failed parts or a run that delivered nothing.
 	ErrViolated = namespace.NewType("violated")
 )
 
-// Config says what to run.
+// Config describes a run.
 type Config struct {
 	Workload *workload.Workload
-	// Folder takes the fleet's files; it must not exist.
+	// Folder receives the fleet's files.
 	Folder string
 	// Product and Bench are the paths of the two programs.
 	Product string
 	Bench   string
-	// Limit bounds the run.
-	Limit time.Duration
-	// Faults are what is done to the fleet while it runs.
+	// Timeout bounds the whole run.
+	Timeout time.Duration
+	// Faults are injected while the load runs, in order of time.
 	Faults []Fault
 	Out    io.Writer
 }
@@ -49,11 +48,11 @@
 	loopback   = "127.0.0.1"
 	fileMode   = 0o600
 	folderMode = 0o700
-	// readyLimit bounds how long the fleet may take to be ready.
-	readyLimit = 30 * time.Second
-	readyPoll  = 50 * time.Millisecond
-	// stopLimit bounds how long a part may take to stop when asked to.
-	stopLimit = 15 * time.Second
+	// readyTimeout bounds the time until the fleet is ready.
+	readyTimeout      = 30 * time.Second
+	readyPollInterval = 50 * time.Millisecond
+	// stopTimeout bounds a graceful shutdown.
+	stopTimeout = 15 * time.Second
 )
 
 // Fleet is a running deployment.
@@ -66,7 +65,7 @@
 	engines   []ListedEngine
 }
 
-// ListedEngine is an engine in the platform's list.
+// ListedEngine is an entry of the platform's engine list.
 type ListedEngine struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -78,26 +77,25 @@
 }
 
 // Run starts the fleet, waits until its trainers and callers have ended, stops
-// it, and returns the report. It fails with ErrViolated if the oracle found
-// anything.
+// it, and returns the report, with ErrViolated if the run failed.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	f := &Fleet{config: config, parts: map[string]*part{}, addresses: map[string]string{}}
-	defer f.kill()
-	limited, cancel := context.WithTimeout(ctx, config.Limit)
+	defer f.killAll()
+	runCtx, cancel := context.WithTimeout(ctx, config.Timeout)
 	defer cancel()
-	began := time.Now()
-	if err := f.start(limited); err != nil {
+	startTime := time.Now()
+	if err := f.start(runCtx); err != nil {
 		return nil, err
 	}
-	f.say("ready after %s: %d processes", time.Since(began).Round(time.Millisecond), len(f.parts))
-	working := f.startLoad()
-	faulting := make(chan struct{})
+	f.logf("ready after %s: %d processes", time.Since(startTime).Round(time.Millisecond), len(f.parts))
+	loadParts := f.startLoad()
+	faultsDone := make(chan struct{})
 	go func() {
-		defer close(faulting)
-		f.injectFaults(limited)
+		defer close(faultsDone)
+		f.injectFaults(runCtx)
 	}()
-	failed := f.await(limited, working)
-	<-faulting
+	failed := f.waitAll(runCtx, loadParts)
+	<-faultsDone
 	f.stopAll()
 	report, err := f.report(failed)
 	if err != nil {
@@ -106,7 +104,7 @@
 	return report, report.err()
 }
 
-func (f *Fleet) say(format string, arguments ...any) {
+func (f *Fleet) logf(format string, arguments ...any) {
 	fmt.Fprintf(f.config.Out, "fleet: "+format+"\n", arguments...)
 }
 
@@ -114,7 +112,7 @@
 
 func (f *Fleet) start(ctx context.Context) error {
 	if err := os.MkdirAll(f.path("records"), folderMode); err != nil {
-		return ErrStart.Wrap(err, "make folder")
+		return ErrStart.Wrap(err, "create folder")
 	}
 	if err := f.assignAddresses(); err != nil {
 		return err
@@ -128,15 +126,15 @@
 	return f.configure(ctx)
 }
 
-// assignAddresses picks free ports for all parts at once.
+// assignAddresses keeps all listeners open until the end so that no port is assigned twice.
 func (f *Fleet) assignAddresses() error {
 	var names []string
 	for number := range f.config.Workload.Controls {
 		names = append(names, controlName(number))
 	}
 	names = append(names, "platform", "weight-store", "scorer")
-	f.eachEngine(func(name, _ string, _ workload.Group) { names = append(names, name) })
-	f.eachNode(func(name, _ string) { names = append(names, name, name+"-callers") })
+	f.forEachEngine(func(name, _ string, _ workload.Group) { names = append(names, name) })
+	f.forEachNode(func(name, _ string) { names = append(names, name, name+"-callers") })
 	var listeners []net.Listener
 	defer func() {
 		for _, listener := range listeners {
@@ -146,7 +144,7 @@
 	for _, name := range names {
 		listener, err := net.Listen("tcp", loopback+":0")
 		if err != nil {
-			return ErrStart.Wrap(err, "find a port")
+			return ErrStart.Wrap(err, "find a free port")
 		}
 		listeners = append(listeners, listener)
 		f.addresses[name] = listener.Addr().String()
@@ -159,19 +157,19 @@
 
 func controlName(number int) string { return fmt.Sprintf("control-%d", number+1) }
 
-func (f *Fleet) eachEngine(do func(name, zone string, group workload.Group)) {
+func (f *Fleet) forEachEngine(visit func(name, zone string, group workload.Group)) {
 	for _, group := range f.config.Workload.Groups {
 		for number := range group.Engines {
 			zone := f.config.Workload.Zones[number%len(f.config.Workload.Zones)]
-			do(fmt.Sprintf("%s-%d", group.Name, number+1), zone, group)
+			visit(fmt.Sprintf("%s-%d", group.Name, number+1), zone, group)
 		}
 	}
 }
 
-func (f *Fleet) eachNode(do func(name, zone string)) {
+func (f *Fleet) forEachNode(visit func(name, zone string)) {
 	for _, zone := range f.config.Workload.Zones {
 		for number := range f.config.Workload.NodesPerZone {
-			do(fmt.Sprintf("node-%s-%d", zone, number+1), zone)
+			visit(fmt.Sprintf("node-%s-%d", zone, number+1), zone)
 		}
 	}
 }
@@ -188,7 +186,7 @@
 		if err := f.writeSettings(name, settings); err != nil {
 			return err
 		}
-		if err := f.runOnce(f.config.Product, "control", "init", "--config", f.path(name+".yaml"),
+		if err := f.runProgram(f.config.Product, "control", "init", "--config", f.path(name+".yaml"),
 			"--replica", fmt.Sprint(number+1), "--members", strings.Join(members, ",")); err != nil {
 			return err
 		}
@@ -207,13 +205,13 @@
 }
 
 func (f *Fleet) startServices() error {
-	f.eachEngine(func(name, zone string, group workload.Group) {
+	f.forEachEngine(func(name, zone string, group workload.Group) {
 		f.engines = append(f.engines, ListedEngine{
 			ID: name, Zone: zone, Region: f.config.Workload.Region, Group: group.Name,
 			Address: f.addresses[name], Slots: group.Slots,
 		})
 	})
-	if err := f.writeList(); err != nil {
+	if err := f.writeEngineList(); err != nil {
 		return err
 	}
 	if err := f.startPart("platform", f.config.Bench, "platform", "--address", f.addresses["platform"], "--list", f.path("engines.json")); err != nil {
@@ -226,32 +224,34 @@
 	return f.startPart("scorer", f.config.Bench, "scorer", "--address", f.addresses["scorer"])
 }
 
-// writeList replaces the platform's list at one stroke.
-func (f *Fleet) writeList() error {
+// writeEngineList replaces the platform's engine list atomically.
+func (f *Fleet) writeEngineList() error {
 	data, err := json.Marshal(f.engines)
 	if err != nil {
-		panic("fleet: the list must encode: " + err.Error())
+		panic("fleet: encode engine list: " + err.Error())
 	}
 	temporary := f.path("engines.json.new")
 	if err := os.WriteFile(temporary, data, fileMode); err != nil {
-		return ErrStart.Wrap(err, "write list")
+		return ErrStart.Wrap(err, "write engine list")
 	}
 	if err := os.Rename(temporary, f.path("engines.json")); err != nil {
-		return ErrStart.Wrap(err, "replace list")
+		return ErrStart.Wrap(err, "replace engine list")
 	}
 	return nil
 }
 
-func (f *Fleet) record(name string) string { return f.path(filepath.Join("records", name+".jsonl")) }
+func (f *Fleet) recordPath(name string) string {
+	return f.path(filepath.Join("records", name+".jsonl"))
+}
 
 func (f *Fleet) startEngines() error {
 	var failed error
-	f.eachEngine(func(name, _ string, group workload.Group) {
+	f.forEachEngine(func(name, _ string, group workload.Group) {
 		err := f.startPart(name, f.config.Bench, "engine", "--name", name, "--address", f.addresses[name],
 			"--model", group.Model, "--slots", fmt.Sprint(group.Slots), "--step-millis", fmt.Sprint(group.StepMillis),
 			"--step-millis-per-stream", fmt.Sprint(group.StepMillisPerStream), "--chunk-tokens", fmt.Sprint(group.ChunkTokens),
 			"--swap-millis", fmt.Sprint(group.Swap.Milliseconds()), "--swap-fail-percent", fmt.Sprint(group.SwapFailPercent),
-			"--weight-store", "http://"+f.addresses["weight-store"], "--record", f.record(name))
+			"--weight-store", "http://"+f.addresses["weight-store"], "--record", f.recordPath(name))
 		if err != nil {
 			failed = err
 		}
@@ -261,7 +261,7 @@
 
 func (f *Fleet) startNodes() error {
 	var failed error
-	f.eachNode(func(name, zone string) {
+	f.forEachNode(func(name, zone string) {
 		settings := fmt.Sprintf("id: %s\nzone: %s\nregion: %s\naddress: %s\ncaller_address: %s\ncontrols: [%s]\nscorer_url: http://%s\n",
 			name, zone, f.config.Workload.Region, f.addresses[name], f.addresses[name+"-callers"],
 			strings.Join(f.controls, ", "), f.addresses["scorer"])
@@ -276,31 +276,31 @@
 	return failed
 }
 
-// configure applies the declarations, publishes what no trainer will, and
-// waits until each engine has an owner.
+// configure applies the declarations, publishes the weights of untrained models, and
+// waits until the fleet is ready.
 func (f *Fleet) configure(ctx context.Context) error {
 	controls := strings.Join(f.controls, ",")
-	if err := f.runOnce(f.config.Product, "apply", "--controls", controls, "--timeout", readyLimit.String(),
+	if err := f.runProgram(f.config.Product, "apply", "--controls", controls, "--timeout", readyTimeout.String(),
 		"--author", "fleet", "--commit", "initial", f.config.Workload.Declarations); err != nil {
 		return err
 	}
 	for _, model := range f.config.Workload.UntrainedModels() {
-		if err := f.runOnce(f.config.Product, "weights", "publish", "--controls", controls, model, "1"); err != nil {
+		if err := f.runProgram(f.config.Product, "weights", "publish", "--controls", controls, model, "1"); err != nil {
 			return err
 		}
 	}
-	limited, cancel := context.WithTimeout(ctx, readyLimit)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	watcher := client.New(f.controls)
+	statusClient := client.New(f.controls)
 	for {
-		status, err := watcher.GetStatus(limited)
+		status, err := statusClient.GetStatus(readyCtx)
 		if err != nil {
 			return ErrStart.Wrap(err, "the fleet is not ready")
 		}
 		if f.ready(status) {
 			return nil
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 }
 
@@ -314,55 +314,55 @@
 	return len(status.Engines) == len(f.engines) && len(status.Nodes) == nodes && len(status.NodesBehind) == 0
 }
 
-// startLoad starts trainers and callers and returns their names.
+// startLoad starts the trainers and callers and returns their names.
 func (f *Fleet) startLoad() []string {
-	var working []string
+	var names []string
 	for _, trainer := range f.config.Workload.Trainers {
 		name := "trainer-" + trainer.Pool
 		staleness := uint64(0)
 		if pool := f.config.Workload.Pool(trainer.Pool); pool != nil {
 			staleness = pool.MaxStalenessVersions
 		}
-		working = append(working, name)
-		f.mustStart(name, "trainer", "--controls", strings.Join(f.controls, ","), "--pool", trainer.Pool,
+		names = append(names, name)
+		f.startOrLog(name, "trainer", "--controls", strings.Join(f.controls, ","), "--pool", trainer.Pool,
 			"--model", trainer.Model, "--samples", fmt.Sprint(trainer.Samples), "--max-tokens", fmt.Sprint(trainer.MaxTokens),
 			"--steps", fmt.Sprint(trainer.Steps), "--ahead", fmt.Sprint(trainer.Ahead), "--train", trainer.Train.String(),
-			"--staleness", fmt.Sprint(staleness), "--record", f.record(name))
+			"--staleness", fmt.Sprint(staleness), "--record", f.recordPath(name))
 	}
 	var nodes []string
-	f.eachNode(func(name, _ string) { nodes = append(nodes, f.addresses[name+"-callers"]) })
+	f.forEachNode(func(name, _ string) { nodes = append(nodes, f.addresses[name+"-callers"]) })
 	for position, caller := range f.config.Workload.Callers {
 		name := "callers-" + caller.Pool
-		working = append(working, name)
-		f.mustStart(name, "caller", "--nodes", strings.Join(nodes, ","), "--pool", caller.Pool, "--rate", fmt.Sprint(caller.Rate),
+		names = append(names, name)
+		f.startOrLog(name, "caller", "--nodes", strings.Join(nodes, ","), "--pool", caller.Pool, "--rate", fmt.Sprint(caller.Rate),
 			"--peak-factor", fmt.Sprint(caller.PeakFactor), "--peak-every", caller.PeakEvery.String(),
 			"--duration", caller.Duration.String(), "--max-tokens", fmt.Sprint(caller.MaxTokens),
 			"--timeout", caller.Timeout.String(), "--not-repeatable-percent", fmt.Sprint(caller.NotRepeatablePercent),
-			"--seed", fmt.Sprint(position+1), "--record", f.record(name))
+			"--seed", fmt.Sprint(position+1), "--record", f.recordPath(name))
 	}
-	return working
+	return names
 }
 
-func (f *Fleet) mustStart(name string, arguments ...string) {
+func (f *Fleet) startOrLog(name string, arguments ...string) {
 	if err := f.startPart(name, f.config.Bench, arguments...); err != nil {
-		f.say("%s: %s", name, err)
+		f.logf("%s: %s", name, err)
 	}
 }
 
-// await waits until the parts have ended and returns those that failed.
-func (f *Fleet) await(ctx context.Context, names []string) []string {
+// waitAll waits until the parts have ended and returns the names of those that failed.
+func (f *Fleet) waitAll(ctx context.Context, names []string) []string {
 	var failed []string
 	for _, name := range names {
 		if err := f.parts[name].wait(ctx); err != nil {
-			f.say("%s: %s", name, err)
+			f.logf("%s: %s", name, err)
 			failed = append(failed, name)
 		}
 	}
 	return failed
 }
 
-// stopAll stops the parts as an operator would: nodes first, so that they can
-// still end their work, then what they depend on.
+// stopAll shuts the parts down gracefully: nodes first, so that they can finish
+// their work, then the parts that they depend on.
 func (f *Fleet) stopAll() {
 	for _, prefix := range []string{"node-", "control-", ""} {
 		var stopping []*part
@@ -372,17 +372,17 @@
 				stopping = append(stopping, f.parts[name])
 			}
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), stopLimit)
-		for _, stopping := range stopping {
-			if err := stopping.wait(ctx); err != nil {
-				f.say("%s stopped badly: %s", stopping.name, err)
+		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+		for _, stoppingPart := range stopping {
+			if err := stoppingPart.wait(ctx); err != nil {
+				f.logf("%s: shutdown failed: %s", stoppingPart.name, err)
 			}
 		}
 		cancel()
 	}
 }
 
-func (f *Fleet) kill() {
+func (f *Fleet) killAll() {
 	names := append([]string(nil), f.order...)
 	sort.Strings(names)
 	for _, name := range names {
--- a/bench/fleet/part.go
+++ b/bench/fleet/part.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// part is one process of the fleet. It may be started again after it has ended.
+// part is a process of the fleet. It can be restarted.
 type part struct {
 	name      string
 	program   string
@@ -18,18 +18,18 @@
 
 	mutex   sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{}
 	err     error
-	// restarting is set while a fault keeps the part down on purpose.
+	// restarting is set while a fault keeps the part down.
 	restarting bool
 }
 
-// startPart starts a process and keeps it by its name.
+// startPart starts a process and registers it under its name.
 func (f *Fleet) startPart(name, program string, arguments ...string) error {
-	started := &part{name: name, program: program, arguments: arguments, logPath: f.path(name + ".log")}
-	f.parts[name] = started
+	process := &part{name: name, program: program, arguments: arguments, logPath: f.path(name + ".log")}
+	f.parts[name] = process
 	f.order = append(f.order, name)
-	return started.start()
+	return process.start()
 }
 
 func (p *part) start() error {
@@ -42,19 +42,19 @@
 	defer log.Close()
 	command := exec.Command(p.program, p.arguments...)
 	command.Stdout, command.Stderr = log, log
-	// A fleet that is killed itself takes its processes along.
+	// The kernel kills the process if the fleet runner dies.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return ErrStart.Wrap(err, "start %s", p.name)
 	}
-	ended := make(chan struct{})
-	p.command, p.ended, p.restarting = command, ended, false
+	exited := make(chan struct{})
+	p.command, p.exited, p.restarting = command, exited, false
 	go func() {
 		err := command.Wait()
 		p.mutex.Lock()
 		p.err = err
 		p.mutex.Unlock()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
@@ -62,16 +62,16 @@
 func (p *part) current() (*exec.Cmd, chan struct{}, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.command, p.ended, p.restarting
+	return p.command, p.exited, p.restarting
 }
 
 func (p *part) running() bool {
-	_, ended, _ := p.current()
-	if ended == nil {
+	_, exited, _ := p.current()
+	if exited == nil {
 		return false
 	}
 	select {
-	case <-ended:
+	case <-exited:
 		return false
 	default:
 		return true
@@ -80,7 +80,7 @@
 
 func (p *part) signal(signal os.Signal) {
 	if command, _, _ := p.current(); command != nil && p.running() {
-		// The process may end in between; then there is nothing to signal.
+		// The process may exit in between, which makes the error irrelevant.
 		_ = command.Process.Signal(signal)
 	}
 }
@@ -89,31 +89,31 @@
 
 func (p *part) kill() {
 	p.signal(syscall.SIGKILL)
-	if _, ended, _ := p.current(); ended != nil {
-		<-ended
+	if _, exited, _ := p.current(); exited != nil {
+		<-exited
 	}
 }
 
-// expectRestart makes wait go on over the end of the process.
+// expectRestart makes wait ignore exits until the process is started again.
 func (p *part) expectRestart() {
 	p.mutex.Lock()
 	p.restarting = true
 	p.mutex.Unlock()
 }
 
-// wait waits until the process has ended for good.
+// wait waits until the process has exited and no restart is expected.
 func (p *part) wait(ctx context.Context) error {
 	for {
-		_, ended, _ := p.current()
+		_, exited, _ := p.current()
 		select {
-		case <-ended:
+		case <-exited:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		p.mutex.Lock()
-		restarting, err, again := p.restarting, p.err, p.ended != ended
+		restarting, err, restarted := p.restarting, p.err, p.exited != exited
 		p.mutex.Unlock()
-		if !restarting && !again {
+		if !restarting && !restarted {
 			return err
 		}
 		select {
@@ -124,8 +124,8 @@
 	}
 }
 
-// runOnce runs a program to its end.
-func (f *Fleet) runOnce(program string, arguments ...string) error {
+// runProgram runs a program until it exits.
+func (f *Fleet) runProgram(program string, arguments ...string) error {
 	var output bytes.Buffer
 	command := exec.Command(program, arguments...)
 	command.Stdout, command.Stderr = &output, &output
--- a/bench/fleet/report.go
+++ b/bench/fleet/report.go
@@ -12,11 +12,11 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// leavingGraceMillis is the time after which a leaving engine must get no new
-// work: the platform's lag, control's poll and a heartbeat, each twice.
+// leavingGraceMillis is the time after which a leaving engine must receive no new
+// work: twice the sum of the platform's lag, control's poll interval and the heartbeat interval.
 const leavingGraceMillis = 8000
 
-// Report is what the oracle makes of a run.
+// Report summarizes a run and the violations that the oracle found.
 type Report struct {
 	Workload         string         `json:"workload"`
 	FailedParts      []string       `json:"failed_parts"`
@@ -48,15 +48,15 @@
 	}
 	var events []oracle.Event
 	for _, path := range paths {
-		read, err := readRecord(path)
+		recorded, err := readRecord(path)
 		if err != nil {
 			return nil, ErrStart.Wrap(err, "read %s", path)
 		}
-		events = append(events, read...)
+		events = append(events, recorded...)
 	}
 	violations, counts := oracle.Check(events, oracle.Expect{AllDelivered: true, LeavingGraceMillis: leavingGraceMillis})
 	report := newReport(f.config.Workload.Name, failed, violations, counts)
-	report.addLatencies(events)
+	report.setLatencies(events)
 	return report, nil
 }
 
@@ -69,7 +69,7 @@
 	return oracle.Read(file)
 }
 
-// maxExamples bounds the violations that are spelled out.
+// maxExamples bounds the violations that are reported in detail.
 const maxExamples = 10
 
 func newReport(name string, failed []string, violations []oracle.Violation, counts oracle.Counts) *Report {
@@ -91,7 +91,7 @@
 }
 
 // quantiles returns the median, the 99th percentile and the maximum.
-func quantiles[T uint64 | int64](values []T) (p50, p99, highest T) {
+func quantiles[T uint64 | int64](values []T) (p50, p99, maximum T) {
 	if len(values) == 0 {
 		return 0, 0, 0
 	}
@@ -100,7 +100,7 @@
 	return values[last/2], values[last*99/100], values[last]
 }
 
-func (r *Report) addLatencies(events []oracle.Event) {
+func (r *Report) setLatencies(events []oracle.Event) {
 	sent := map[string]int64{}
 	for _, event := range events {
 		if event.Sent != nil {
@@ -116,26 +116,25 @@
 	r.LiveP50Millis, r.LiveP99Millis, _ = quantiles(latencies)
 }
 
-// addWaste compares the tokens that engines generated with those that reached
-// a trainer or a caller.
+// err returns ErrViolated if the run failed.
 func (r *Report) err() error {
 	if len(r.Violations) > 0 || len(r.FailedParts) > 0 {
 		return ErrViolated.New("violations: %v; failed parts: %v", r.Violations, r.FailedParts)
 	}
 	if r.SamplesDelivered == 0 {
-		return ErrViolated.New("nothing was delivered")
+		return ErrViolated.New("no samples were delivered")
 	}
 	return nil
 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (r *Report) Print(out io.Writer) {
 	fmt.Fprintf(out, "workload %s\n", r.Workload)
-	fmt.Fprintf(out, "  steps delivered whole      %d\n", r.StepsWhole)
+	fmt.Fprintf(out, "  complete steps delivered   %d\n", r.StepsWhole)
 	fmt.Fprintf(out, "  samples submitted          %d, delivered %d, lost %d\n", r.SamplesSubmitted, r.SamplesDelivered, r.Lost)
-	fmt.Fprintf(out, "  samples doubled or reordered %d, mislabelled %d, over the bound %d\n",
+	fmt.Fprintf(out, "  samples duplicated or reordered %d, mislabelled %d, over the bound %d\n",
 		r.Violations[string(oracle.ExactlyOnce)], r.Violations[string(oracle.ExactVersions)], r.Violations[string(oracle.StalenessBound)])
-	fmt.Fprintf(out, "  live answers whole         %d, not run %d, unknown %d, broken %d\n",
+	fmt.Fprintf(out, "  complete live answers      %d, not run %d, unknown %d, broken %d\n",
 		r.Answered, r.NotRun, r.Unknown, r.Violations[string(oracle.WholeAnswers)])
 	fmt.Fprintf(out, "  live latency               p50 %d ms, p99 %d ms\n", r.LiveP50Millis, r.LiveP99Millis)
 	fmt.Fprintf(out, "  trainer idle share         %.3f\n", r.IdleShare)
@@ -152,7 +151,7 @@
 func (r *Report) Write(path string) error {
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
-		panic("fleet: a report must encode: " + err.Error())
+		panic("fleet: encode report: " + err.Error())
 	}
 	return os.WriteFile(path, append(data, '\n'), fileMode)
 }
--- a/bench/plays/check_gateway.go
+++ b/bench/plays/check_gateway.go
@@ -6,22 +6,21 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-// findLateConfigurations looks at each acknowledged version and each run of a
-// gateway for a time at which the gateway was in touch, the bound was over, and
-// the version was not in force there. It reports one gateway of each version.
+// findLateConfigurations reports each acknowledged version that a connected gateway had not applied
+// within the bound. It reports one gateway per version.
 func findLateConfigurations(log *Log, bounds Bounds) []Finding {
 	var found []Finding
-	gateways := log.lives(gatewayClass, event.GatewayStarted)
+	gateways := log.incarnations(gatewayClass, event.GatewayStarted)
 	for _, line := range log.Lines {
 		if line.Event != event.ConfigurationSubmitted.Number || line.has("error") || line.number("offered") != line.number("held") {
 			continue
 		}
 		version := line.number("held")
-		late := 0
-		var first *life
+		lacking := 0
+		var first *incarnation
 		for _, gateway := range gateways {
-			if gateway.late(log, bounds, version, line.At) {
-				late++
+			if gateway.lacksVersion(log, bounds, version, line.At) {
+				lacking++
 				if first == nil {
 					first = gateway
 				}
@@ -29,29 +28,29 @@
 		}
 		if first != nil {
 			found = append(found, Finding{At: line.At + bounds.ConfigApply, Machine: first.machine, Detail: fmt.Sprintf(
-				"version %.0f, acknowledged at %.3f s by %s, is not in force %.1f s later at %d gateways in touch",
-				version, line.At, line.Machine, bounds.ConfigApply, late)})
+				"version %.0f, acknowledged at %.3f s by %s, is not applied %.1f s later by %d connected gateways",
+				version, line.At, line.Machine, bounds.ConfigApply, lacking)})
 		}
 	}
 	return found
 }
 
-// late tells whether the gateway was in touch without the version after its bound.
-func (l *life) late(log *Log, bounds Bounds, version, acknowledged float64) bool {
-	without := Span{max(acknowledged+bounds.ConfigApply, l.From+bounds.Contact), l.stopAt}
+// lacksVersion reports whether the gateway was connected without the version after the bound.
+func (l *incarnation) lacksVersion(log *Log, bounds Bounds, version, acknowledged float64) bool {
+	lacking := Span{max(acknowledged+bounds.ConfigApply, l.From+bounds.Contact), l.shutdownAt}
 	for _, line := range l.lines {
 		if line.Event == event.ConfigurationApplied.Number && line.number("version") >= version {
-			without.To = min(without.To, line.At)
+			lacking.To = min(lacking.To, line.At)
 			break
 		}
 	}
-	without.To = min(without.To, bounds.Length)
-	return without.longest(log.excused(l.machine, bounds.Contact)) > slack
+	lacking.To = min(lacking.To, bounds.Length)
+	return lacking.longestUncovered(log.exemptSpans(l.machine, bounds.Contact)) > tolerance
 }
 
-func findEarlierConfigurations(log *Log, _ Bounds) []Finding {
+func findConfigurationRollbacks(log *Log, _ Bounds) []Finding {
 	var found []Finding
-	for _, gateway := range log.lives(gatewayClass, event.GatewayStarted) {
+	for _, gateway := range log.incarnations(gatewayClass, event.GatewayStarted) {
 		newest := 0.0
 		for _, line := range gateway.lines {
 			if line.Event != event.ConfigurationApplied.Number {
@@ -66,80 +65,79 @@
 	return found
 }
 
-// findLateStops looks for stops that have no end within the grace, and for those
-// that end with requests in flight though the grace was not over.
-func findLateStops(log *Log, bounds Bounds) []Finding {
-	// exitMargin is what a gateway keeps of its grace for its own end.
+// findLateShutdowns finds shutdowns that do not end within the grace period and shutdowns that cut
+// requests before the grace period is over.
+func findLateShutdowns(log *Log, bounds Bounds) []Finding {
+	// exitMargin is the part of its grace period that a gateway reserves for its exit.
 	const exitMargin = 0.7
 	var found []Finding
-	for _, gateway := range log.lives(gatewayClass, event.GatewayStarted) {
-		end := gateway.stopAt + bounds.Grace
-		if !gateway.stopped || end > log.end() || log.struckBesidesStop(gateway.machine, Span{gateway.stopAt, end}) {
+	for _, gateway := range log.incarnations(gatewayClass, event.GatewayStarted) {
+		end := gateway.shutdownAt + bounds.Grace
+		if !gateway.shutdownRequested || end > log.end() || log.disruptedBesidesShutdown(gateway.machine, Span{gateway.shutdownAt, end}) {
 			continue
 		}
 		position := gateway.index(event.GatewayStopped)
 		switch {
 		case position < 0:
-			found = append(found, Finding{At: end, Machine: gateway.machine, Detail: fmt.Sprintf("the stop of %.3f s has no end", gateway.stopAt)})
-		case gateway.lines[position].At > end+slack:
+			found = append(found, Finding{At: end, Machine: gateway.machine, Detail: fmt.Sprintf("the shutdown that began at %.3f s did not end", gateway.shutdownAt)})
+		case gateway.lines[position].At > end+tolerance:
 			found = append(found, Finding{At: end, Machine: gateway.machine,
-				Detail: fmt.Sprintf("the stop of %.3f s ended at %.3f s", gateway.stopAt, gateway.lines[position].At)})
-		case gateway.lines[position].number("in_flight") > 0 && gateway.lines[position].At < end-exitMargin-slack:
+				Detail: fmt.Sprintf("the shutdown that began at %.3f s ended at %.3f s", gateway.shutdownAt, gateway.lines[position].At)})
+		case gateway.lines[position].number("in_flight") > 0 && gateway.lines[position].At < end-exitMargin-tolerance:
 			found = append(found, Finding{At: gateway.lines[position].At, Machine: gateway.machine,
-				Detail: fmt.Sprintf("the stop of %.3f s cut %.0f requests before its grace was over", gateway.stopAt, gateway.lines[position].number("in_flight"))})
+				Detail: fmt.Sprintf("the shutdown that began at %.3f s cut %.0f requests before the end of its grace period", gateway.shutdownAt, gateway.lines[position].number("in_flight"))})
 		}
 	}
 	return found
 }
 
-// struckBesidesStop tells whether something else than planned stops struck the
-// machine in the span.
-func (l *Log) struckBesidesStop(machine string, span Span) bool {
+// disruptedBesidesShutdown reports whether anything but graceful shutdowns affected the machine in the span.
+func (l *Log) disruptedBesidesShutdown(machine string, span Span) bool {
 	for position := range l.Disruptions {
-		one := &l.Disruptions[position]
-		if one.Kind != "roll_term" && one.strikes(machine) && one.From < span.To && one.To > span.From {
+		disruption := &l.Disruptions[position]
+		if disruption.Kind != "roll_term" && disruption.affects(machine) && disruption.From < span.To && disruption.To > span.From {
 			return true
 		}
 	}
 	return false
 }
 
-// findRequestsAfterStop looks for requests that ended after the gateway said that
-// it has stopped, and that were not among those in flight then.
-func findRequestsAfterStop(log *Log, _ Bounds) []Finding {
+// findRequestsAfterShutdown finds requests that ended after the gateway reported the end of its
+// shutdown and were not in flight at that time.
+func findRequestsAfterShutdown(log *Log, _ Bounds) []Finding {
 	var found []Finding
-	for _, gateway := range log.lives(gatewayClass, event.GatewayStarted) {
+	for _, gateway := range log.incarnations(gatewayClass, event.GatewayStarted) {
 		position := gateway.index(event.GatewayStopped)
 		if position < 0 {
 			continue
 		}
-		left := gateway.lines[position].number("in_flight")
+		inFlight := gateway.lines[position].number("in_flight")
 		for _, line := range gateway.lines[position:] {
 			if line.Event != event.RequestEnded.Number {
 				continue
 			}
-			if left--; left < 0 {
+			if inFlight--; inFlight < 0 {
 				found = append(found, Finding{At: line.At, Machine: line.Machine,
-					Detail: fmt.Sprintf("request %s ended after the stop's end at %.3f s", line.text("request"), gateway.lines[position].At)})
+					Detail: fmt.Sprintf("request %s ended after the shutdown had ended at %.3f s", line.text("request"), gateway.lines[position].At)})
 			}
 		}
 	}
 	return found
 }
 
-// findGatewaysAlone looks for gateways in touch that cannot reach the directory
-// for longer than what brings a machine back into touch.
-func findGatewaysAlone(log *Log, bounds Bounds) []Finding {
+// findIsolatedGateways finds connected gateways that cannot reach the directory for longer than the
+// contact bound.
+func findIsolatedGateways(log *Log, bounds Bounds) []Finding {
 	var found []Finding
-	for _, gateway := range log.lives(gatewayClass, event.GatewayStarted) {
+	for _, gateway := range log.incarnations(gatewayClass, event.GatewayStarted) {
 		since := -1.0
 		report := func(until float64) {
 			if since < 0 {
 				return
 			}
-			alone := Span{since, min(until, bounds.Length)}
-			if alone.longest(log.excused(gateway.machine, bounds.Contact)) > bounds.Contact {
-				found = append(found, Finding{At: since, Machine: gateway.machine, Detail: fmt.Sprintf("without the directory until %.3f s", alone.To)})
+			isolated := Span{since, min(until, bounds.Length)}
+			if isolated.longestUncovered(log.exemptSpans(gateway.machine, bounds.Contact)) > bounds.Contact {
+				found = append(found, Finding{At: since, Machine: gateway.machine, Detail: fmt.Sprintf("could not reach the directory until %.3f s", isolated.To)})
 			}
 			since = -1
 		}
@@ -151,21 +149,21 @@
 				report(line.At)
 			}
 		}
-		report(gateway.stopAt)
+		report(gateway.shutdownAt)
 	}
 	return found
 }
 
-// findLongWaits looks for requests that took longer than the longest time that
-// any kind of request has. The bench allows half a second more.
-func findLongWaits(log *Log, bounds Bounds) []Finding {
-	const answerTime = 0.5
+// findOverdueRequests finds requests that took longer than the longest deadline of any class, plus a
+// margin for the response.
+func findOverdueRequests(log *Log, bounds Bounds) []Finding {
+	const responseMargin = 0.5
 	var found []Finding
 	for _, line := range log.Lines {
-		took := line.number("ms") / 1000
-		if line.Event == event.RequestEnded.Number && took > bounds.LongestWait+answerTime {
+		latency := line.number("ms") / 1000
+		if line.Event == event.RequestEnded.Number && latency > bounds.LongestWait+responseMargin {
 			found = append(found, Finding{At: line.At, Machine: line.Machine,
-				Detail: fmt.Sprintf("request %s took %.3f s, and no kind has more than %.1f s", line.text("request"), took, bounds.LongestWait)})
+				Detail: fmt.Sprintf("request %s took %.3f s, longer than any deadline (%.1f s)", line.text("request"), latency, bounds.LongestWait)})
 		}
 	}
 	return found
--- a/bench/plays/drive.go
+++ b/bench/plays/drive.go
@@ -17,21 +17,19 @@
 	"time"
 )
 
-// Driver makes plays on the users' bench and keeps the table.
+// Driver runs plays on the users' bench and records the results in the table.
 type Driver struct {
 	// Program is the users' bench.
 	Program string
-	// Repository is the checkout that is played. Nothing may change in it meanwhile.
+	// Repository is the checkout under test. It must not change while plays run.
 	Repository string
-	// Sites are the paths of the site files.
-	Sites []string
-	// TableFile is the table's file.
-	TableFile string
-	// Folder takes the days and logs of the plays that found something.
+	Sites      []string
+	TableFile  string
+	// Folder receives the day files and logs of plays with findings.
 	Folder string
-	// Jobs is the number of plays at the same time.
+	// Jobs is the number of plays to run concurrently.
 	Jobs int
-	// Why goes into the bench's journal.
+	// Why is written to the bench's journal.
 	Why string
 	Out io.Writer
 
@@ -40,17 +38,17 @@
 	commit string
 }
 
-// Choice says which plays to make.
-type Choice struct {
-	// Count is how many at the most, all of the sites together.
-	Count int
-	// Again: those that stand in the table, but not for the present commit, and of them first
-	// those that found something; else those that do not stand there.
-	Again bool
-	// Name is what the names of the plays hold; empty for all.
-	Name string
-	// Limit is the time after which no further play begins; 0 for none.
-	Limit time.Duration
+// Selection determines which plays to run.
+type Selection struct {
+	// MaxPlays is the maximum number of plays, over all sites.
+	MaxPlays int
+	// Replay selects plays that are in the table but not for the current commit, those with findings
+	// first. Otherwise plays that are not in the table are selected.
+	Replay bool
+	// NamePart is a substring of the names of the plays; empty selects all.
+	NamePart string
+	// TimeLimit is the time after which no further play starts; 0 means no limit.
+	TimeLimit time.Duration
 }
 
 // job is one play of one site.
@@ -60,38 +58,38 @@
 	play Play
 }
 
-// Play makes the plays chosen, the sites in turn, and returns the number of those
-// in which a rule was broken or a check fired.
-func (d *Driver) Play(ctx context.Context, choice Choice) (found int, err error) {
+// Run runs the selected plays, alternating between sites, and returns the number of plays that broke
+// a rule or have findings.
+func (d *Driver) Run(ctx context.Context, selection Selection) (found int, err error) {
 	if err := d.prepare(ctx); err != nil {
 		return 0, err
 	}
-	jobs, err := d.choose(choice)
+	jobs, err := d.selectPlays(selection)
 	if err != nil {
 		return 0, err
 	}
-	began := time.Now()
-	free := make(chan struct{}, max(d.Jobs, 1))
+	startTime := time.Now()
+	slots := make(chan struct{}, max(d.Jobs, 1))
 	var group sync.WaitGroup
-	var failed error
-	for _, one := range jobs {
-		free <- struct{}{}
-		if ctx.Err() != nil || choice.Limit > 0 && time.Since(began) > choice.Limit {
+	var errs error
+	for _, job := range jobs {
+		slots <- struct{}{}
+		if ctx.Err() != nil || selection.TimeLimit > 0 && time.Since(startTime) > selection.TimeLimit {
 			break
 		}
 		group.Go(func() {
-			defer func() { <-free }()
-			row, err := d.playOne(ctx, one)
+			defer func() { <-slots }()
+			row, err := d.runPlay(ctx, job)
 			d.mutex.Lock()
 			defer d.mutex.Unlock()
-			failed = errors.Join(failed, err)
+			errs = errors.Join(errs, err)
 			if row.Broken != "" || row.Found != "" {
 				found++
 			}
 		})
 	}
 	group.Wait()
-	return found, failed
+	return found, errs
 }
 
 func (d *Driver) prepare(ctx context.Context) (err error) {
@@ -99,22 +97,22 @@
 		return err
 	}
 	if err := os.MkdirAll(d.Folder, 0o755); err != nil {
-		return ErrInvalid.Wrap(err, "make the folder for findings")
+		return ErrInvalid.Wrap(err, "create folder")
 	}
-	d.commit, err = d.nameCommit(ctx)
+	d.commit, err = d.commitName(ctx)
 	return err
 }
 
-// nameCommit returns the short name of the newest commit that changed more than
-// the bench's journal, marked if anything else is changed beside it.
-func (d *Driver) nameCommit(ctx context.Context) (string, error) {
+// commitName returns the short hash of the latest commit that changed anything but the bench's
+// journal, with a suffix if there are uncommitted changes elsewhere.
+func (d *Driver) commitName(ctx context.Context) (string, error) {
 	commit, err := exec.CommandContext(ctx, "git", "-C", d.Repository, "log", "-1", "--format=%h", "--", ".", ":!journal").Output()
 	if err != nil {
-		return "", ErrInvalid.Wrap(err, "name the commit of %s", d.Repository)
+		return "", ErrInvalid.Wrap(err, "find the latest commit of %s", d.Repository)
 	}
 	changed, err := exec.CommandContext(ctx, "git", "-C", d.Repository, "status", "--porcelain", "--untracked-files=no", "--", ".", ":!journal").Output()
 	if err != nil {
-		return "", ErrInvalid.Wrap(err, "look for changes in %s", d.Repository)
+		return "", ErrInvalid.Wrap(err, "check %s for uncommitted changes", d.Repository)
 	}
 	name := strings.TrimSpace(string(commit))
 	if len(changed) > 0 {
@@ -123,31 +121,31 @@
 	return name, nil
 }
 
-// choose returns the plays to make, the sites in turn.
-func (d *Driver) choose(choice Choice) ([]job, error) {
+// selectPlays returns the plays to run, alternating between sites.
+func (d *Driver) selectPlays(selection Selection) ([]job, error) {
 	var sites [][]job
 	for _, path := range d.Sites {
 		site, err := LoadSite(path)
 		if err != nil {
 			return nil, err
 		}
-		var chosen []job
+		var selected []job
 		for _, play := range Generate(site) {
-			if d.wanted(choice, site, play) {
-				chosen = append(chosen, job{path, site, play})
+			if d.selects(selection, site, play) {
+				selected = append(selected, job{path, site, play})
 			}
 		}
-		if choice.Again {
-			slices.SortStableFunc(chosen, d.findingsFirst)
+		if selection.Replay {
+			slices.SortStableFunc(selected, d.compareByFindings)
 		}
-		sites = append(sites, chosen)
+		sites = append(sites, selected)
 	}
 	var jobs []job
-	for rank := 0; len(jobs) < choice.Count; rank++ {
+	for rank := 0; len(jobs) < selection.MaxPlays; rank++ {
 		before := len(jobs)
-		for _, chosen := range sites {
-			if rank < len(chosen) && len(jobs) < choice.Count {
-				jobs = append(jobs, chosen[rank])
+		for _, selected := range sites {
+			if rank < len(selected) && len(jobs) < selection.MaxPlays {
+				jobs = append(jobs, selected[rank])
 			}
 		}
 		if len(jobs) == before {
@@ -157,10 +155,10 @@
 	return jobs, nil
 }
 
-// findingsFirst puts the plays that have found something before the others.
-func (d *Driver) findingsFirst(a, b job) int {
-	rank := func(one job) int {
-		if d.table.Found(one.site.Name, one.play.Name) {
+// compareByFindings orders plays with findings before the others.
+func (d *Driver) compareByFindings(a, b job) int {
+	rank := func(job job) int {
+		if d.table.Found(job.site.Name, job.play.Name) {
 			return 0
 		}
 		return 1
@@ -168,83 +166,83 @@
 	return rank(a) - rank(b)
 }
 
-func (d *Driver) wanted(choice Choice, site *Site, play Play) bool {
-	if !play.Matches(choice.Name) {
+func (d *Driver) selects(selection Selection, site *Site, play Play) bool {
+	if !play.Matches(selection.NamePart) {
 		return false
 	}
 	played := d.table.Played(site.Name, play.Name, "")
-	if choice.Again {
+	if selection.Replay {
 		return played && !d.table.Played(site.Name, play.Name, d.commit)
 	}
 	return !played
 }
 
-// playOne makes the play, checks its logs and puts it into the table.
-func (d *Driver) playOne(ctx context.Context, one job) (Row, error) {
-	row := Row{Site: one.site.Name, Play: one.play.Name, Seed: one.play.Seed, Commit: d.commit}
-	day, err := one.play.Day(one.site)
+// runPlay runs the play, checks its log and records the result in the table.
+func (d *Driver) runPlay(ctx context.Context, job job) (Row, error) {
+	row := Row{Site: job.site.Name, Play: job.play.Name, Seed: job.play.Seed, Commit: d.commit}
+	day, err := job.play.Day(job.site)
 	if err != nil {
 		return row, err
 	}
-	stem := filepath.Join(d.Folder, one.site.Name+"-"+one.play.Name+"-"+d.commit)
+	stem := filepath.Join(d.Folder, job.site.Name+"-"+job.play.Name+"-"+d.commit)
 	if err := os.WriteFile(stem+".toml", day, 0o644); err != nil {
-		return row, ErrInvalid.Wrap(err, "write the day of a play")
+		return row, ErrInvalid.Wrap(err, "write day file")
 	}
-	output, runErr := d.run(ctx, one, stem+".toml")
+	output, runErr := d.runBench(ctx, job, stem+".toml")
 	if ctx.Err() != nil {
-		return row, errors.Join(ErrNotPlayed.Wrap(ctx.Err(), "%s", one.play.Name), os.Remove(stem+".toml"))
+		return row, errors.Join(ErrNotPlayed.Wrap(ctx.Err(), "%s", job.play.Name), os.Remove(stem+".toml"))
 	}
 	log, err := ReadLog(bytes.NewReader(output))
 	if err != nil {
 		return row, err
 	}
-	findings := Find(log, one.site.Bounds())
-	row.Worth, row.Broken, row.Found = log.Worth, log.Broken, namesOf(findings)
-	row.Struck = one.play.struck(log)
+	findings := RunChecks(log, job.site.Bounds())
+	row.Worth, row.Broken, row.Found = log.Worth, log.Broken, summarize(findings)
+	row.Struck = job.play.injectedFaults(log)
 	if log.Worth == "" {
-		row.Unplayed = reason(output, runErr)
+		row.Unplayed = failureReason(output, runErr)
 	}
-	return row, errors.Join(d.keep(row, stem, output, findings), d.enter(row))
+	return row, errors.Join(d.saveArtifacts(row, stem, output, findings), d.record(row))
 }
 
-// struck returns how many of the play's faults struck, of how many. The faults of
-// a day differ from its planned work, which always happens.
-func (p *Play) struck(log *Log) string {
-	wanted, happened := map[string]int{}, map[string]int{}
+// injectedFaults returns how many of the play's faults were injected, as "3/4". Planned work is not
+// counted, as it always happens.
+func (p *Play) injectedFaults(log *Log) string {
+	requested, observed := map[string]int{}, map[string]int{}
 	for _, entry := range p.faults {
 		kind, _ := entry["kind"].(string)
-		wanted[kind]++
+		requested[kind]++
 	}
-	for _, one := range log.Disruptions {
-		happened[one.Kind]++
+	for _, disruption := range log.Disruptions {
+		observed[disruption.Kind]++
 	}
-	struck := 0
-	for kind, count := range wanted {
-		struck += min(count, happened[kind])
+	injected := 0
+	for kind, count := range requested {
+		injected += min(count, observed[kind])
 	}
-	return fmt.Sprintf("%d/%d", struck, len(p.faults))
+	return fmt.Sprintf("%d/%d", injected, len(p.faults))
 }
 
-// run has the bench play the day. It ends with a failure when a rule is broken, so
-// only a missing result is an error.
-func (d *Driver) run(ctx context.Context, one job, day string) ([]byte, error) {
-	command := exec.CommandContext(ctx, d.Program, "run", one.path, day, "--seed", strconv.Itoa(one.play.Seed),
-		"--log", "all", "--jobs", "1", "--why", d.Why+": "+one.play.Name)
+// runBench runs the day on the bench. The bench exits with an error when a rule is broken, so callers
+// treat only a missing result as a failure.
+func (d *Driver) runBench(ctx context.Context, job job, day string) ([]byte, error) {
+	command := exec.CommandContext(ctx, d.Program, "run", job.path, day, "--seed", strconv.Itoa(job.play.Seed),
+		"--log", "all", "--jobs", "1", "--why", d.Why+": "+job.play.Name)
 	command.Dir = d.Repository
 	return command.CombinedOutput()
 }
 
-// reason returns the bench's last words of a play without a result.
-func reason(output []byte, err error) string {
+// failureReason returns the last line of output of a play without a result.
+func failureReason(output []byte, err error) string {
 	lines := strings.Split(strings.TrimSpace(string(output)), "\n")
 	const longest = 200
 	last := lines[len(lines)-1]
 	return fmt.Sprintf("%v: %s", err, last[:min(len(last), longest)])
 }
 
-// keep leaves the day and the log of a play that found something, and removes
-// those of others.
-func (d *Driver) keep(row Row, stem string, output []byte, findings []Finding) error {
+// saveArtifacts writes the log and findings of a play beside its day file, or removes the day file if
+// there is nothing to report.
+func (d *Driver) saveArtifacts(row Row, stem string, output []byte, findings []Finding) error {
 	if row.Broken == "" && row.Found == "" && row.Unplayed == "" {
 		return os.Remove(stem + ".toml")
 	}
@@ -255,8 +253,8 @@
 	return errors.Join(os.WriteFile(stem+".log", output, 0o644), os.WriteFile(stem+".found", []byte(report.String()), 0o644))
 }
 
-// enter puts the row into the table's file and prints it.
-func (d *Driver) enter(row Row) error {
+// record adds the row to the table file and prints it.
+func (d *Driver) record(row Row) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.table.Add(row)
@@ -272,8 +270,8 @@
 	return text
 }
 
-// namesOf returns the names of the checks that fired, each once with its number.
-func namesOf(findings []Finding) string {
+// summarize returns the names of the checks that reported findings, each with its count.
+func summarize(findings []Finding) string {
 	counts := map[string]int{}
 	for _, finding := range findings {
 		counts[finding.Check]++
--- a/bench/plays/drive_test.go
+++ b/bench/plays/drive_test.go
@@ -30,15 +30,15 @@
 	require.False(t, read.Played("a", "p", "c2"))
 }
 
-func TestTableOfAnotherFormIsRefused(t *testing.T) {
+func TestLoadTableRejectsUnknownColumns(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "played.csv")
 	require.NoError(t, os.WriteFile(path, []byte("a,b,c,d,e,f,g,h,i\n"), 0o600))
 	_, err := LoadTable(path)
 	require.Error(t, err)
 }
 
-// fakeBench answers each day with a result; of those with wipes in series, that a
-// replica stays outside.
+// fakeBench prints a result for each day; for series of wipes also a broken rule and a replica that
+// does not join its group.
 const fakeBench = `#!/bin/sh
 case "$3" in
 *series-wipe*) echo '    3.0 s to     5.5 s  after_ack_wipe core-b-1'; echo '10.0 core-a-1 {"event":1010,"replica":7}'; echo '40.0 core-a-1 {"event":5017}'; echo 'rules broken: CONFIG 3' ;;
@@ -64,17 +64,17 @@
 		Folder: filepath.Join(folder, "found"), Jobs: 2, Why: "test", Out: out}
 }
 
-func TestDriverPlaysTheNextAndKeepsWhatItFinds(t *testing.T) {
+func TestDriverSavesArtifactsOfFindings(t *testing.T) {
 	var out bytes.Buffer
 	driver := newTestDriver(t, &out)
-	found, err := driver.Play(context.Background(), Choice{Count: 2, Name: "series-power-core"})
+	found, err := driver.Run(context.Background(), Selection{MaxPlays: 2, NamePart: "series-power-core"})
 	require.NoError(t, err)
 	require.Zero(t, found)
 	files, err := os.ReadDir(driver.Folder)
 	require.NoError(t, err)
 	require.Empty(t, files)
 
-	found, err = driver.Play(context.Background(), Choice{Count: 1, Name: "series-wipe-core-x4"})
+	found, err = driver.Run(context.Background(), Selection{MaxPlays: 1, NamePart: "series-wipe-core-x4"})
 	require.NoError(t, err)
 	require.Equal(t, 1, found)
 	files, err = os.ReadDir(driver.Folder)
@@ -91,38 +91,37 @@
 	require.Equal(t, "1/4", last.Struck)
 }
 
-func TestDriverDoesNotPlayTwiceOnOneCommit(t *testing.T) {
+func TestDriverPlaysOncePerCommit(t *testing.T) {
 	var out bytes.Buffer
 	driver := newTestDriver(t, &out)
-	choice := Choice{Count: 100, Name: "series-power-core-power-x"}
-	_, err := driver.Play(context.Background(), choice)
+	selection := Selection{MaxPlays: 100, NamePart: "series-power-core-power-x"}
+	_, err := driver.Run(context.Background(), selection)
 	require.NoError(t, err)
 	rows := len(driver.table.Rows)
 	require.Equal(t, 3, rows)
-	choice.Again = true
+	selection.Replay = true
 	out.Reset()
-	_, err = driver.Play(context.Background(), choice)
+	_, err = driver.Run(context.Background(), selection)
 	require.NoError(t, err)
 	require.Empty(t, out.String())
 }
 
-func TestDriverSaysWhyAPlayHasNoResult(t *testing.T) {
+func TestDriverRecordsReasonForMissingResult(t *testing.T) {
 	var out bytes.Buffer
 	driver := newTestDriver(t, &out)
-	_, err := driver.Play(context.Background(), Choice{Count: 1, Name: "series-replace-core-x4"})
+	_, err := driver.Run(context.Background(), Selection{MaxPlays: 1, NamePart: "series-replace-core-x4"})
 	require.NoError(t, err)
 	require.Equal(t, "exit status 3: too busy", driver.table.Rows[0].Unplayed)
 }
 
-// TestDriverRepeatsFindingsFirst: on another commit, the plays that found
-// something come first.
-func TestDriverRepeatsFindingsFirst(t *testing.T) {
+// On another commit, plays that had findings are repeated first.
+func TestReplayStartsWithFindings(t *testing.T) {
 	var out bytes.Buffer
 	driver := newTestDriver(t, &out)
 	driver.Jobs = 1
-	_, err := driver.Play(context.Background(), Choice{Count: 3, Name: "series-power-core-power-x"})
+	_, err := driver.Run(context.Background(), Selection{MaxPlays: 3, NamePart: "series-power-core-power-x"})
 	require.NoError(t, err)
-	_, err = driver.Play(context.Background(), Choice{Count: 1, Name: "series-wipe-store-x4"})
+	_, err = driver.Run(context.Background(), Selection{MaxPlays: 1, NamePart: "series-wipe-store-x4"})
 	require.NoError(t, err)
 	commit := []string{"-C", driver.Repository, "-c", "user.name=a", "-c", "user.email=a@b", "commit", "-q", "--allow-empty", "-m", "second"}
 	require.NoError(t, exec.Command("git", commit...).Run())
@@ -130,7 +129,7 @@
 	require.NoError(t, exec.Command("git", "-C", driver.Repository, "add", "source").Run())
 	require.NoError(t, exec.Command("git", commit...).Run())
 	out.Reset()
-	found, err := driver.Play(context.Background(), Choice{Count: 1, Again: true})
+	found, err := driver.Run(context.Background(), Selection{MaxPlays: 1, Replay: true})
 	require.NoError(t, err)
 	require.Equal(t, 1, found)
 	require.Contains(t, out.String(), "series-wipe-store-x4")
--- a/bench/plays/generate.go
+++ b/bench/plays/generate.go
@@ -11,67 +11,62 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Play is one day by design.
+// Play is one generated day.
 type Play struct {
-	// Name says what the day holds.
+	// Name describes the contents of the day.
 	Name string
-	// Seed is what the bench draws the rest of the day from.
+	// Seed is the seed for everything that the bench draws at random.
 	Seed         int
 	plan, faults []map[string]any
 	closing      map[string]any
 }
 
-// Distance is how far the second trouble of a pair lies from the first.
-type Distance string
+// Offset is the start of the second scenario of a pair relative to the first.
+type Offset string
 
-// The distances.
 const (
-	// Same: both begin at the same instant.
-	Same Distance = "same"
-	// Within: half-way through the time in which the first one still has to be got over.
-	Within Distance = "within"
-	// Before: right before that time ends.
-	Before Distance = "before"
-	// After: right after that time has ended.
-	After Distance = "after"
+	// SameTime: both start at the same time.
+	SameTime Offset = "same"
+	// DuringRecovery: half-way through the recovery time of the first.
+	DuringRecovery Offset = "within"
+	// BeforeRecovered: shortly before the recovery time of the first ends.
+	BeforeRecovered Offset = "before"
+	// AfterRecovered: shortly after the recovery time of the first has ended.
+	AfterRecovered Offset = "after"
 )
 
-// Distances are all of them.
-var Distances = []Distance{Same, Within, Before, After}
+// Offsets lists all offsets.
+var Offsets = []Offset{SameTime, DuringRecovery, BeforeRecovered, AfterRecovered}
 
 const (
-	// firstAt is when the first trouble begins: traffic has settled and the first steps
-	// have been asked.
-	firstAt = 3.0
-	// nextTo is how near right before and right after are. A lost machine takes about
-	// 0.05 s to start.
-	nextTo = 0.2
-	// room is what the last trouble needs before the day's end.
-	room = 4.0
-	// longestSeries is how often in a row the same is lost.
-	longestSeries = 4
-	// shuffleSeed, with the site's name, orders the plays.
+	// firstStart is when the first scenario starts, after traffic has settled.
+	firstStart = 3.0
+	// recoveryMargin is the distance to the end of the recovery time that counts as shortly before or after.
+	recoveryMargin = 0.2
+	// endMargin is the time to keep free before the end of the day.
+	endMargin = 4.0
+	// maxRepeats is the largest number of repetitions in a series.
+	maxRepeats = 4
+	// shuffleSeed and the site's name determine the order of the plays.
 	shuffleSeed = 37
 )
 
-// second returns when the second trouble begins.
-func (d Distance) second(first float64, lasts, settles float64) float64 {
-	switch d {
-	case Within:
-		return first + lasts + settles/2
-	case Before:
-		return first + lasts + settles - nextTo
-	case After:
-		return first + lasts + settles + nextTo
+// secondStart returns when the second scenario starts.
+func (o Offset) secondStart(first float64, duration, recovery float64) float64 {
+	switch o {
+	case DuringRecovery:
+		return first + duration + recovery/2
+	case BeforeRecovered:
+		return first + duration + recovery - recoveryMargin
+	case AfterRecovered:
+		return first + duration + recovery + recoveryMargin
 	}
 	return first
 }
 
-// Generate returns all plays of the site in the order in which they are best
-// made: series of losses and pairs by turns, the longest series of lost disks
-// first, and the rest in an order that a seed draws for each site, so that a first
-// part of the plays of all sites holds as much as it can. The same site file always
-// gives the same plays.
+// Generate returns all plays of the site in the order in which to run them: series and pairs alternate,
+// the longest series of wiped disks come first, and the others are shuffled with a seed per site so that
+// any prefix is a varied sample. The same site file always gives the same plays.
 func Generate(site *Site) []Play {
 	series, pairs := generateSeries(site), generatePairs(site)
 	hash := fnv.New64a()
@@ -80,47 +75,45 @@
 	shuffle(random, pairs)
 	first := slices.IndexFunc(series, func(play Play) bool { return !play.Matches("series-wipe-") })
 	shuffle(random, series[max(first, 0):])
-	return byTurns(series, pairs)
+	return interleave(series, pairs)
 }
 
 func shuffle(random *rand.Rand, plays []Play) {
 	random.Shuffle(len(plays), func(i, j int) { plays[i], plays[j] = plays[j], plays[i] })
 }
 
-// byTurns returns one play of each list after the other, and the rest of the
-// longer one at the end.
-func byTurns(one, other []Play) []Play {
+// interleave alternates the elements of both lists and appends the rest of the longer one.
+func interleave(first, second []Play) []Play {
 	var all []Play
-	for position := range max(len(one), len(other)) {
-		if position < len(one) {
-			all = append(all, one[position])
+	for position := range max(len(first), len(second)) {
+		if position < len(first) {
+			all = append(all, first[position])
 		}
-		if position < len(other) {
-			all = append(all, other[position])
+		if position < len(second) {
+			all = append(all, second[position])
 		}
 	}
 	return all
 }
 
-// generateSeries returns the days on which the same kind of loss strikes the same
-// class two, three and four times, each as soon as the loss before has to be made
-// good, where the day is long enough.
+// generateSeries returns the days on which the same loss affects the same class two, three and four
+// times, each as soon as the recovery time of the previous one is over, where the day is long enough.
 func generateSeries(site *Site) []Play {
 	var series []Play
-	closings := newTurn(Closings())
-	for times := longestSeries; times >= 2; times-- {
-		for _, trouble := range Troubles(site) {
-			if !lossesInSeries[trouble.Name] {
+	closings := newRoundRobin(Closings())
+	for times := maxRepeats; times >= 2; times-- {
+		for _, scenario := range Scenarios(site) {
+			if !repeatable[scenario.Name] {
 				continue
 			}
-			for _, variant := range trouble.Variants {
-				play := site.newPlay(fmt.Sprintf("series-%s-x%d", joined(trouble.Name, variant.Name), times))
-				every := variant.Lasts + trouble.Settles(site.Bounds())
-				if firstAt+float64(times-1)*every > site.LengthSeconds-room {
+			for _, variant := range scenario.Variants {
+				play := site.newPlay(fmt.Sprintf("series-%s-x%d", joinWords(scenario.Name, variant.Name), times))
+				interval := variant.Duration + scenario.RecoveryTime(site.Bounds())
+				if firstStart+float64(times-1)*interval > site.LengthSeconds-endMargin {
 					continue
 				}
 				for number := range times {
-					play.add(variant, firstAt+float64(number)*every)
+					play.add(variant, firstStart+float64(number)*interval)
 				}
 				play.close(closings.next())
 				series = append(series, play)
@@ -130,30 +123,30 @@
 	return series
 }
 
-// lossesInSeries are the troubles that lose machines or disks.
-var lossesInSeries = map[string]bool{"power": true, "wipe": true, "taken": true, "replace": true}
+// repeatable names the scenarios that lose machines or disks.
+var repeatable = map[string]bool{"power": true, "wipe": true, "taken": true, "replace": true}
 
-// generatePairs returns a day for each pair of troubles in each order at each
-// distance. Variants and ends of days take turns, so that all of them come up.
+// generatePairs returns a day for each ordered pair of scenarios at each offset. Variants and closings
+// rotate, so that all of them are used.
 func generatePairs(site *Site) []Play {
 	var pairs []Play
-	troubles := Troubles(site)
-	variants := make([]*turn[Variant], len(troubles))
-	for position, trouble := range troubles {
-		variants[position] = newTurn(trouble.Variants)
+	scenarios := Scenarios(site)
+	variants := make([]*roundRobin[Variant], len(scenarios))
+	for position, scenario := range scenarios {
+		variants[position] = newRoundRobin(scenario.Variants)
 	}
-	closings := newTurn(Closings())
-	for one, first := range troubles {
-		for other, second := range troubles {
+	closings := newRoundRobin(Closings())
+	for firstIndex, first := range scenarios {
+		for secondIndex, second := range scenarios {
 			if len(first.Variants) == 0 || len(second.Variants) == 0 {
 				continue
 			}
-			for _, distance := range Distances {
-				before, after := variants[one].next(), variants[other].next()
-				play := site.newPlay(fmt.Sprintf("pair-%s-then-%s-%s", first.Name, second.Name, distance))
-				play.add(before, firstAt)
-				play.add(after, distance.second(firstAt, before.Lasts, first.Settles(site.Bounds())))
-				play.Name = joined(play.Name, before.Name, after.Name)
+			for _, offset := range Offsets {
+				firstVariant, secondVariant := variants[firstIndex].next(), variants[secondIndex].next()
+				play := site.newPlay(fmt.Sprintf("pair-%s-then-%s-%s", first.Name, second.Name, offset))
+				play.add(firstVariant, firstStart)
+				play.add(secondVariant, offset.secondStart(firstStart, firstVariant.Duration, first.RecoveryTime(site.Bounds())))
+				play.Name = joinWords(play.Name, firstVariant.Name, secondVariant.Name)
 				play.close(closings.next())
 				pairs = append(pairs, play)
 			}
@@ -162,72 +155,70 @@
 	return pairs
 }
 
-// Pair returns the names of the two troubles and the distance of a play of a
-// pair, or nothing of another play.
+// Pair returns the names of the two scenarios and the offset, or "" if the play is not a pair.
 func (p *Play) Pair() string {
 	rest, ok := strings.CutPrefix(p.Name, "pair-")
 	if !ok {
 		return ""
 	}
-	for _, distance := range Distances {
-		if end := strings.Index(rest, "-"+string(distance)+"-"); end >= 0 {
-			return rest[:end+1+len(distance)]
+	for _, offset := range Offsets {
+		if end := strings.Index(rest, "-"+string(offset)+"-"); end >= 0 {
+			return rest[:end+1+len(offset)]
 		}
 	}
 	return ""
 }
 
-// Matches tells whether the play's name holds the text.
+// Matches reports whether the play's name contains the text.
 func (p *Play) Matches(text string) bool { return strings.Contains(p.Name, text) }
 
-// turn hands out the values one after the other and begins again at the end.
-type turn[T any] struct {
+// roundRobin returns its values in turn and starts over at the end.
+type roundRobin[T any] struct {
 	values []T
-	given  int
+	used   int
 }
 
-func newTurn[T any](values []T) *turn[T] { return &turn[T]{values: values} }
+func newRoundRobin[T any](values []T) *roundRobin[T] { return &roundRobin[T]{values: values} }
 
-func (t *turn[T]) next() T {
-	value := t.values[t.given%len(t.values)]
-	t.given++
+func (t *roundRobin[T]) next() T {
+	value := t.values[t.used%len(t.values)]
+	t.used++
 	return value
 }
 
-// Closing is a way in which a day ends. With no kind, it ends without a fault.
+// Closing is the fault at the end of a day. With an empty kind there is none.
 type Closing struct {
 	Kind, How string
 	Down      float64
 }
 
-// The shortest and longest time without power at the end of a day, in seconds.
+// Bounds of the time without power at the end of a day, in seconds.
 const (
-	shortestDown = 0.55
-	longestDown  = 1.6
+	minDownSeconds = 0.55
+	maxDownSeconds = 1.6
 )
 
-// Closings returns all ways in which a day ends. Their number has no factor in
-// common with that of the distances, so that turns go through all combinations.
+// Closings returns all closings. Their number is coprime to the number of offsets, so that rotation
+// covers all combinations.
 func Closings() []Closing {
 	return []Closing{
 		{},
-		{Kind: "wipe_after_ack", Down: longestDown, How: "all oldest"},
-		{Kind: "power_off_all", Down: shortestDown, How: "all taken"},
-		{Kind: "kill_all", Down: longestDown},
-		{Kind: "wipe_after_ack", Down: shortestDown, How: "timed"},
-		{Kind: "power_off_all", Down: longestDown},
-		{Kind: "wipe_after_ack", Down: shortestDown, How: "taken"},
-		{Kind: "kill_all", Down: shortestDown, How: "timed"},
-		{Kind: "wipe_after_ack", Down: longestDown},
+		{Kind: "wipe_after_ack", Down: maxDownSeconds, How: "all oldest"},
+		{Kind: "power_off_all", Down: minDownSeconds, How: "all taken"},
+		{Kind: "kill_all", Down: maxDownSeconds},
+		{Kind: "wipe_after_ack", Down: minDownSeconds, How: "timed"},
+		{Kind: "power_off_all", Down: maxDownSeconds},
+		{Kind: "wipe_after_ack", Down: minDownSeconds, How: "taken"},
+		{Kind: "kill_all", Down: minDownSeconds, How: "timed"},
+		{Kind: "wipe_after_ack", Down: maxDownSeconds},
 	}
 }
 
 func (s *Site) newPlay(name string) Play {
 	play := Play{Name: name}
-	// Changes of the configuration through the whole day, so that losses right after an
-	// acknowledgement find one, and each change has to come into force.
+	// Configuration changes throughout the day provide acknowledgements for faults that wait for one.
 	const changeEvery = 4.0
-	for at := 1.0; at < s.LengthSeconds-room; at += changeEvery {
+	for at := 1.0; at < s.LengthSeconds-endMargin; at += changeEvery {
 		play.plan = append(play.plan, map[string]any{"at": rounded(at), "kind": "config_change", "how": "idle"})
 	}
 	return play
@@ -241,10 +232,10 @@
 	p.faults = append(p.faults, variant.entries(at)...)
 }
 
-// close gives the day its end and, as its name is whole now, its seed.
+// close sets the closing of the day and derives the seed from the complete name.
 func (p *Play) close(closing Closing) {
 	if closing.Kind != "" {
-		p.Name = joined(p.Name, "ends", strings.ReplaceAll(closing.Kind, "_", "-"), closing.How)
+		p.Name = joinWords(p.Name, "ends", strings.ReplaceAll(closing.Kind, "_", "-"), closing.How)
 		p.closing = map[string]any{"kind": closing.Kind, "down_s": closing.Down}
 		if closing.How != "" {
 			p.closing["how"] = closing.How
@@ -256,15 +247,14 @@
 	p.Seed = int(hash.Sum32()%seeds) + 1
 }
 
-// Day returns the day as a file of the users' bench, with the traffic of one of
-// the site's own days.
+// Day encodes the day as a file for the users' bench, with the traffic of one of the site's standard days.
 func (p *Play) Day(site *Site) ([]byte, error) {
 	day := site.trafficDay()
 	day["name"], day["seed"] = p.Name, p.Seed
 	day["plan"], day["faults"] = p.plan, p.faults
-	// What the site expects of its own day says nothing of this one.
-	for _, judged := range []string{"closing", "floor_classes", "floor_zones", "small"} {
-		delete(day, judged)
+	// Expectations of the standard day do not apply to this one.
+	for _, expectation := range []string{"closing", "floor_classes", "floor_zones", "small"} {
+		delete(day, expectation)
 	}
 	day["goal"] = map[string]any{"floor": 0.1}
 	if p.closing != nil {
@@ -274,13 +264,13 @@
 	encoder := toml.NewEncoder(&written)
 	encoder.Indent = ""
 	if err := encoder.Encode(map[string]any{"day": []map[string]any{day}}); err != nil {
-		return nil, ErrInvalid.Wrap(err, "write day %s", p.Name)
+		return nil, ErrInvalid.Wrap(err, "encode day %s", p.Name)
 	}
 	return written.Bytes(), nil
 }
 
-// joined makes a name of words that may hold spaces or be empty.
-func joined(words ...string) string {
+// joinWords joins the words with hyphens, splitting them at spaces and underscores.
+func joinWords(words ...string) string {
 	var parts []string
 	for _, word := range words {
 		parts = append(parts, strings.FieldsFunc(word, func(r rune) bool { return r == ' ' || r == '_' })...)
--- a/bench/plays/generate_test.go
+++ b/bench/plays/generate_test.go
@@ -47,57 +47,55 @@
 	return site
 }
 
-func TestBoundsComeFromTheSite(t *testing.T) {
+func TestSiteBounds(t *testing.T) {
 	require.Equal(t, Bounds{CatchUp: 6, Contact: 4, ConfigApply: 2.5, Grace: 8, LongestWait: 10, Length: 34, Tolerated: 2}, loadTestSite(t).Bounds())
 }
 
-func TestSiteWithoutBoundsIsRefused(t *testing.T) {
+func TestLoadSiteRejectsMissingBounds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "site.toml")
 	require.NoError(t, os.WriteFile(path, []byte("name = \"site\"\nmachines = [{ class = \"front\", count = 1 }]\n"), 0o600))
 	_, err := LoadSite(path)
 	require.ErrorContains(t, err, "lacks a bound")
 }
 
-// TestEachPairMeetsInEachOrderAtEachDistance: the array covers what it says.
-func TestEachPairMeetsInEachOrderAtEachDistance(t *testing.T) {
+func TestPairsCoverAllOrdersAndOffsets(t *testing.T) {
 	site := loadTestSite(t)
-	met := map[string]int{}
+	counts := map[string]int{}
 	for _, play := range Generate(site) {
 		if pair := play.Pair(); pair != "" {
-			met[pair]++
+			counts[pair]++
 		}
 	}
-	troubles := Troubles(site)
-	for _, first := range troubles {
-		for _, second := range troubles {
-			for _, distance := range Distances {
-				require.Equal(t, 1, met[first.Name+"-then-"+second.Name+"-"+string(distance)])
+	scenarios := Scenarios(site)
+	for _, first := range scenarios {
+		for _, second := range scenarios {
+			for _, offset := range Offsets {
+				require.Equal(t, 1, counts[first.Name+"-then-"+second.Name+"-"+string(offset)])
 			}
 		}
 	}
-	require.Len(t, met, len(troubles)*len(troubles)*len(Distances))
+	require.Len(t, counts, len(scenarios)*len(scenarios)*len(Offsets))
 }
 
-// TestEveryVariantAndEndComesUp: turns leave nothing out.
-func TestEveryVariantAndEndComesUp(t *testing.T) {
+func TestAllVariantsAndClosingsAreUsed(t *testing.T) {
 	site := loadTestSite(t)
-	all := ""
+	names := ""
 	for _, play := range Generate(site) {
-		all += " " + play.Name + " "
+		names += " " + play.Name + " "
 	}
-	for _, trouble := range Troubles(site) {
-		for _, variant := range trouble.Variants {
-			require.Contains(t, all, variant.Name, trouble.Name)
+	for _, scenario := range Scenarios(site) {
+		for _, variant := range scenario.Variants {
+			require.Contains(t, names, variant.Name, scenario.Name)
 		}
 	}
 	for _, closing := range Closings() {
 		if closing.Kind != "" {
-			require.Contains(t, all, joined("ends", closing.Kind, closing.How)+" ")
+			require.Contains(t, names, joinWords("ends", closing.Kind, closing.How)+" ")
 		}
 	}
 }
 
-func TestNamesAreFilesAndDiffer(t *testing.T) {
+func TestPlayNamesAreUniqueFileNames(t *testing.T) {
 	seen := map[string]bool{}
 	for _, play := range Generate(loadTestSite(t)) {
 		require.Regexp(t, regexp.MustCompile(`^[a-z0-9-]+$`), play.Name)
@@ -107,21 +105,20 @@
 	}
 }
 
-func TestSamePlaysEachTime(t *testing.T) {
+func TestGenerateIsDeterministic(t *testing.T) {
 	require.Equal(t, Generate(loadTestSite(t)), Generate(loadTestSite(t)))
 }
 
-// TestSeriesIsSpacedByTheTimeToCatchUp: the same is lost again right after the
-// loss before has to be made good.
-func TestSeriesIsSpacedByTheTimeToCatchUp(t *testing.T) {
+// The same loss is repeated as soon as the recovery time of the previous one is over.
+func TestSeriesIsSpacedByCatchUpTime(t *testing.T) {
 	site := loadTestSite(t)
 	times := map[string]int{}
 	for _, play := range Generate(site) {
 		if play.Matches("series-wipe-core-x") {
 			times[play.Name[:len("series-wipe-core-x4")]] = len(play.faults)
 			for number := 1; number < len(play.faults); number++ {
-				apart := play.faults[number]["at"].(float64) - play.faults[number-1]["at"].(float64)
-				require.InDelta(t, darkSeconds+ackSeconds+6, apart, 0.001)
+				interval := play.faults[number]["at"].(float64) - play.faults[number-1]["at"].(float64)
+				require.InDelta(t, powerOffSeconds+ackSeconds+6, interval, 0.001)
 			}
 			require.Equal(t, 2, play.faults[0]["count"])
 		}
@@ -129,16 +126,15 @@
 	require.Equal(t, map[string]int{"series-wipe-core-x2": 2, "series-wipe-core-x3": 3, "series-wipe-core-x4": 4}, times)
 }
 
-func TestDistances(t *testing.T) {
-	require.Equal(t, 3.0, Same.second(3, 5, 4))
-	require.Equal(t, 10.0, Within.second(3, 5, 4))
-	require.InDelta(t, 11.8, Before.second(3, 5, 4), 1e-9)
-	require.InDelta(t, 12.2, After.second(3, 5, 4), 1e-9)
+func TestOffsets(t *testing.T) {
+	require.Equal(t, 3.0, SameTime.secondStart(3, 5, 4))
+	require.Equal(t, 10.0, DuringRecovery.secondStart(3, 5, 4))
+	require.InDelta(t, 11.8, BeforeRecovered.secondStart(3, 5, 4), 1e-9)
+	require.InDelta(t, 12.2, AfterRecovered.secondStart(3, 5, 4), 1e-9)
 }
 
-// TestDayKeepsTrafficAndDropsTroubles: of the site's own day only the traffic and
-// its measures stay, and nothing begins after the day's end.
-func TestDayKeepsTrafficAndDropsTroubles(t *testing.T) {
+// A generated day keeps only the traffic of the standard day, and no entry starts after the day's end.
+func TestDayKeepsOnlyTrafficOfStandardDay(t *testing.T) {
 	site := loadTestSite(t)
 	for _, play := range Generate(site) {
 		written, err := play.Day(site)
--- a/bench/plays/site.go
+++ b/bench/plays/site.go
@@ -1,12 +1,9 @@
-// Package plays makes days for the users' bench by design instead of by luck: it
-// lets each pair of the troubles that touch what the product keeps meet in each
-// order at four distances, loses disks and machines of one class again and again
-// as fast as the deployment's page allows, and ends days in each way there is.
-// After a play it reads the product's own logs and checks what the bench's traffic
-// may not have happened to hit. A table says which plays have been made on which
-// commit.
+// Package plays generates days for the users' bench that systematically combine faults and planned work
+// on stateful machines: ordered pairs at four offsets, repeated losses of disks and machines of one class,
+// and all closings of a day. After a play it parses the product's logs and checks invariants that the
+// bench's traffic may not exercise. A table records which plays were run on which commit.
 //
-// Nothing here knows a deployment by its name: all figures come from its site file.
+// All parameters of a deployment come from its site file.
 package plays
 
 import (
@@ -21,16 +18,16 @@
 
 var (
 	namespace = errorx.NewNamespace("plays")
-	// ErrInvalid: a file cannot be read or lacks what is needed of it.
+	// ErrInvalid reports a file or checkout that cannot be read, written or used.
 	ErrInvalid = namespace.NewType("invalid")
-	// ErrNotPlayed: the bench gave no result for a play.
+	// ErrNotPlayed reports a play that was interrupted.
 	ErrNotPlayed = namespace.NewType("not_played")
 )
 
-// Site is what plays need to know of a deployment.
+// Site holds the settings of a deployment that plays depend on.
 type Site struct {
 	Name string `toml:"name"`
-	// LengthSeconds is how long a day's traffic lasts.
+	// LengthSeconds is the duration of a day's traffic.
 	LengthSeconds float64   `toml:"length_s"`
 	Machines      []Machine `toml:"machines"`
 	Classes       []Class   `toml:"classes"`
@@ -45,45 +42,44 @@
 		ContactMillis float64 `toml:"touch_ms"`
 		GraceSeconds  float64 `toml:"grace_s"`
 	} `toml:"bounds"`
-	// Days are the standard days as they stand in the file.
+	// Days are the standard days, undecoded.
 	Days []map[string]any `toml:"day"`
 }
 
-// Machine is a group of like machines of one zone.
+// Machine is a group of identical machines in one zone.
 type Machine struct {
 	Class string `toml:"class"`
 	Count int    `toml:"count"`
 	Spare int    `toml:"spare"`
-	// Disk is nil on machines without one.
+	// Disk is nil on machines without a disk.
 	Disk map[string]any `toml:"disk"`
 }
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	DeadlineMillis float64 `toml:"deadline_ms"`
 	TimeoutMillis  float64 `toml:"timeout_ms"`
 }
 
-// Bounds are the times, in seconds, within which a deployment has to get over
-// what happens, and the losses it bears.
+// Bounds holds the deadlines, in seconds, for recovering from disruptions and the tolerated losses.
 type Bounds struct {
-	// CatchUp is what a machine that is back has until its loss is made good.
+	// CatchUp is the time in which a restarted or replaced machine must have caught up.
 	CatchUp float64
-	// Contact is how long after a disruption a machine is in touch again.
+	// Contact is the time after a disruption within which a machine is connected again.
 	Contact float64
-	// ConfigApply is what a configuration has from its acknowledgement to be in force.
+	// ConfigApply is the time from the acknowledgement of a configuration until it must be applied.
 	ConfigApply float64
-	// Grace is what a planned stop has.
+	// Grace is the grace period of a graceful shutdown.
 	Grace float64
-	// LongestWait is the longest time that a request may take.
+	// LongestWait is the longest deadline or timeout of any request class.
 	LongestWait float64
-	// Length is when the traffic of a day ends.
+	// Length is the time at which the traffic of a day ends.
 	Length float64
 	// Tolerated is the number of machines with a disk that may be lost at once.
 	Tolerated int
 }
 
-// LoadSite reads a site file.
+// LoadSite reads and checks a site file.
 func LoadSite(path string) (*Site, error) {
 	var site Site
 	if _, err := toml.DecodeFile(path, &site); err != nil {
@@ -96,16 +92,16 @@
 	bounds := s.Bounds()
 	switch {
 	case s.Name == "" || len(s.Machines) == 0:
-		return ErrInvalid.New("the site file names no deployment or no machines")
+		return ErrInvalid.New("the site file must set name and machines")
 	case bounds.CatchUp <= 0 || bounds.Contact <= 0 || bounds.ConfigApply <= 0 || bounds.Grace <= 0 || bounds.Length <= 0:
 		return ErrInvalid.New("the site file of %s lacks a bound: %+v", s.Name, bounds)
 	case len(s.Days) == 0:
-		return ErrInvalid.New("the site file of %s has no day whose traffic could be used", s.Name)
+		return ErrInvalid.New("the site file of %s has no standard day", s.Name)
 	}
 	return nil
 }
 
-// Bounds returns the deployment's bounds.
+// Bounds returns the bounds of the deployment.
 func (s *Site) Bounds() Bounds {
 	longest := 0.0
 	for _, class := range s.Classes {
@@ -128,7 +124,7 @@
 	return sum
 }
 
-// spare returns the number of machines of the class that may be added.
+// spare returns the number of machines of the class that can be added.
 func (s *Site) spare(class string) int {
 	sum := 0
 	for _, machine := range s.Machines {
@@ -139,8 +135,8 @@
 	return sum
 }
 
-// keepers returns the classes of machines that have a disk, in order.
-func (s *Site) keepers() []string {
+// diskClasses returns the sorted classes of machines that have a disk.
+func (s *Site) diskClasses() []string {
 	found := map[string]bool{}
 	for _, machine := range s.Machines {
 		if machine.Disk != nil {
@@ -150,8 +146,8 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// trafficDay returns a copy of the standard day whose traffic plays use: the
-// first of those that are for growth, which ask the most, else the first.
+// trafficDay returns a copy of the standard day whose traffic plays use: the first scaling day, which
+// has the highest load, or else the first day.
 func (s *Site) trafficDay() map[string]any {
 	for _, day := range s.Days {
 		if slot, _ := day["slot"].(string); strings.HasPrefix(slot, "scale") {
--- a/bench/workload/workload.go
+++ b/bench/workload/workload.go
@@ -1,5 +1,5 @@
-// Package workload holds the description of a deployment under load: places,
-// engines, trainers and callers. A file says which of its numbers are assumed.
+// Package workload describes a deployment under load: zones, engines, trainers
+// and callers.
 package workload
 
 import (
@@ -17,34 +17,34 @@
 
 var (
 	namespace = errorx.NewNamespace("workload")
-	// ErrInvalid: the file cannot be read or holds something wrong.
+	// ErrInvalid reports a workload file that cannot be read or is invalid.
 	ErrInvalid = namespace.NewType("invalid")
 )
 
-// Workload is a deployment under load.
+// Workload describes a deployment and its load.
 type Workload struct {
 	Name   string   `yaml:"name"`
 	Region string   `yaml:"region"`
 	Zones  []string `yaml:"zones"`
-	// ZoneLatency and CallerLatency are one-way, between zones and to callers.
-	// The simulator applies them; a fleet on one machine has loopback's.
+	// ZoneLatency and CallerLatency are the one-way latencies between zones and to
+	// callers. Only the simulator applies them.
 	ZoneLatency   time.Duration `yaml:"zone_latency"`
 	CallerLatency time.Duration `yaml:"caller_latency"`
 	Controls      int           `yaml:"controls"`
 	NodesPerZone  int           `yaml:"nodes_per_zone"`
-	// LoadsPerSecond is the weight store's rate over all engines.
+	// LoadsPerSecond is the weight store's total rate.
 	LoadsPerSecond float64   `yaml:"loads_per_second"`
 	Groups         []Group   `yaml:"groups"`
 	Trainers       []Trainer `yaml:"trainers"`
 	Callers        []Caller  `yaml:"callers"`
-	// Declarations is the folder of declared pools, beside the file.
+	// Declarations is the folder with the pool declarations, relative to the workload file.
 	Declarations string `yaml:"declarations"`
 
-	// Pools are the declared pools, read from Declarations.
+	// Pools are read from Declarations.
 	Pools []state.PoolSpec `yaml:"-"`
 }
 
-// Group is a group of engines of the same kind, spread over the zones.
+// Group is a group of identical engines, distributed over the zones.
 type Group struct {
 	Name                string        `yaml:"name"`
 	Model               string        `yaml:"model"`
@@ -57,7 +57,7 @@
 	SwapFailPercent     int           `yaml:"swap_fail_percent"`
 }
 
-// Trainer is a trainer of one pool.
+// Trainer describes the trainer of one pool.
 type Trainer struct {
 	Pool      string        `yaml:"pool"`
 	Model     string        `yaml:"model"`
@@ -68,7 +68,7 @@
 	Train     time.Duration `yaml:"train"`
 }
 
-// Caller is the live callers of one pool.
+// Caller describes the live callers of one pool.
 type Caller struct {
 	Pool                 string        `yaml:"pool"`
 	Rate                 float64       `yaml:"rate"`
@@ -80,7 +80,7 @@
 	NotRepeatablePercent int           `yaml:"not_repeatable_percent"`
 }
 
-// Load reads and checks a workload's file and its declarations.
+// Load reads and checks a workload file and its declarations.
 func Load(path string) (*Workload, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return loaded, err
 }
 
-// Pool returns the declared pool of the name, or nil.
+// Pool returns the declared pool with the name, or nil.
 func (w *Workload) Pool(name string) *state.PoolSpec {
 	for position := range w.Pools {
 		if w.Pools[position].Name == name {
--- a/cmd/dillchute-bench/main.go
+++ b/cmd/dillchute-bench/main.go
@@ -1,5 +1,5 @@
-// Command dillchute-bench holds dillchute's stand-ins, the fleet runner and the
-// tools that measure.
+// Command dillchute-bench runs dillchute's stand-ins, the fleet runner and the
+// measurement tools.
 package main
 
 import (
--- a/cmd/dillchute/main.go
+++ b/cmd/dillchute/main.go
@@ -1,4 +1,4 @@
-// Command dillchute runs dillchute's processes and its operator verbs.
+// Command dillchute runs dillchute's processes and operator commands.
 package main
 
 import (
