--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -197,7 +197,7 @@
 	require.Eventually(b, func() bool {
 		status, err := post("http://"+callers+"/v1/completions", nodeBody)
 		return err == nil && status == http.StatusOK
-	}, testPatience, 20*time.Millisecond)
+	}, testTimeout, 20*time.Millisecond)
 	for name, target := range map[string][2]string{
 		"node":   {"http://" + callers + "/v1/completions", nodeBody},
 		"engine": {"http://" + engine + "/v1/generate", engineBody},
@@ -226,7 +226,7 @@
 	require.Eventually(b, func() bool {
 		status, err := post(url, nodeBody)
 		return err == nil && status == http.StatusOK
-	}, testPatience, 20*time.Millisecond)
+	}, testTimeout, 20*time.Millisecond)
 	http.DefaultTransport.(*http.Transport).MaxIdleConnsPerHost = 256
 	var failed atomic.Int64
 	b.SetParallelism(4)
--- a/server/callers_test.go
+++ b/server/callers_test.go
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	select {
 	case <-givenUp:
-	case <-time.After(testPatience):
+	case <-time.After(testTimeout):
 		t.Fatal("the answer waits for its caller")
 	}
 }
--- a/server/checkpoint.go
+++ b/server/checkpoint.go
@@ -12,48 +12,47 @@
 )
 
 const (
-	// checkpointInterval is how long a run lasts before its text is kept in the
-	// ledger for the first time, and the least time between two checkpoints of it.
+	// checkpointInterval is the time from the start of a run to its first checkpoint, and the minimum time
+	// between two checkpoints.
 	checkpointInterval = time.Second
-	// checkpointEvents is the least number of events that makes a checkpoint.
-	checkpointEvents = 16
-	// checkpointBytes bounds the texts in one commit.
-	checkpointBytes = 512 << 10
+	// minCheckpointEvents is the minimum number of new events in a checkpoint.
+	minCheckpointEvents = 16
+	// maxCheckpointBytes limits the texts in one commit.
+	maxCheckpointBytes = 512 << 10
 )
 
-// reportFreshness is how long the newest part of a run tells how far the run is: no news
-// for longer than a runner's keepalive means that its engine stands still.
-const reportFreshness = 250 * time.Millisecond
+// progressMaxAge is how long the last batch counts as the current progress of a run. A longer silence than
+// a runner's keepalive interval means that the engine has stalled.
+const progressMaxAge = 250 * time.Millisecond
 
-// runProgress is the text of a run under way. The run's goroutine extends it,
-// and the loop reads it.
+// runProgress holds the text of an active run. The run's goroutine extends it and the event loop reads it.
 type runProgress struct {
-	// checkpointedAt is when the text was last kept, or when the run began. It
-	// belongs to the loop.
+	// checkpointedAt is the time of the last checkpoint, or of the start of the run. It is used only in the
+	// loop.
 	checkpointedAt time.Time
 
 	mutex  sync.Mutex
 	text   scheduler.Text
 	events int
-	// newest is when the newest part came, in milliseconds.
-	newest int64
+	// newestAt is the time of the last batch in milliseconds.
+	newestAt int64
 }
 
 // newRunProgress returns the progress of a run that continues the text.
 func newRunProgress(text scheduler.Text) *runProgress {
 	return &runProgress{checkpointedAt: time.Now(), text: scheduler.Text{
-		// The full slice expressions force copies: an earlier run may still append.
+		// The full slice expressions force append to copy, because an earlier run may still append.
 		Events: text.Events[:len(text.Events):len(text.Events)], Last: text.Last,
 		Versions: text.Versions[:len(text.Versions):len(text.Versions)],
 	}}
 }
 
-// add takes in the next part, and tells whether it follows the one before.
+// add appends a batch and reports whether it continues the text.
 func (p *runProgress) add(batch runner.Batch) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.events += len(batch.Events)
-	p.newest = nowMillis()
+	p.newestAt = nowMillis()
 	if batch.First != p.text.Last+1 {
 		return false
 	}
@@ -65,41 +64,39 @@
 	return true
 }
 
-// read returns the text so far, which must not be changed, and the number of
-// events since the run began.
+// read returns the text so far, which must not be modified, and the number of events since the run began.
 func (p *runProgress) read() (scheduler.Text, int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.text, p.events
 }
 
-// observed returns the number of events since the run began, and as of when: events come
-// by reports, and an engine would look slow just before the next one.
+// observed returns the number of events since the run began and the time for which it holds. Events arrive
+// in batches; counted as of now, an engine would look slow just before the next batch.
 func (p *runProgress) observed(now int64) (at int64, events int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if now-p.newest < reportFreshness.Milliseconds() {
-		return p.newest, p.events
+	if now-p.newestAt < progressMaxAge.Milliseconds() {
+		return p.newestAt, p.events
 	}
 	return now, p.events
 }
 
-// checkpointedText says up to which event a task's text is kept in the ledger, and by
-// which of its runs that was found out.
-type checkpointedText struct {
+// checkpointedRun records up to which event a checkpoint holds the text of a task's run.
+type checkpointedRun struct {
 	task *scheduler.Task
 	run  uint64
 	last uint64
 }
 
-// checkpoint keeps the texts of long runs in the ledger, so that the next leader
-// goes on after them. One commit is under way at a time.
-func (t *tenure) checkpoint() {
+// checkpoint stores the texts of long runs in the ledger, so that the next leader can continue them. At
+// most one commit is in progress.
+func (t *leadership) checkpoint() {
 	if t.checkpointing {
 		return
 	}
-	checkpoints, texts := t.collectCheckpoints(time.Now())
-	if len(texts) == 0 {
+	checkpoints, runs := t.collectCheckpoints(time.Now())
+	if len(runs) == 0 {
 		return
 	}
 	t.checkpointing = true
@@ -108,31 +105,30 @@
 		t.loop.Submit(func() {
 			t.checkpointing = false
 			if err == nil {
-				t.noteCheckpointed(texts)
+				t.recordCheckpointed(runs)
 			}
 		})
 	}()
 }
 
-// collectCheckpoints returns what the runs that are due have produced since
-// their last checkpoints.
-func (t *tenure) collectCheckpoints(now time.Time) (map[string]*ledger.Checkpoint, []checkpointedText) {
+// collectCheckpoints returns the events of all due runs since their last checkpoints.
+func (t *leadership) collectCheckpoints(now time.Time) (map[string]*ledger.Checkpoint, []checkpointedRun) {
 	checkpoints := map[string]*ledger.Checkpoint{}
-	var texts []checkpointedText
-	bytes := 0
+	var runs []checkpointedRun
+	size := 0
 	for task, progress := range t.progress {
-		if now.Sub(progress.checkpointedAt) < checkpointInterval || task.State != scheduler.Running || task.IsSpeculative() || bytes > checkpointBytes {
+		if now.Sub(progress.checkpointedAt) < checkpointInterval || task.State != scheduler.Running || task.IsSpeculative() || size > maxCheckpointBytes {
 			continue
 		}
 		text, _ := progress.read()
 		after := min(t.checkpointed[task], text.Last)
-		if text.Last < after+checkpointEvents {
+		if text.Last < after+minCheckpointEvents {
 			continue
 		}
 		progress.checkpointedAt = now
 		added := text.Events[after:]
 		for _, data := range added {
-			bytes += len(data)
+			size += len(data)
 		}
 		step := task.Step.ID
 		if checkpoints[step] == nil {
@@ -141,12 +137,12 @@
 		checkpoints[step].Texts = append(checkpoints[step].Texts, ledger.Continuation{
 			Sample: task.Sample.ID, After: after, Events: added, Versions: text.Versions,
 		})
-		texts = append(texts, checkpointedText{task: task, run: task.Run, last: text.Last})
+		runs = append(runs, checkpointedRun{task: task, run: task.Run, last: text.Last})
 	}
-	return checkpoints, texts
+	return checkpoints, runs
 }
 
-func (t *tenure) commitCheckpoints(checkpoints map[string]*ledger.Checkpoint) error {
+func (t *leadership) commitCheckpoints(checkpoints map[string]*ledger.Checkpoint) error {
 	for step, checkpoint := range checkpoints {
 		limited, cancel := context.WithTimeout(t.context, recordTimeout)
 		_, err := t.replica.Execute(limited, ledger.Command{Checkpoint: checkpoint}.Encode())
@@ -161,13 +157,13 @@
 	return nil
 }
 
-// noteCheckpointed takes in what was kept. A text that has been begun anew meanwhile is
-// kept from its beginning the next time.
-func (t *tenure) noteCheckpointed(texts []checkpointedText) {
-	t.metrics.checkpoints.WithLabelValues().Add(float64(len(texts)))
-	for _, one := range texts {
-		if one.task.Run == one.run && one.task.State == scheduler.Running {
-			t.checkpointed[one.task] = one.last
+// recordCheckpointed records the stored events. A text that was restarted meanwhile is stored from its
+// beginning next time.
+func (t *leadership) recordCheckpointed(runs []checkpointedRun) {
+	t.metrics.checkpoints.WithLabelValues().Add(float64(len(runs)))
+	for _, saved := range runs {
+		if saved.task.Run == saved.run && saved.task.State == scheduler.Running {
+			t.checkpointed[saved.task] = saved.last
 		}
 	}
 }
--- a/server/demand.go
+++ b/server/demand.go
@@ -20,16 +20,16 @@
 )
 
 // tellDemand tells the directory what the open steps need, if there are services that may be scaled.
-func (t *tenure) tellDemand() {
-	if t.catalog == nil || clock.Since(t.demandAt) < demandInterval || !t.scales() || t.fresh.isStale(nowMillis()) {
+func (t *leadership) tellDemand() {
+	if t.catalog == nil || clock.Since(t.demandReportedAt) < demandInterval || !t.scales() || t.freshness.isStale(nowMillis()) {
 		return
 	}
-	t.demandAt = clock.Now()
+	t.demandReportedAt = clock.Now()
 	go t.sendDemand(t.demands())
 }
 
 // demands returns what the open steps need of each service that may be scaled.
-func (t *tenure) demands() []capacity.Demand {
+func (t *leadership) demands() []capacity.Demand {
 	told := map[string]bool{}
 	demands := slices.DeleteFunc(t.scheduler.Demand(nowMillis(), t.neededFrom), func(demand capacity.Demand) bool {
 		return t.catalog.Services[demand.Service].Scale == nil
@@ -48,14 +48,14 @@
 
 // neededFrom tells the services that the task needs. It changes nothing: no trial is asked for by a
 // sample that is only counted.
-func (t *tenure) neededFrom(task *scheduler.Task) ([]string, bool) {
+func (t *leadership) neededFrom(task *scheduler.Task) ([]string, bool) {
 	if task.State == scheduler.Waiting && !t.guard.IsIdle() && t.guard.CheckSubject(task.Subject()).Quarantined {
 		return nil, false
 	}
-	return t.routeOf(task)
+	return t.routedServices(task)
 }
 
-func (t *tenure) sendDemand(demands []capacity.Demand) {
+func (t *leadership) sendDemand(demands []capacity.Demand) {
 	ctx, cancel := context.WithTimeout(t.context, demandTimeout)
 	defer cancel()
 	if _, err := t.watcher.call(ctx, directoryCall{Demands: demands}); err != nil {
@@ -64,7 +64,7 @@
 }
 
 // scales tells whether a service may be scaled.
-func (t *tenure) scales() bool {
+func (t *leadership) scales() bool {
 	for _, service := range t.catalog.Services {
 		if service.Scale != nil {
 			return true
--- a/server/demand_test.go
+++ b/server/demand_test.go
@@ -28,7 +28,7 @@
 		Suspects:  func() map[quarantine.Fingerprint]quarantine.Suspect { return suspects },
 		TakeTrial: func(context.Context, quarantine.Fingerprint) bool { return true },
 	}, clock.Now)
-	tenured.heldBack, tenured.asking = map[quarantine.Fingerprint]bool{}, map[quarantine.Fingerprint]bool{}
+	tenured.quarantined, tenured.requestingTrial = map[quarantine.Fingerprint]bool{}, map[quarantine.Fingerprint]bool{}
 	_, needed := tenured.neededFrom(task)
 	require.False(t, needed)
 	task.State = scheduler.Running
@@ -36,6 +36,6 @@
 	require.True(t, needed)
 	require.Equal(t, []string{"s"}, services)
 	require.Empty(t, tenured.demands(), "the step's sample is held back, and its service cannot be scaled")
-	require.Empty(t, tenured.asking)
-	require.Empty(t, tenured.heldBack)
+	require.Empty(t, tenured.requestingTrial)
+	require.Empty(t, tenured.quarantined)
 }
--- a/server/engine.go
+++ b/server/engine.go
@@ -9,46 +9,45 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// EngineReport is what an engine says it holds, as of some time ago.
+// EngineReport is the state of an engine, as reported by the engine. It may be out of date.
 type EngineReport struct {
-	// Born is when the engine started, in milliseconds since 1970, or 0 if it does not say.
-	Born int64
-	// Sequence counts the orders that the engine has taken.
+	// StartTime is when the engine started, in Unix milliseconds, or 0 if unknown.
+	StartTime int64
+	// Sequence is the number of orders that the engine has accepted.
 	Sequence uint64
 	Busy     bool
 	Models   []directory.ModelVersion
 }
 
-// LoadAnswer is an engine's answer to an order.
+// LoadAnswer is an engine's answer to a load order.
 type LoadAnswer uint8
 
-// The answers.
 const (
-	// LoadStarted: the engine loads.
+	// LoadStarted means that the engine is loading the version.
 	LoadStarted LoadAnswer = iota + 1
-	// LoadHeld: the engine holds the version.
+	// LoadHeld means that the engine already holds the version.
 	LoadHeld
-	// LoadConflict: another order is under way, or the sequence was another.
+	// LoadConflict means that another load is in progress or the sequence did not match.
 	LoadConflict
-	// LoadRefused: the engine does not take the order.
+	// LoadRefused means that the engine does not accept the order.
 	LoadRefused
-	// LoadUnanswered: the engine may carry the order out, now or later.
+	// LoadUnanswered means that the engine may execute the order, now or later.
 	LoadUnanswered
 )
 
-// LoadRequest orders an engine to load a version.
+// LoadRequest is an order to an engine to load a version.
 type LoadRequest struct {
 	Order scheduler.LoadOrder
-	// Holder and Fence name who orders; a higher fence voids lower ones.
+	// Holder and Fence identify the sender. A higher fence invalidates orders with a lower one.
 	Holder string
 	Fence  uint64
-	// Sequence is the number of orders that the engine must have taken before.
+	// Sequence is the expected number of orders that the engine has accepted.
 	Sequence uint64
-	// SendBy is until when the order may be written, by package clock.
+	// SendBy is the deadline for writing the request, by package clock.
 	SendBy time.Time
 }
 
-// EngineClient speaks to engines.
+// EngineClient runs samples on engines, sends them load orders and queries their state.
 type EngineClient interface {
 	runner.Engine
 	Load(ctx context.Context, request LoadRequest) LoadAnswer
--- a/server/engines.go
+++ b/server/engines.go
@@ -31,7 +31,7 @@
 	engineIdleConns    = 256
 )
 
-// engineClient carries a node's messages to engines over their HTTP interface.
+// engineClient sends a node's messages to engines over their HTTP interface.
 type engineClient struct {
 	context context.Context
 	receive func(engine string, message protocol.EngineMessage)
@@ -51,13 +51,12 @@
 	}
 }
 
-// send starts carrying out a message; what comes of it goes to receive.
+// send starts processing a message and passes the engine's answers to receive.
 func (c *engineClient) send(outgoing node.EngineOutgoing) {
 	switch message := outgoing.Message; {
 	case message.Start != nil:
-		// The attempt is known before send returns, so that a cancel which
-		// follows at once finds it.
-		ctx := c.register(message.Start.Attempt)
+		// The attempt is registered before send returns, so that an immediately following cancel finds it.
+		ctx := c.registerAttempt(message.Start.Attempt)
 		go c.generate(ctx, outgoing.Engine, outgoing.Address, message.Start)
 	case message.Cancel != nil:
 		c.cancel(message.Cancel.Attempt)
@@ -71,7 +70,7 @@
 func (c *engineClient) post(ctx context.Context, address, path string, body any) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		panic("server: an engine request must encode: " + err.Error())
+		panic("server: cannot encode an engine request: " + err.Error())
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(data))
 	if err != nil {
@@ -81,8 +80,8 @@
 	return c.client.Do(request)
 }
 
-// register returns a context for the attempt, which cancel ends.
-func (c *engineClient) register(attempt string) context.Context {
+// registerAttempt returns a context that cancel ends.
+func (c *engineClient) registerAttempt(attempt string) context.Context {
 	ctx, cancel := context.WithCancel(c.context)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -94,29 +93,29 @@
 	defer c.cancel(start.Attempt)
 	response, err := c.post(ctx, address, "/v1/generate", start)
 	if err != nil {
-		c.receive(engine, failedStart(start.Attempt, err))
+		c.receive(engine, startFailure(start.Attempt, err))
 		return
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		c.refused(engine, start.Attempt, response)
+		c.handleRefusal(engine, start.Attempt, response)
 		return
 	}
 	c.readChunks(engine, start.Attempt, response)
 }
 
-// failedStart tells a start that provably did not reach the engine, since no
-// connection came about, from one that may have.
-func failedStart(attempt string, err error) protocol.EngineMessage {
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
+// startFailure returns a refusal if the connection failed, so that the start cannot have reached the
+// engine, and otherwise a lost attempt.
+func startFailure(attempt string, err error) protocol.EngineMessage {
+	var opError *net.OpError
+	if errors.As(err, &opError) && opError.Op == "dial" {
 		return protocol.EngineMessage{Refused: &protocol.EngineRefused{Attempt: attempt, Reason: protocol.RefusedConnect}}
 	}
 	return protocol.EngineMessage{Lost: &protocol.EngineLost{Attempt: attempt}}
 }
 
-// refused takes in a refusal, which counts only if the engine says so itself.
-func (c *engineClient) refused(engine, attempt string, response *http.Response) {
+// handleRefusal forwards a refusal if it is the engine's own. Any other response counts as a lost attempt.
+func (c *engineClient) handleRefusal(engine, attempt string, response *http.Response) {
 	var refused protocol.EngineRefused
 	err := json.NewDecoder(response.Body).Decode(&refused)
 	if err != nil || refused.Attempt != attempt || refused.Reason == "" {
@@ -146,7 +145,7 @@
 	c.receive(engine, protocol.EngineMessage{Lost: &protocol.EngineLost{Attempt: attempt}})
 }
 
-// cancel ends the attempt's connection, by which the engine ends its stream.
+// cancel closes the attempt's connection, which makes the engine end its stream.
 func (c *engineClient) cancel(attempt string) {
 	c.mutex.Lock()
 	cancel := c.cancels[attempt]
--- a/server/executor.go
+++ b/server/executor.go
@@ -19,22 +19,21 @@
 )
 
 const (
-	executorTick = 100 * time.Millisecond
-	// stallTimeout ends a run whose engine sends nothing, and loadStall that
-	// of a run whose engine loads weights meanwhile.
-	stallTimeout = 1200 * time.Millisecond
-	loadStall    = 5 * time.Second
-	// rewardBackoff is the pause before a reward call is repeated.
+	executorTickInterval = 100 * time.Millisecond
+	// stallTimeout ends a run whose engine sends nothing, loadStallTimeout one whose engine is loading
+	// weights.
+	stallTimeout     = 1200 * time.Millisecond
+	loadStallTimeout = 5 * time.Second
+	// rewardBackoff is the pause before a reward call is retried.
 	rewardBackoff = 100 * time.Millisecond
 	recordTimeout = 2 * time.Second
-	// recordPause is the time between two commits of results, and recordRetry
-	// that after one that failed.
-	recordPause   = 40 * time.Millisecond
-	recordRetry   = 100 * time.Millisecond
-	pruneInterval = 10 * time.Second
+	// recordInterval is the pause after a commit of results, recordRetryDelay the pause after a failed one.
+	recordInterval   = 40 * time.Millisecond
+	recordRetryDelay = 100 * time.Millisecond
+	pruneInterval    = 10 * time.Second
 )
 
-// Executor runs samples while its process leads the group.
+// Executor runs samples while its replica leads the group.
 type Executor struct {
 	settings  config.Ledger
 	watcher   *Watcher
@@ -44,10 +43,11 @@
 	metrics   ledgerMetrics
 	orders    *duty.Tracker
 	logger    *zerolog.Logger
-	// runnersOpen is the number of the leader's runners, as of its last tick.
-	runnersOpen atomic.Int64
-	// plan is how the leader's newest plan has ranked the open groups, as of its last tick.
-	plan atomic.Pointer[scheduler.PlanCounts]
+	// openRunners is the number of open links to runners at the leader's last tick.
+	openRunners atomic.Int64
+	// planCounts counts the open groups by their place in the leader's last plan, or is nil on other
+	// replicas.
+	planCounts atomic.Pointer[scheduler.PlanCounts]
 }
 
 func newExecutor(settings config.Ledger, watcher *Watcher, engines EngineClient, backends forward.Client, metrics ledgerMetrics, logger *zerolog.Logger) *Executor {
@@ -58,7 +58,7 @@
 	}
 }
 
-// run begins a leadership whenever the replica serves, and ends it when it does not.
+// run starts a leadership whenever the replica leads and serves.
 func (x *Executor) run(ctx context.Context, opened *replica.Replica, machine *ledger.Machine) {
 	for ctx.Err() == nil {
 		changed := opened.Changed()
@@ -74,25 +74,25 @@
 	}
 }
 
-// lead runs samples until the replica leads no more.
+// lead runs samples until the leadership ends.
 func (x *Executor) lead(ctx context.Context, opened *replica.Replica, machine *ledger.Machine, term uint64) {
-	leadership, stop := context.WithCancel(ctx)
+	leaderContext, stop := context.WithCancel(ctx)
 	defer stop()
-	t := &tenure{
-		Executor: x, context: leadership, replica: opened, machine: machine, term: term,
+	t := &leadership{
+		Executor: x, context: leaderContext, replica: opened, machine: machine, term: term,
 		loop: eventloop.New(), scheduler: scheduler.New(),
 		cancels: map[*scheduler.Task]context.CancelFunc{}, progress: map[*scheduler.Task]*runProgress{},
-		checkpointed: map[*scheduler.Task]uint64{}, known: map[string]bool{}, rewards: newRewardLimit(), turns: newKindTurns(),
+		checkpointed: map[*scheduler.Task]uint64{}, knownSteps: map[string]bool{}, rewardLimiter: newRewardLimiter(), turns: newKindTurns(),
 		workingSets: map[string]*scheduler.WorkingSet{},
-		heldBack:    map[quarantine.Fingerprint]bool{}, asking: map[quarantine.Fingerprint]bool{},
+		quarantined: map[quarantine.Fingerprint]bool{}, requestingTrial: map[quarantine.Fingerprint]bool{},
 	}
-	t.runners = runner.NewPool(leadership, term, t.adopt, x.logger)
-	t.deferOrders()
-	t.loadHistory()
-	go t.follow(stop)
-	// The loop looks again for what can be started after each call.
-	go t.fresh.confirm(leadership, opened, func() { t.loop.Submit(func() {}) })
-	t.loop.Run(leadership, executorTick, t.tick, t.flush)
-	x.runnersOpen.Store(0)
-	x.plan.Store(nil)
+	t.runners = runner.NewPool(leaderContext, term, t.adoptRuns, x.logger)
+	t.deferLoads()
+	t.restoreHistory()
+	go t.watchChanges(stop)
+	// An empty call makes the loop flush once the leadership is confirmed.
+	go t.freshness.confirm(leaderContext, opened, func() { t.loop.Submit(func() {}) })
+	t.loop.Run(leaderContext, executorTickInterval, t.tick, t.flush)
+	x.openRunners.Store(0)
+	x.planCounts.Store(nil)
 }
--- a/server/followed_run.go
+++ b/server/followed_run.go
@@ -10,31 +10,30 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// followedRun is a run under way, as its tenure follows it.
-type followedRun struct {
-	tenure     *tenure
+// activeRun is a run that the leader has started or adopted.
+type activeRun struct {
+	leadership *leadership
 	assignment scheduler.Assignment
 	context    context.Context
 	cancel     context.CancelFunc
 	progress   *runProgress
-	// silence gives the run up if its engine sends nothing for stall.
-	silence *time.Timer
-	stall   time.Duration
-	// verdict is what was known of the sample as its run began, and trial is set if the run used
-	// a permit.
+	// stallTimer cancels the run if its engine sends nothing for stallTimeout.
+	stallTimer   *time.Timer
+	stallTimeout time.Duration
+	// verdict is the verdict on the sample when the run began. isTrial is set if the run used a permit.
 	verdict quarantine.Verdict
-	trial   bool
+	isTrial bool
 
-	// mutex holds back parts that come while the run is given up.
+	// mutex guards the fields below and serializes batches with the end of the run.
 	mutex sync.Mutex
-	// version is the newest that has made an event, and gap is set once an event did not
-	// follow the one before.
+	// version is the newest version that generated an event. hasGap is set once a batch did not continue
+	// the text.
 	version uint64
-	gap     bool
+	hasGap  bool
 }
 
-// followRun prepares to follow a run of the task.
-func (t *tenure) followRun(assignment scheduler.Assignment) *followedRun {
+// beginRun registers a run of the task and starts its stall timer.
+func (t *leadership) beginRun(assignment scheduler.Assignment) *activeRun {
 	task := assignment.Task
 	ctx, cancel := context.WithCancel(t.context)
 	t.cancels[task] = cancel
@@ -43,69 +42,69 @@
 	if task.Text.Last == 0 {
 		delete(t.checkpointed, task)
 	}
-	stall := stallTimeout
+	timeout := stallTimeout
 	if t.scheduler.IsLoading(assignment.Backend.ID, task.Step.Model) {
-		stall = loadStall
+		timeout = loadStallTimeout
 	}
-	verdict, trial := t.clearedFor(task)
+	verdict, isTrial := t.clearedFor(task)
 	task.KindSuspected = verdict.KnownKindCrashes > 0
-	return &followedRun{
-		verdict: verdict, trial: trial, tenure: t, assignment: assignment, context: ctx, cancel: cancel, progress: progress,
-		silence: time.AfterFunc(stall, cancel), stall: stall,
+	return &activeRun{
+		verdict: verdict, isTrial: isTrial, leadership: t, assignment: assignment, context: ctx, cancel: cancel, progress: progress,
+		stallTimer: time.AfterFunc(timeout, cancel), stallTimeout: timeout,
 	}
 }
 
-// take takes in the next part of the run's text.
-func (f *followedRun) take(batch runner.Batch) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.silence.Reset(f.stall)
-	f.tenure.metrics.events.WithLabelValues().Add(float64(len(batch.Events)))
+// addBatch appends the next batch of events to the run's text. It cancels the run if events are missing.
+func (r *activeRun) addBatch(batch runner.Batch) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.stallTimer.Reset(r.stallTimeout)
+	r.leadership.metrics.events.WithLabelValues().Add(float64(len(batch.Events)))
 	for _, version := range batch.Versions {
-		f.version = max(f.version, version)
+		r.version = max(r.version, version)
 	}
-	if f.gap = f.gap || !f.progress.add(batch); f.gap {
-		f.cancel()
+	if r.hasGap = r.hasGap || !r.progress.add(batch); r.hasGap {
+		r.cancel()
 	}
 }
 
-// outcome returns how a run has ended by what came of it, its text, and the newest version
-// that has made an event of it.
-func (f *followedRun) outcome(end scheduler.RunEnd) (scheduler.RunEnd, scheduler.Text, uint64) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	text, _ := f.progress.read()
-	if end == scheduler.Complete && (f.gap || text.Last == 0) {
+// outcome returns how the run ended, its text and the newest version that generated an event. A run with
+// missing or no events counts as broken.
+func (r *activeRun) outcome(end scheduler.RunEnd) (scheduler.RunEnd, scheduler.Text, uint64) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	text, _ := r.progress.read()
+	if end == scheduler.Complete && (r.hasGap || text.Last == 0) {
 		end = scheduler.Broken
 	}
-	return end, text, f.version
+	return end, text, r.version
 }
 
-// learn takes in what the run's end tells of its sample. The runner tells of a crash, too; what
-// is told twice counts once, and this leader knows before the sample waits again.
-func (f *followedRun) learn(end scheduler.RunEnd) {
-	guard, task := f.tenure.guard, f.assignment.Task
+// recordOutcome updates the quarantine guard. A crash is also reported by the runner, but counted once;
+// recording it here ensures that this leader knows of it before the sample waits again.
+func (r *activeRun) recordOutcome(end scheduler.RunEnd) {
+	guard, task := r.leadership.guard, r.assignment.Task
 	subject := func() quarantine.Subject {
 		return scheduler.SubjectOf(task.Step.Host, task.Step.Tenant, task.Sample)
 	}
 	switch {
 	case end == scheduler.Complete && !guard.IsIdle():
 		guard.RecordResponse(subject())
-	case f.trial && (end == scheduler.Rejected || end == scheduler.Misdirected || end == scheduler.Unreachable):
-		// It has not run: the trial is still to come.
+	case r.isTrial && (end == scheduler.Rejected || end == scheduler.Misdirected || end == scheduler.Unreachable):
+		// The sample did not run, so the trial remains available.
 		guard.Permit(subject().Content)
 	case end == scheduler.Crashed:
-		guard.RecordCrash(subject(), f.assignment.Backend.ID, f.verdict)
+		guard.RecordCrash(subject(), r.assignment.Backend.ID, r.verdict)
 	}
 }
 
-// run waits for the run's end and tells it to the tenure.
-func (f *followedRun) run(wait func(ctx context.Context) scheduler.RunEnd) {
+// awaitEnd waits for the end of the run and submits it to the event loop.
+func (r *activeRun) awaitEnd(wait func(ctx context.Context) scheduler.RunEnd) {
 	began := time.Now()
-	defer f.cancel()
-	defer f.silence.Stop()
-	end, text, version := f.outcome(wait(f.context))
-	f.learn(end)
-	f.tenure.metrics.run.WithLabelValues().Observe(time.Since(began).Seconds())
-	f.tenure.loop.Submit(func() { f.tenure.runEnded(f.assignment.Task, f.assignment, end, text, version) })
+	defer r.cancel()
+	defer r.stallTimer.Stop()
+	end, text, version := r.outcome(wait(r.context))
+	r.recordOutcome(end)
+	r.leadership.metrics.run.WithLabelValues().Observe(time.Since(began).Seconds())
+	r.leadership.loop.Submit(func() { r.leadership.runEnded(r.assignment.Task, r.assignment, end, text, version) })
 }
--- a/server/held_sample.go
+++ b/server/held_sample.go
@@ -12,7 +12,7 @@
 
 // isHeldBack tells whether the task's sample crashes the engines that run it. Its trial, if one
 // is offered, is asked for beside the loop.
-func (t *tenure) isHeldBack(task *scheduler.Task) bool {
+func (t *leadership) isHeldBack(task *scheduler.Task) bool {
 	if t.guard.IsIdle() {
 		return false
 	}
@@ -20,12 +20,12 @@
 	if !verdict.Quarantined {
 		return false
 	}
-	if !t.heldBack[verdict.Subject.Content] {
-		t.heldBack[verdict.Subject.Content] = true
+	if !t.quarantined[verdict.Subject.Content] {
+		t.quarantined[verdict.Subject.Content] = true
 		event.SampleQuarantined.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("content", string(verdict.Fingerprint)).Send()
 	}
-	if verdict.TrialOffered && !t.asking[verdict.Fingerprint] {
-		t.asking[verdict.Fingerprint] = true
+	if verdict.TrialOffered && !t.requestingTrial[verdict.Fingerprint] {
+		t.requestingTrial[verdict.Fingerprint] = true
 		go t.askForTrial(verdict)
 	}
 	return true
@@ -33,7 +33,7 @@
 
 // isPostponed tells whether an engine has ended under the task's sample, and too many are away for
 // it to run on another one now.
-func (t *tenure) isPostponed(task *scheduler.Task, services []string) bool {
+func (t *leadership) isPostponed(task *scheduler.Task, services []string) bool {
 	if t.guard.IsIdle() {
 		task.KindSuspected = false
 		return false
@@ -44,16 +44,16 @@
 }
 
 // askForTrial asks for a trial, which is the sample's alone also if it is that of its kind.
-func (t *tenure) askForTrial(verdict quarantine.Verdict) {
+func (t *leadership) askForTrial(verdict quarantine.Verdict) {
 	if t.guard.TakeTrial(t.context, verdict.Fingerprint) {
 		t.guard.Permit(verdict.Subject.Content)
 	}
-	t.loop.Submit(func() { delete(t.asking, verdict.Fingerprint) })
+	t.loop.Submit(func() { delete(t.requestingTrial, verdict.Fingerprint) })
 }
 
 // clearedFor returns what is known of a sample whose run begins, and whether the run is a trial:
 // a permit is used up.
-func (t *tenure) clearedFor(task *scheduler.Task) (verdict quarantine.Verdict, trial bool) {
+func (t *leadership) clearedFor(task *scheduler.Task) (verdict quarantine.Verdict, trial bool) {
 	if t.guard.IsIdle() {
 		return quarantine.Verdict{}, false
 	}
--- a/server/inspect.go
+++ b/server/inspect.go
@@ -9,49 +9,46 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-// inspectWindow is how long before the newest order another one was given whose engine a
-// new leader asks: a load may take loadLimit, and the directory learns what an engine holds
-// by a heartbeat after it.
-const inspectWindow = loadLimit + 4*time.Second
+// recentOrderWindow is how far before the newest order another one counts as recent. It covers loadTimeout
+// and the heartbeat by which the directory then learns what the engine holds.
+const recentOrderWindow = loadTimeout + 4*time.Second
 
-// inspect asks the engines that were given orders lately what they hold and whether they
-// still load: the directory learns of versions by heartbeats only, and of loads under way
-// not at all. Of the others it knows all there is. So what a new leader asks grows with the
-// loads that there is time for, and not with the engines.
-func (t *tenure) inspect(backends []directory.Backend) {
-	var lately map[string]bool
-	t.replica.Do(func() { lately = orderedLately(t.machine.Orders()) })
+// inspectEngines queries the engines with recent orders for their versions and loads in progress. The
+// directory learns of versions only with heartbeats and never of loads in progress; for all other engines
+// its state is complete. So the number of queries depends on recent loads, not on the size of the fleet.
+func (t *leadership) inspectEngines(backends []directory.Backend) {
+	var recent map[string]bool
+	t.replica.Do(func() { recent = recentlyOrdered(t.machine.Orders()) })
 	for _, backend := range backends {
-		if lately[orderSubject(backend)] {
+		if recent[orderSubject(backend)] {
 			go t.inspectEngine(backend)
 		}
 	}
 }
 
-// orderedLately returns the engines whose newest orders are no older than inspectWindow
-// when the newest of all was given. Orders are compared with each other only, so that the
-// time of day of this machine does not matter.
-func orderedLately(orders map[string]duty.Action) map[string]bool {
+// recentlyOrdered returns the engines whose last orders are within recentOrderWindow of the newest one.
+// Only orders are compared, so that the result does not depend on this machine's wall clock.
+func recentlyOrdered(orders map[string]duty.Action) map[string]bool {
 	newest := int64(0)
 	for _, order := range orders {
 		newest = max(newest, order.At)
 	}
-	lately := map[string]bool{}
+	recent := map[string]bool{}
 	for engine, order := range orders {
-		if order.At >= newest-inspectWindow.Milliseconds() {
-			lately[engine] = true
+		if order.At >= newest-recentOrderWindow.Milliseconds() {
+			recent[engine] = true
 		}
 	}
-	return lately
+	return recent
 }
 
-func (t *tenure) inspectEngine(backend directory.Backend) {
-	limited, cancel := context.WithTimeout(t.context, loadLimit)
+func (t *leadership) inspectEngine(backend directory.Backend) {
+	limited, cancel := context.WithTimeout(t.context, loadTimeout)
 	defer cancel()
-	report, err := t.report(limited, backend)
+	report, err := t.queryEngine(limited, backend)
 	event.EngineInspected.On(t.logger).Str("engine", backend.ID).Uint("busy", boolToUint(report.Busy)).
 		Uint("failed", boolToUint(err != nil)).Send()
-	if err == nil && !t.isSameLife(backend, report) {
+	if err == nil && !t.isSameIncarnation(backend, report) {
 		return
 	}
 	if err == nil && report.Busy {
@@ -59,10 +56,10 @@
 		defer t.loop.Submit(func() { t.scheduler.ClearLoading(backend.ID) })
 	}
 	for err == nil && report.Busy {
-		sleep(limited, loadPoll)
-		report, err = t.report(limited, backend)
+		sleep(limited, loadPollInterval)
+		report, err = t.queryEngine(limited, backend)
 	}
-	if err != nil || !t.isSameLife(backend, report) {
+	if err != nil || !t.isSameIncarnation(backend, report) {
 		return
 	}
 	t.loop.Submit(func() {
--- a/server/ledger.go
+++ b/server/ledger.go
@@ -23,26 +23,25 @@
 )
 
 const (
-	// registerInterval is the time between a store's reviews of its
-	// registration, and of what it has to do for the group.
-	registerInterval = 200 * time.Millisecond
-	// registerRefresh is how long a registration that was taken is not repeated.
-	registerRefresh = 3 * time.Second
+	// registrationCheckInterval is the time between checks of a store's registration and of the group's
+	// state.
+	registrationCheckInterval = 200 * time.Millisecond
+	// registrationRetryInterval is the time after an accepted registration before it is repeated.
+	registrationRetryInterval = 3 * time.Second
 )
 
-// Ledger runs a store: a replica of a group of the ledger and, on its leader,
-// the executor that runs the samples.
+// Ledger runs a store: a replica of a ledger group and, on its leader, the executor that runs the samples.
 type Ledger struct {
 	settings config.Ledger
 	logger   *zerolog.Logger
 	machine  *ledger.Machine
 	watcher  *Watcher
 	executor *Executor
-	// runs holds streams for the leader.
-	runs    *runner.Server
-	metrics ledgerMetrics
-	// identity is that of a store without data, and fresh tells that it has never
-	// had any.
+	// runnerServer runs samples for the leader.
+	runnerServer *runner.Server
+	metrics      ledgerMetrics
+	// identity is the replica ID to use if the data folder is empty. fresh is set if the store never held
+	// data.
 	identity consensus.ReplicaID
 	fresh    bool
 
@@ -50,7 +49,8 @@
 	replica *replica.Replica
 }
 
-// NewLedger prepares a store. The clients reach engines and other backends.
+// NewLedger returns a store that is not yet running. It uses the clients to reach engines and other
+// backends.
 func NewLedger(settings config.Ledger, seeds *Seeds, engines EngineClient, backends forward.Client, logger *zerolog.Logger) *Ledger {
 	l := &Ledger{
 		settings: settings, logger: logger, machine: ledger.NewMachine(),
@@ -61,11 +61,11 @@
 	l.watcher.age.limit = settings.CopyLimit
 	l.metrics = newLedgerMetrics()
 	l.executor = newExecutor(settings, l.watcher, engines, backends, l.metrics, logger)
-	l.runs = runner.NewServer(&guardedEngine{engine: engines, guard: l.executor.guard, hasEnded: l.executor.forwarder.HasCrashed}, logger)
+	l.runnerServer = runner.NewServer(&guardedEngine{engine: engines, guard: l.executor.guard, hasEnded: l.executor.forwarder.HasCrashed}, logger)
 	return l
 }
 
-// Run serves other processes on the listener until the context ends.
+// Run serves internal calls on the listener until the context ends.
 func (l *Ledger) Run(ctx context.Context, internal net.Listener) error {
 	watchContext, stopWatch := context.WithCancel(context.Background())
 	defer stopWatch()
@@ -80,27 +80,26 @@
 	router := mux.NewRouter()
 	opened.Handle(router)
 	router.HandleFunc(ledgerCallPath, l.serveCall).Methods(http.MethodPost)
-	router.Handle(runner.Path, l.runs).Methods(http.MethodPost)
+	router.Handle(runner.Path, l.runnerServer).Methods(http.MethodPost)
 	httpServer := newHTTPServer(router)
 	serveHTTP(httpServer, internal, l.logger)
 	go l.maintain(watchContext, opened)
 	go tellCrashes(watchContext, l.executor.guard, l.watcher)
 	go l.executor.run(watchContext, opened, l.machine)
 	err = opened.Run(ctx)
-	l.finish(httpServer)
+	l.shutdown(httpServer)
 	return err
 }
 
-// finish ends what the store does for others, and tells what it has learnt of crashes. Telling
-// comes last: what is taken meanwhile would end with the process, and what ends with the links may
-// be news.
-func (l *Ledger) finish(httpServer *http.Server) {
+// shutdown closes the servers, then reports the known crashes. The report comes last because runs that end
+// with their links may have recorded further crashes.
+func (l *Ledger) shutdown(httpServer *http.Server) {
 	httpServer.Close()
-	l.runs.Close()
+	l.runnerServer.Close()
 	tellNews(context.Background(), l.executor.guard, l.watcher)
 }
 
-// Status returns the replica's status, or nil before it has one.
+// Status returns the replica's status, or nil if the replica is not open yet.
 func (l *Ledger) Status() *replica.Status {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -110,23 +109,23 @@
 	return l.replica.Status()
 }
 
-// open opens the data folder. A store without data registers first, and waits
-// until the directory knows the group that it founds or joins.
+// open opens the data folder. A store without data first registers and waits until the directory knows the
+// group that it forms or joins.
 func (l *Ledger) open(ctx context.Context) (*replica.Replica, error) {
-	held := storage.HasReplica(l.settings.DataFolder)
-	if !held {
-		if err := l.identify(); err != nil {
+	hasData := storage.HasReplica(l.settings.DataFolder)
+	if !hasData {
+		if err := l.initIdentity(); err != nil {
 			return nil, err
 		}
 	}
 	settings := replica.Settings{
 		Cluster: l.cluster(), Address: l.settings.InternalAddress, DataFolder: l.settings.DataFolder,
 		Voters: config.Voters(l.settings.ToleratedLosses), StandbyLearners: max(l.settings.ToleratedLosses, 1),
-		Replica: l.identity, Contacts: l.contacts, OtherContacts: l.others,
-		// Engines that another leader has given orders to are left alone for a while.
+		Replica: l.identity, Contacts: l.contacts, OtherContacts: l.otherContacts,
+		// A new leader may send orders to engines only after the lease of the previous one has ended.
 		KeepLeader: true,
 	}
-	if !held {
+	if !hasData {
 		group, ok := l.awaitGroup(ctx)
 		if !ok {
 			return nil, nil
@@ -138,13 +137,12 @@
 	return replica.Open(settings, l.machine, l.logger)
 }
 
-// cluster is the name that the group's data folders carry.
+// cluster returns the cluster name stored in the group's data folders.
 func (l *Ledger) cluster() string { return l.settings.Cluster + "-ledger" }
 
-// identify finds the identity of a store without data. At the first start of the
-// whole system it may found the group; that is made durable, so that it still may
-// after a restart that comes before the group is formed.
-func (l *Ledger) identify() error {
+// initIdentity sets the identity of a store without data. At the first start of a cluster, the identity is
+// stored, so that the store may still form the group if it restarts before the group exists.
+func (l *Ledger) initIdentity() error {
 	reserved, err := storage.ReservedIdentity(l.settings.DataFolder, l.cluster())
 	if err != nil {
 		return err
@@ -160,7 +158,7 @@
 	return storage.ReserveIdentity(l.settings.DataFolder, l.cluster(), l.identity)
 }
 
-// awaitGroup registers until the directory knows a group.
+// awaitGroup registers the store until the directory knows a group.
 func (l *Ledger) awaitGroup(ctx context.Context) (directory.Group, bool) {
 	registeredAt := time.Time{}
 	for {
@@ -168,14 +166,14 @@
 		if group := l.watcher.Catalog().Group; len(group.Members) > 0 {
 			return group, true
 		}
-		if time.Since(registeredAt) > registerRefresh && l.register(ctx, l.identity) {
+		if time.Since(registeredAt) > registrationRetryInterval && l.register(ctx, l.identity) {
 			registeredAt = time.Now()
 		}
 		select {
 		case <-ctx.Done():
 			return directory.Group{}, false
 		case <-changed:
-		case <-time.After(registerInterval):
+		case <-time.After(registrationCheckInterval):
 		}
 	}
 }
@@ -188,8 +186,8 @@
 	return err == nil
 }
 
-// scope returns the backends that this store must know: all of them if it may come to lead the
-// group, and otherwise none, since a leader tells a runner where each run goes.
+// scope returns the backends that this store must know: all if it is a member of the group and may become
+// leader, otherwise none, since the leader sends the backend with each run.
 func (l *Ledger) scope() directory.Scope {
 	members := l.watcher.Catalog().Group.Members
 	if status := l.Status(); status != nil {
@@ -203,8 +201,8 @@
 	return directory.ScopeNone
 }
 
-// contacts returns the addresses of the group's members as the directory knows them. The replica
-// adds those that it knew last itself.
+// contacts returns the addresses of the group's members in the directory. The replica adds the members that
+// it last knew.
 func (l *Ledger) contacts() []string {
 	var addresses []string
 	for _, member := range l.watcher.Catalog().Group.Members {
@@ -213,11 +211,11 @@
 	return addresses
 }
 
-// others returns the addresses of all other stores that are not retired. The directory may be out
-// of reach while all members are replaced, one by one, by stores that have registered before.
-func (l *Ledger) others() []string { return storesOutside(l.watcher.Catalog()) }
+// otherContacts returns the addresses of all other stores that are not retired. All members may have been
+// replaced by such stores while the directory was unreachable.
+func (l *Ledger) otherContacts() []string { return storesOutsideGroup(l.watcher.Catalog()) }
 
-func storesOutside(catalog *directory.Catalog) []string {
+func storesOutsideGroup(catalog *directory.Catalog) []string {
 	var addresses []string
 	for _, name := range slices.Sorted(maps.Keys(catalog.Stores)) {
 		store := catalog.Stores[name]
@@ -229,56 +227,55 @@
 	return addresses
 }
 
-// maintain keeps the store's registration and, on the leader, what the
-// directory knows of the group.
+// maintain keeps the store registered and, on the leader, reports the group's members to the directory.
 func (l *Ledger) maintain(ctx context.Context, opened *replica.Replica) {
-	every(ctx, registerInterval, func() {
+	every(ctx, registrationCheckInterval, func() {
 		catalog, status := l.watcher.Catalog(), opened.Status()
-		known, ok := catalog.Stores[l.settings.Name]
-		if catalog.Revision > 0 && (!ok || known.Replica != status.ID || known.Address != l.settings.InternalAddress) {
+		registered, ok := catalog.Stores[l.settings.Name]
+		if catalog.Revision > 0 && (!ok || registered.Replica != status.ID || registered.Address != l.settings.InternalAddress) {
 			l.register(ctx, status.ID)
 		}
 		opened.Do(func() { l.executor.orders.Observe(nowMillis(), l.machine.Orders()) })
 		if status.Serving {
-			l.lead(ctx, opened, catalog, status)
+			l.maintainGroup(ctx, opened, catalog, status)
 		}
 	})
 }
 
-func (l *Ledger) lead(ctx context.Context, opened *replica.Replica, catalog *directory.Catalog, status *replica.Status) {
+func (l *Ledger) maintainGroup(ctx context.Context, opened *replica.Replica, catalog *directory.Catalog, status *replica.Status) {
 	retiring := map[consensus.ReplicaID]bool{}
-	emptied := false
+	retiringLeft := false
 	for _, store := range catalog.Stores {
 		if !store.Retiring {
 			continue
 		}
 		retiring[store.Replica] = true
-		_, member := consensus.Membership{Members: status.Members}.Member(store.Replica)
-		emptied = emptied || !store.Retired && !member
+		_, isMember := consensus.Membership{Members: status.Members}.Member(store.Replica)
+		retiringLeft = retiringLeft || !store.Retired && !isMember
 	}
 	opened.SetRetiring(retiring)
-	if !mayReport(status, catalog.Group.Members, emptied) {
+	if !shouldReportGroup(status, catalog.Group.Members, retiringLeft) {
 		return
 	}
 	l.watcher.call(ctx, directoryCall{Report: &directory.Group{Members: status.Members, Number: status.Commit}})
 }
 
-// mayReport tells whether the directory is to be told of the group's members, of which it knows
-// some. It takes a retiring store for empty once its replica is none: that waits until the group
-// has all its voters without it, since others may be lost as soon as it is told.
-func mayReport(status *replica.Status, known []consensus.Member, emptied bool) bool {
-	if !status.MembersCommitted || emptied && status.MissingVoters > 0 {
+// shouldReportGroup reports whether the directory must be told the group's members; reported are those that
+// it knows. A retiring store that is no longer a member counts as empty once this is reported, and other
+// stores may fail from then on. So it is reported only once the group has all its voters.
+func shouldReportGroup(status *replica.Status, reported []consensus.Member, retiringLeft bool) bool {
+	if !status.MembersCommitted || retiringLeft && status.MissingVoters > 0 {
 		return false
 	}
-	return emptied || !sameMembers(known, status.Members)
+	return retiringLeft || !sameMembers(reported, status.Members)
 }
 
 func sameMembers(a, b []consensus.Member) bool {
 	if len(a) != len(b) {
 		return false
 	}
-	for position := range a {
-		if a[position] != b[position] {
+	for index := range a {
+		if a[index] != b[index] {
 			return false
 		}
 	}
--- a/server/ledger_call.go
+++ b/server/ledger_call.go
@@ -13,14 +13,13 @@
 
 const (
 	ledgerCallPath = "/internal/ledger/call"
-	// resultBytes bounds the texts in one answer, though one result is always there.
-	resultBytes = 768 << 10
-	// maxResultWait bounds how long a call for results is held.
+	// maxResultBytes limits the size of the texts in one answer, which always holds at least one result.
+	maxResultBytes = 768 << 10
+	// maxResultWait limits how long a call waits for results.
 	maxResultWait = time.Second
 )
 
-// ledgerCall is a call to the leader of a group of the ledger. Exactly one
-// pointer is set.
+// ledgerCall is a call to the leader of a ledger group. Exactly one pointer is set.
 type ledgerCall struct {
 	Submit  *ledger.Step `cbor:"1,keyasint,omitempty"`
 	Results *resultsCall `cbor:"2,keyasint,omitempty"`
@@ -32,9 +31,9 @@
 	Step  string        `cbor:"1,keyasint"`
 	After int           `cbor:"2,keyasint"`
 	Wait  time.Duration `cbor:"3,keyasint"`
-	// Near asks for what the replica has applied itself, whoever leads.
+	// Near requests the results that this replica has applied, whether or not it leads.
 	Near bool `cbor:"4,keyasint,omitempty"`
-	// Tenant is the caller's, "" where there are none; so in the calls below.
+	// Tenant is the caller's tenant, empty in a deployment without tenants.
 	Tenant string `cbor:"5,keyasint,omitempty"`
 }
 
@@ -49,19 +48,18 @@
 	Tenant string `cbor:"2,keyasint,omitempty"`
 }
 
-// ledgerAnswer is the answer to a ledgerCall.
 type ledgerAnswer struct {
-	// NotLeader: nothing was done; Leader is where to ask, if that is known.
+	// NotLeader means that nothing was done. Leader is the address of the leader, if known.
 	NotLeader bool   `cbor:"1,keyasint,omitempty"`
 	Leader    string `cbor:"2,keyasint,omitempty"`
-	// Unknown: the call may or may not have been carried out.
+	// Unknown means that the call may or may not have been executed.
 	Unknown bool `cbor:"3,keyasint,omitempty"`
 	Found   bool `cbor:"4,keyasint,omitempty"`
-	// Total is the number of samples of the step.
+	// Total is the number of samples in the step.
 	Total   int             `cbor:"5,keyasint,omitempty"`
 	Results []ledger.Result `cbor:"6,keyasint,omitempty"`
 	Body    []byte          `cbor:"7,keyasint,omitempty"`
-	// Refused: nothing was done, and it would not be if the call were repeated.
+	// Refused means that nothing was done and a retry would be refused, too.
 	Refused bool `cbor:"8,keyasint,omitempty"`
 }
 
@@ -74,7 +72,7 @@
 
 func (l *Ledger) handle(ctx context.Context, call ledgerCall) ledgerAnswer {
 	if call.Results != nil && call.Results.Near {
-		return l.resultsNow(*call.Results)
+		return l.currentResults(*call.Results)
 	}
 	status := l.replica.Status()
 	if !status.Serving {
@@ -93,8 +91,8 @@
 	return ledgerAnswer{}
 }
 
-// submit takes a step in. Its times are counted from the first send, by the
-// leader's clock.
+// submit commits a new step. The times in the step are relative to its first submission, by the leader's
+// clock.
 func (l *Ledger) submit(ctx context.Context, step *ledger.Step) ledgerAnswer {
 	now := nowMillis()
 	step.SubmittedAt = now
@@ -103,11 +101,11 @@
 		step.GiveUpAt += now
 	}
 	step.EventTokens = eventTokens(l.watcher.Catalog(), step)
-	known, open := l.stepFor(step.ID, step.Tenant)
-	if known && !open {
+	exists, allowed := l.stepAccess(step.ID, step.Tenant)
+	if exists && !allowed {
 		return ledgerAnswer{Refused: true}
 	}
-	if known {
+	if exists {
 		event.StepResubmitted.On(l.logger).Str("step", step.ID).Send()
 		return ledgerAnswer{Found: true}
 	}
@@ -119,34 +117,34 @@
 		return ledgerAnswer{Unknown: true}
 	}
 	line.Send()
-	return submitted(l.stepFor(step.ID, step.Tenant))
+	return submitAnswer(l.stepAccess(step.ID, step.Tenant))
 }
 
-// submitted answers for a step whose entry is committed, by what this replica holds of it. It may
-// not hold it yet: another replica that leads by now has carried the command out.
-func submitted(known, open bool) ledgerAnswer {
+// submitAnswer returns the answer for a step whose entry is committed. This replica may not have applied it
+// yet, if a later leader committed it.
+func submitAnswer(exists, allowed bool) ledgerAnswer {
 	switch {
-	case !known:
+	case !exists:
 		return ledgerAnswer{Unknown: true}
-	case !open:
+	case !allowed:
 		return ledgerAnswer{Refused: true}
 	}
 	return ledgerAnswer{Found: true}
 }
 
-// stepFor tells whether there is a step of the ID, and whether it is open to the tenant. Of
-// two tenants that hand in steps of one ID, the first has it, and nothing of the other runs.
-func (l *Ledger) stepFor(id, tenant string) (known, open bool) {
+// stepAccess reports whether the step exists and whether the tenant may access it. If two tenants submit
+// steps with the same ID, the first owns it and the second is refused.
+func (l *Ledger) stepAccess(id, tenant string) (exists, allowed bool) {
 	l.replica.Do(func() {
 		if entry := l.machine.Step(id); entry != nil {
-			known, open = true, entry.AllowsTenant(tenant)
+			exists, allowed = true, entry.AllowsTenant(tenant)
 		}
 	})
-	return known, open
+	return exists, allowed
 }
 
-// eventTokens returns the number of tokens that an event of the step's texts
-// holds, by the service that its first sample's route leads to; 0 if unknown.
+// eventTokens returns the number of tokens per event, by the service that the first sample is routed to, or
+// 0 if unknown.
 func eventTokens(catalog *directory.Catalog, step *ledger.Step) int {
 	if len(step.Samples) == 0 {
 		return 0
@@ -159,13 +157,13 @@
 	return catalog.Services[route.Shares[0].Service].EventTokens
 }
 
-// results answers with the results after a position, as soon as there are some.
+// results returns the results after a position, and waits for them if there are none.
 func (l *Ledger) results(ctx context.Context, call resultsCall) ledgerAnswer {
 	timeout := time.NewTimer(min(call.Wait, maxResultWait))
 	defer timeout.Stop()
 	for {
 		changed := l.replica.Changed()
-		answer := l.resultsNow(call)
+		answer := l.currentResults(call)
 		if !answer.Found {
 			return l.notFound(ctx)
 		}
@@ -185,7 +183,7 @@
 	}
 }
 
-func (l *Ledger) resultsNow(call resultsCall) ledgerAnswer {
+func (l *Ledger) currentResults(call resultsCall) ledgerAnswer {
 	var answer ledgerAnswer
 	l.replica.Do(func() {
 		entry := l.machine.Step(call.Step)
@@ -193,17 +191,17 @@
 			return
 		}
 		answer.Found, answer.Total = true, len(entry.Step.Samples)
-		bytes := 0
-		for position := max(call.After, 0); position < len(entry.Results) && bytes < resultBytes; position++ {
+		size := 0
+		for position := max(call.After, 0); position < len(entry.Results) && size < maxResultBytes; position++ {
 			answer.Results = append(answer.Results, entry.Results[position])
-			bytes += len(entry.Results[position].Text)
+			size += len(entry.Results[position].Text)
 		}
 	})
 	return answer
 }
 
-// notFound says that something does not exist, which only a leader that a
-// quorum has confirmed can know.
+// notFound returns the answer for an unknown step or sample. Only a leader confirmed by a quorum can know
+// that it does not exist.
 func (l *Ledger) notFound(ctx context.Context) ledgerAnswer {
 	if l.replica.Confirm(ctx) != nil {
 		return ledgerAnswer{Unknown: true}
@@ -229,13 +227,13 @@
 }
 
 func (l *Ledger) end(ctx context.Context, end *endCall) ledgerAnswer {
-	known, ended := false, false
+	found, ended := false, false
 	l.replica.Do(func() {
 		if entry := l.machine.Step(end.Step); entry != nil && entry.AllowsTenant(end.Tenant) {
-			known, ended = true, entry.Ended
+			found, ended = true, entry.Ended
 		}
 	})
-	if !known {
+	if !found {
 		return l.notFound(ctx)
 	}
 	if ended {
--- a/server/ledger_client.go
+++ b/server/ledger_client.go
@@ -14,20 +14,18 @@
 )
 
 const (
-	// ledgerAttemptTimeout is how long one replica is waited for, beyond the
-	// time for which a call may be held.
+	// ledgerAttemptTimeout limits a call to one replica, in addition to the time that the call may wait.
 	ledgerAttemptTimeout = 900 * time.Millisecond
-	ledgerPause          = 60 * time.Millisecond
-	// ledgerCallTimeout is how long the group's leader is looked for, after which
-	// the caller gets its final answer.
+	ledgerRetryInterval  = 60 * time.Millisecond
+	// ledgerCallTimeout limits the search for the group's leader, after which the call fails.
 	ledgerCallTimeout = 2500 * time.Millisecond
-	// nearTimeout is how long the replica in the own zone is waited for, and
-	// nearPause how long it is not asked after it has not answered.
-	nearTimeout = 300 * time.Millisecond
-	nearPause   = 3 * time.Second
+	// localReplicaTimeout limits a call to the replica in the local zone. After a failure it is not called
+	// for localReplicaBackoff.
+	localReplicaTimeout = 300 * time.Millisecond
+	localReplicaBackoff = 3 * time.Second
 )
 
-// ledgerClient calls the ledger's group for a gateway.
+// ledgerClient calls the ledger group for a gateway.
 type ledgerClient struct {
 	watcher *Watcher
 	client  *http.Client
@@ -35,67 +33,65 @@
 	logger  *zerolog.Logger
 
 	mutex sync.Mutex
-	// leader is the address of the member that led last.
+	// leader is the address of the last known leader.
 	leader string
-	// nearAfter is the time before which the replica in the own zone is not asked.
-	nearAfter time.Time
+	// localRetryAt is the time before which the replica in the local zone is not called.
+	localRetryAt time.Time
 }
 
 func newLedgerClient(watcher *Watcher, zone string, logger *zerolog.Logger) *ledgerClient {
 	return &ledgerClient{watcher: watcher, client: replica.NewInternalClient(), zone: zone, logger: logger}
 }
 
-// results asks for results. What is there already may come from the replica in
-// the own zone: a result that it has applied is committed, and keeps its position
-// and content for good. All else only the leader knows.
+// results returns results. Existing ones may come from the replica in the local zone, since applied results
+// are committed and never change position or content. Everything else comes from the leader.
 func (c *ledgerClient) results(ctx context.Context, call resultsCall) (ledgerAnswer, bool, error) {
 	if call.Wait == 0 {
-		if answer, ok := c.nearResults(ctx, call); ok {
+		if answer, ok := c.localResults(ctx, call); ok {
 			return answer, true, nil
 		}
 	}
 	return c.call(ctx, ledgerCall{Results: &call}, call.Wait)
 }
 
-// nearResults asks the replica in the own zone, and tells whether it has any of
-// the results.
-func (c *ledgerClient) nearResults(ctx context.Context, call resultsCall) (ledgerAnswer, bool) {
-	address := c.nearMember()
+// localResults calls the replica in the local zone and reports whether it returned any results.
+func (c *ledgerClient) localResults(ctx context.Context, call resultsCall) (ledgerAnswer, bool) {
+	address := c.localMember()
 	if address == "" {
 		return ledgerAnswer{}, false
 	}
 	call.Near = true
-	limited, cancel := context.WithTimeout(ctx, nearTimeout)
+	limited, cancel := context.WithTimeout(ctx, localReplicaTimeout)
 	defer cancel()
-	answer, err := c.ask(limited, address, encodeInternal(ledgerCall{Results: &call}))
+	answer, err := c.send(limited, address, encodeInternal(ledgerCall{Results: &call}))
 	if err != nil && ctx.Err() == nil {
 		c.mutex.Lock()
-		c.nearAfter = time.Now().Add(nearPause)
+		c.localRetryAt = time.Now().Add(localReplicaBackoff)
 		c.mutex.Unlock()
 		event.LocalReplicaUnavailable.On(c.logger).Str("replica", address).Err(err).Send()
 	}
 	return answer, err == nil && len(answer.Results) > 0
 }
 
-// nearMember returns the address of a member of the group in the own zone that
-// is not known to lead, or "" if there is none to be asked.
-func (c *ledgerClient) nearMember() string {
+// localMember returns the address of a member in the local zone that is not known to lead, or "" if there
+// is none or it must not be called now.
+func (c *ledgerClient) localMember() string {
 	c.mutex.Lock()
-	leader, after := c.leader, c.nearAfter
+	leader, retryAt := c.leader, c.localRetryAt
 	c.mutex.Unlock()
-	if time.Now().Before(after) {
+	if time.Now().Before(retryAt) {
 		return ""
 	}
 	catalog := c.watcher.Catalog()
 	for _, member := range catalog.Group.Members {
-		if member.Address != leader && zoneOfStore(catalog, member.Address) == c.zone {
+		if member.Address != leader && storeZone(catalog, member.Address) == c.zone {
 			return member.Address
 		}
 	}
 	return ""
 }
 
-func zoneOfStore(catalog *directory.Catalog, address string) string {
+func storeZone(catalog *directory.Catalog, address string) string {
 	for _, store := range catalog.Stores {
 		if store.Address == address {
 			return store.Zone
@@ -104,21 +100,21 @@
 	return ""
 }
 
-// call asks the members of the group until the leader has answered. It tells
-// whether a leader may have carried the call out, also when it fails.
-func (c *ledgerClient) call(ctx context.Context, call ledgerCall, wait time.Duration) (answer ledgerAnswer, reached bool, err error) {
+// call calls the group's members until the leader has answered. mayHaveExecuted reports whether a leader
+// may have executed the call, even if it failed.
+func (c *ledgerClient) call(ctx context.Context, call ledgerCall, wait time.Duration) (answer ledgerAnswer, mayHaveExecuted bool, err error) {
 	body := encodeInternal(call)
 	ctx, cancel := context.WithTimeout(ctx, ledgerCallTimeout+wait)
 	defer cancel()
 	err = replica.ErrUnavailable.New("no member of the ledger's group is known")
 	for ctx.Err() == nil {
 		for _, address := range c.addresses() {
-			answer, err = c.askWithin(ctx, address, body, wait+ledgerAttemptTimeout)
+			answer, err = c.sendWithTimeout(ctx, address, body, wait+ledgerAttemptTimeout)
 			if err == nil && !answer.NotLeader {
-				reached = true
+				mayHaveExecuted = true
 			}
 			if err != nil && !isDialError(err) {
-				reached = true
+				mayHaveExecuted = true
 			}
 			if err == nil && !answer.NotLeader && !answer.Unknown {
 				c.setLeader(address)
@@ -132,12 +128,12 @@
 				break
 			}
 		}
-		sleep(ctx, ledgerPause)
+		sleep(ctx, ledgerRetryInterval)
 	}
 	if err == nil {
 		err = replica.ErrUnavailable.New("the ledger has no leader")
 	}
-	return answer, reached, err
+	return answer, mayHaveExecuted, err
 }
 
 func (c *ledgerClient) setLeader(address string) {
@@ -146,7 +142,7 @@
 	c.mutex.Unlock()
 }
 
-// addresses returns the group's members, the one that led last first.
+// addresses returns the addresses of the group's members, the last known leader first.
 func (c *ledgerClient) addresses() []string {
 	c.mutex.Lock()
 	leader := c.leader
@@ -163,14 +159,14 @@
 	return addresses
 }
 
-func (c *ledgerClient) askWithin(ctx context.Context, address string, body []byte, timeout time.Duration) (ledgerAnswer, error) {
+func (c *ledgerClient) sendWithTimeout(ctx context.Context, address string, body []byte, timeout time.Duration) (ledgerAnswer, error) {
 	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return c.ask(limited, address, body)
+	return c.send(limited, address, body)
 }
 
-// ask sends an encoded call to the replica at the address.
-func (c *ledgerClient) ask(ctx context.Context, address string, body []byte) (ledgerAnswer, error) {
+// send sends an encoded call to the replica at the address.
+func (c *ledgerClient) send(ctx context.Context, address string, body []byte) (ledgerAnswer, error) {
 	var answer ledgerAnswer
 	data, err := replica.PostInternal(ctx, c.client, "http://"+address+ledgerCallPath, body)
 	if err != nil {
--- a/server/ledger_client_test.go
+++ b/server/ledger_client_test.go
@@ -18,13 +18,13 @@
 	"github.com/dillchute/dillchute/ledger"
 )
 
-// fakeStore answers calls of the ledger as a member would that holds some results.
+// fakeStore answers ledger calls like a member that holds some results.
 type fakeStore struct {
-	leads   bool
-	results int
-	broken  atomic.Bool
-	calls   atomic.Int64
-	address string
+	isLeader bool
+	results  int
+	isBroken atomic.Bool
+	calls    atomic.Int64
+	address  string
 }
 
 func (s *fakeStore) serve(t *testing.T) {
@@ -34,11 +34,11 @@
 			return
 		}
 		s.calls.Add(1)
-		if s.broken.Load() {
+		if s.isBroken.Load() {
 			http.Error(response, "broken", http.StatusInternalServerError)
 			return
 		}
-		if !s.leads && !call.Results.Near {
+		if !s.isLeader && !call.Results.Near {
 			writeCBOR(response, ledgerAnswer{NotLeader: true})
 			return
 		}
@@ -52,17 +52,16 @@
 	s.address = strings.TrimPrefix(server.URL, "http://")
 }
 
-// nearAndFar returns a client in a zone whose store trails that of another zone,
-// which leads.
-func nearAndFar(t *testing.T) (client *ledgerClient, near, far *fakeStore) {
-	near, far = &fakeStore{results: 3}, &fakeStore{results: 5, leads: true}
+// newZonedClient returns a client with a store in its zone that lags behind the leader in another zone.
+func newZonedClient(t *testing.T) (client *ledgerClient, local, remote *fakeStore) {
+	local, remote = &fakeStore{results: 3}, &fakeStore{results: 5, isLeader: true}
 	machine := directory.NewMachine()
 	var members []consensus.Member
-	for number, store := range []*fakeStore{near, far} {
+	for number, store := range []*fakeStore{local, remote} {
 		store.serve(t)
 		id := consensus.ReplicaID(number + 1)
 		machine.Apply(directory.Command{PutStore: &directory.Store{
-			Name: store.address, Address: store.address, Zone: []string{"near", "far"}[number], Replica: id,
+			Name: store.address, Address: store.address, Zone: []string{"local", "remote"}[number], Replica: id,
 		}}.Encode())
 		members = append(members, consensus.Member{ID: id, Address: store.address, Voter: true})
 	}
@@ -71,7 +70,7 @@
 	seeds := NewSeeds(config.Process{}, func() (config.Process, error) { return config.Process{}, nil }, &logger)
 	watcher := NewWatcher(seeds, "z", 0, &logger)
 	watcher.take(watcher.Catalog(), machine.DeltaSince(0))
-	return newLedgerClient(watcher, "near", &logger), near, far
+	return newLedgerClient(watcher, "local", &logger), local, remote
 }
 
 func readResults(t *testing.T, client *ledgerClient, after int, wait time.Duration) int {
@@ -80,24 +79,24 @@
 	return len(answer.Results)
 }
 
-// TestResultsComeFromTheOwnZone: what the near replica has is read there; what it
-// has not, and what is waited for, comes from the leader.
-func TestResultsComeFromTheOwnZone(t *testing.T) {
-	client, near, far := nearAndFar(t)
+// TestResultsComeFromLocalZone checks that results the local replica holds are read there, and that missing
+// or awaited ones come from the leader.
+func TestResultsComeFromLocalZone(t *testing.T) {
+	client, local, remote := newZonedClient(t)
 	require.Equal(t, 3, readResults(t, client, 0, 0))
-	require.Zero(t, far.calls.Load())
+	require.Zero(t, remote.calls.Load())
 	require.Equal(t, 2, readResults(t, client, 3, 0))
 	require.Equal(t, 5, readResults(t, client, 0, time.Millisecond))
-	require.EqualValues(t, 2, far.calls.Load())
-	require.Positive(t, near.calls.Load())
+	require.EqualValues(t, 2, remote.calls.Load())
+	require.Positive(t, local.calls.Load())
 }
 
-// TestBrokenNearStoreIsLeftAlone: the leader answers instead, and the near one is
-// not asked again for a while.
-func TestBrokenNearStoreIsLeftAlone(t *testing.T) {
-	client, near, _ := nearAndFar(t)
-	near.broken.Store(true)
+// TestUnavailableLocalStoreIsSkipped checks that the leader answers if the local store fails, which is then
+// not called for a while.
+func TestUnavailableLocalStoreIsSkipped(t *testing.T) {
+	client, local, _ := newZonedClient(t)
+	local.isBroken.Store(true)
 	require.Equal(t, 5, readResults(t, client, 0, 0))
-	require.True(t, client.nearAfter.After(time.Now()))
-	require.Empty(t, client.nearMember())
+	require.True(t, client.localRetryAt.After(time.Now()))
+	require.Empty(t, client.localMember())
 }
--- a/server/ledger_test.go
+++ b/server/ledger_test.go
@@ -12,48 +12,48 @@
 	"github.com/dillchute/dillchute/replica"
 )
 
-// TestStoreMayFoundAfterARestart: a store that was started as the first of all,
-// and is restarted before the group is formed, offers itself again under the same
-// identity; one that comes with an empty disk later does not.
-func TestStoreMayFoundAfterARestart(t *testing.T) {
+// TestNewStoreMayFormGroupAfterRestart checks that a store from the first start of a cluster keeps its
+// identity when it restarts before the group is formed, and that one with an empty disk may not form a
+// group.
+func TestNewStoreMayFormGroupAfterRestart(t *testing.T) {
 	logger := zerolog.Nop()
 	settings := config.DefaultLedger()
 	settings.DataFolder = t.TempDir()
-	start := func(first bool, folder string) *Ledger {
-		settings.FirstStart, settings.DataFolder = first, folder
+	newStore := func(firstStart bool, folder string) *Ledger {
+		settings.FirstStart, settings.DataFolder = firstStart, folder
 		seeds := NewSeeds(settings.Process, func() (config.Process, error) { return settings.Process, nil }, &logger)
 		store := NewLedger(settings, seeds, nil, nil, &logger)
-		require.NoError(t, store.identify())
+		require.NoError(t, store.initIdentity())
 		return store
 	}
 	folder := t.TempDir()
-	first := start(true, folder)
+	first := newStore(true, folder)
 	require.True(t, first.fresh)
-	again := start(false, folder)
-	require.True(t, again.fresh)
-	require.Equal(t, first.identity, again.identity)
-	replaced := start(false, t.TempDir())
+	restarted := newStore(false, folder)
+	require.True(t, restarted.fresh)
+	require.Equal(t, first.identity, restarted.identity)
+	replaced := newStore(false, t.TempDir())
 	require.False(t, replaced.fresh)
 	require.NotEqual(t, first.identity, replaced.identity)
 }
 
-// TestEmptiedIsToldOnceAllVotersAreThere: a retiring store that has left the group counts as
-// empty only when another one has its vote.
-func TestEmptiedIsToldOnceAllVotersAreThere(t *testing.T) {
-	known := membersAt("a:70", "b:70", "c:70")
-	left := membersAt("a:70", "b:70", "d:70")
-	require.False(t, mayReport(&replica.Status{Members: left, MembersCommitted: true, MissingVoters: 1}, known, true))
-	require.True(t, mayReport(&replica.Status{Members: left, MembersCommitted: true}, known, true))
-	require.True(t, mayReport(&replica.Status{Members: left, MembersCommitted: true}, left, true))
-	require.True(t, mayReport(&replica.Status{Members: left, MembersCommitted: true, MissingVoters: 1}, known, false))
-	require.False(t, mayReport(&replica.Status{Members: left}, known, true))
-	require.False(t, mayReport(&replica.Status{Members: known, MembersCommitted: true}, known, false))
+// TestGroupIsReportedOnceAllVotersExist checks that a group which a retiring store has left is not reported
+// before another store has replaced it as a voter.
+func TestGroupIsReportedOnceAllVotersExist(t *testing.T) {
+	reported := membersAt("a:70", "b:70", "c:70")
+	replaced := membersAt("a:70", "b:70", "d:70")
+	require.False(t, shouldReportGroup(&replica.Status{Members: replaced, MembersCommitted: true, MissingVoters: 1}, reported, true))
+	require.True(t, shouldReportGroup(&replica.Status{Members: replaced, MembersCommitted: true}, reported, true))
+	require.True(t, shouldReportGroup(&replica.Status{Members: replaced, MembersCommitted: true}, replaced, true))
+	require.True(t, shouldReportGroup(&replica.Status{Members: replaced, MembersCommitted: true, MissingVoters: 1}, reported, false))
+	require.False(t, shouldReportGroup(&replica.Status{Members: replaced}, reported, true))
+	require.False(t, shouldReportGroup(&replica.Status{Members: reported, MembersCommitted: true}, reported, false))
 }
 
-// TestContactsOutliveTheGroup: a store that is not in the group asks to be let in wherever the
-// group may have moved while the directory was out of reach, also where it has not been told of
-// the directory's state at all.
-func TestContactsOutliveTheGroup(t *testing.T) {
+// TestContactsIncludeStoresOutsideGroup checks that a store outside the group can ask for admission at all
+// stores that the group may have moved to while the directory was unreachable, and that an empty catalog
+// names none.
+func TestContactsIncludeStoresOutsideGroup(t *testing.T) {
 	machine := directory.NewMachine()
 	for number, name := range []string{"a", "b", "c", "d"} {
 		machine.Apply(directory.Command{PutStore: &directory.Store{
@@ -65,13 +65,13 @@
 	machine.Apply(directory.Command{ReportGroup: &directory.Group{Members: membersAt("a:70", "b:70"), Number: 2}}.Encode())
 	catalog := directory.NewCatalog().With(machine.DeltaSince(0))
 	require.True(t, catalog.Stores["d"].Retired)
-	require.Equal(t, []string{"c:70"}, storesOutside(catalog))
-	require.Empty(t, storesOutside(directory.NewCatalog()))
+	require.Equal(t, []string{"c:70"}, storesOutsideGroup(catalog))
+	require.Empty(t, storesOutsideGroup(directory.NewCatalog()))
 	logger := zerolog.Nop()
 	settings := config.DefaultLedger()
 	seeds := NewSeeds(settings.Process, func() (config.Process, error) { return settings.Process, nil }, &logger)
 	store := NewLedger(settings, seeds, nil, nil, &logger)
 	store.watcher.take(store.watcher.Catalog(), machine.DeltaSince(0))
 	require.Equal(t, []string{"a:70", "b:70"}, store.contacts())
-	require.Equal(t, []string{"c:70"}, store.others())
+	require.Equal(t, []string{"c:70"}, store.otherContacts())
 }
--- a/server/load.go
+++ b/server/load.go
@@ -16,55 +16,54 @@
 const (
 	orderTimeout  = 800 * time.Millisecond
 	reportTimeout = 500 * time.Millisecond
-	// loadTime is how long an engine loads at least, before it is asked.
-	loadTime = 900 * time.Millisecond
-	// loadPoll is the time between questions whether a load has ended.
-	loadPoll = 60 * time.Millisecond
-	// loadLimit is how long a load may take before it counts as failed.
-	loadLimit = 8 * time.Second
-	// conflictPause is waited after an order that met another one.
-	conflictPause = 250 * time.Millisecond
+	// minLoadTime is the time from the start of a load to the first query of the engine.
+	minLoadTime = 900 * time.Millisecond
+	// loadPollInterval is the time between queries of a loading engine.
+	loadPollInterval = 60 * time.Millisecond
+	// loadTimeout is the time after which a load counts as failed.
+	loadTimeout = 8 * time.Second
+	// conflictBackoff is the pause after an order that conflicted with another one or was not answered.
+	conflictBackoff = 250 * time.Millisecond
 )
 
-// load carries an order through: it is sent until the engine holds the version.
-// Each send names the sequence that the engine must be at, so that of an order
-// which is carried out late and its repetition only one takes effect.
-func (t *tenure) load(order scheduler.LoadOrder) {
-	limited, cancel := context.WithTimeout(t.context, loadLimit)
+// runLoad executes a load order, which is sent until the engine holds the version. Each request names the
+// engine's expected sequence, so that of a delayed request and its retry only one takes effect.
+func (t *leadership) runLoad(order scheduler.LoadOrder) {
+	limited, cancel := context.WithTimeout(t.context, loadTimeout)
 	defer cancel()
 	began := clock.Now()
-	held, tookPlace := t.loadUntilHeld(limited, order)
+	held, loaded := t.loadUntilHeld(limited, order)
 	outcome := "done"
 	if held < order.Version {
 		outcome = "failed"
 	}
 	t.metrics.loads.WithLabelValues(outcome).Observe(clock.Since(began).Seconds())
 	t.loop.Submit(func() {
-		t.ordersAt = time.Time{}
+		t.loadsCheckedAt = time.Time{}
 		line := event.LoadEnded.On(t.logger).Str("engine", order.Backend.ID).Str("model", order.Model).
 			Uint("version", order.Version).Uint("held", held)
 		line.Send()
 		if held >= order.Version {
-			t.scheduler.LoadCompleted(nowMillis(), order.Backend.ID, order.Model, held, tookPlace)
+			t.scheduler.LoadCompleted(nowMillis(), order.Backend.ID, order.Model, held, loaded)
 			return
 		}
 		t.scheduler.LoadFailed(nowMillis(), order.Backend.ID)
 	})
 }
 
-// loadUntilHeld returns the version that the engine holds in the end, 0 if none is
-// known, and whether it loaded it by this order.
-func (t *tenure) loadUntilHeld(ctx context.Context, order scheduler.LoadOrder) (held uint64, tookPlace bool) {
+// loadUntilHeld returns the version that the engine holds at the end, 0 if unknown, and whether this order
+// loaded it.
+func (t *leadership) loadUntilHeld(ctx context.Context, order scheduler.LoadOrder) (held uint64, loaded bool) {
 	for ctx.Err() == nil {
-		report, err := t.report(ctx, order.Backend)
-		if err != nil || !t.isSameLife(order.Backend, report) {
+		report, err := t.queryEngine(ctx, order.Backend)
+		if err != nil || !t.isSameIncarnation(order.Backend, report) {
 			return 0, false
 		}
-		if held := report.version(order.Model); held >= order.Version {
+		if held := report.versionOf(order.Model); held >= order.Version {
 			return held, false
 		}
 		if report.Busy {
-			sleep(ctx, loadPoll)
+			sleep(ctx, loadPollInterval)
 			continue
 		}
 		request := LoadRequest{Order: order, Holder: t.settings.Name, Fence: t.term, Sequence: report.Sequence}
@@ -74,9 +73,9 @@
 		case LoadRefused:
 			return 0, false
 		case LoadConflict, LoadUnanswered:
-			sleep(ctx, conflictPause)
+			sleep(ctx, conflictBackoff)
 		case LoadStarted:
-			sleep(ctx, loadTime)
+			sleep(ctx, minLoadTime)
 			if held := t.awaitLoad(ctx, order); held >= order.Version {
 				return held, true
 			}
@@ -85,9 +84,9 @@
 	return 0, false
 }
 
-// sendOrder gives an order, which is recorded first: the next leader must know
-// of it. An order that was recorded too long ago is not given any more.
-func (t *tenure) sendOrder(ctx context.Context, request LoadRequest) LoadAnswer {
+// sendOrder records the order in the ledger for the next leader, then sends it. An order is not sent if
+// recording took longer than duty.MaxStartDelay.
+func (t *leadership) sendOrder(ctx context.Context, request LoadRequest) LoadAnswer {
 	limited, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	began := clock.Now()
@@ -103,43 +102,43 @@
 	return answer
 }
 
-// orderSubject names the engine whose holders of orders are kept apart: all lives under one name
-// count as one engine, so that a new leader waits for the lease whether or not it has started again.
+// orderSubject returns the subject of the engine's order lease. All incarnations under one name share it,
+// so that a new leader also waits for the lease after the engine has restarted.
 func orderSubject(backend directory.Backend) string { return backend.NameOrID() }
 
-// isSameLife tells whether a report is of the life that an order was meant for. What a later one
-// holds is told by its own registration, and its count of orders has begun anew.
-func (t *tenure) isSameLife(backend directory.Backend, report EngineReport) bool {
-	if report.Born == backend.Born || report.Born == 0 || backend.Born == 0 {
+// isSameIncarnation reports whether the report is from the incarnation that the order is meant for. A later
+// one reports its versions with its own registration and counts orders from zero.
+func (t *leadership) isSameIncarnation(backend directory.Backend, report EngineReport) bool {
+	if report.StartTime == backend.Born || report.StartTime == 0 || backend.Born == 0 {
 		return true
 	}
-	event.EngineRestarted.On(t.logger).Str("engine", backend.ID).Int("born", report.Born).Send()
+	event.EngineRestarted.On(t.logger).Str("engine", backend.ID).Int("born", report.StartTime).Send()
 	return false
 }
 
-// awaitLoad asks the engine until it has loaded, and returns what it holds.
-func (t *tenure) awaitLoad(ctx context.Context, order scheduler.LoadOrder) uint64 {
+// awaitLoad polls the engine until its load has ended, and returns the version that it holds.
+func (t *leadership) awaitLoad(ctx context.Context, order scheduler.LoadOrder) uint64 {
 	for ctx.Err() == nil {
-		report, err := t.report(ctx, order.Backend)
-		held := report.version(order.Model)
-		if err != nil || !t.isSameLife(order.Backend, report) {
+		report, err := t.queryEngine(ctx, order.Backend)
+		held := report.versionOf(order.Model)
+		if err != nil || !t.isSameIncarnation(order.Backend, report) {
 			return 0
 		}
 		if held >= order.Version || !report.Busy {
 			return held
 		}
-		sleep(ctx, loadPoll)
+		sleep(ctx, loadPollInterval)
 	}
 	return 0
 }
 
-func (t *tenure) report(ctx context.Context, backend directory.Backend) (EngineReport, error) {
+func (t *leadership) queryEngine(ctx context.Context, backend directory.Backend) (EngineReport, error) {
 	limited, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	return t.engines.Report(limited, backend)
 }
 
-func (r EngineReport) version(model string) uint64 {
+func (r EngineReport) versionOf(model string) uint64 {
 	for _, held := range r.Models {
 		if held.Model == model {
 			return held.Version
--- a/server/moves.go
+++ b/server/moves.go
@@ -6,8 +6,9 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-// moveSlow ends runs on engines that are much slower than others.
-func (t *tenure) moveSlow() {
+// moveSlowRuns updates the engines' paces and cancels runs that would finish much earlier on another
+// engine.
+func (t *leadership) moveSlowRuns() {
 	if t.catalog == nil {
 		return
 	}
@@ -24,25 +25,25 @@
 	}
 }
 
-// micros returns milliseconds in microseconds, as logs have them.
+// micros converts milliseconds to microseconds, the unit of paces in logs.
 func micros(millis float64) uint64 { return uint64(millis * 1000) }
 
-// aheadInterval is the time between two looks for runs to begin ahead, which go
-// through all samples of the open steps.
-const aheadInterval = 200 * time.Millisecond
+// speculationInterval is the minimum time between two searches for speculative runs, which iterate over all
+// samples of the open steps.
+const speculationInterval = 200 * time.Millisecond
 
-// runAhead starts second runs of samples that will probably come again, and ends
-// those that no step has asked for.
-func (t *tenure) runAhead() {
-	if t.catalog == nil || time.Since(t.aheadAt) < aheadInterval || t.fresh.isStale(nowMillis()) || !t.copyIsCurrent(nowMillis()) {
+// updateSpeculativeRuns starts speculative runs of samples that will probably be resubmitted, and cancels
+// those that no step has claimed.
+func (t *leadership) updateSpeculativeRuns() {
+	if t.catalog == nil || time.Since(t.speculationCheckedAt) < speculationInterval || t.freshness.isStale(nowMillis()) || !t.copyIsCurrent(nowMillis()) {
 		return
 	}
-	t.aheadAt = time.Now()
+	t.speculationCheckedAt = time.Now()
 	for _, task := range t.scheduler.EndUnusedSpeculative() {
 		event.RunAheadCancelled.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Send()
 		t.cancel(task)
 	}
 	for _, assignment := range t.scheduler.StartSpeculative(nowMillis(), t.servicesOf) {
-		t.start(assignment)
+		t.startRun(assignment)
 	}
 }
--- a/server/paces.go
+++ b/server/paces.go
@@ -9,19 +9,18 @@
 )
 
 const (
-	// pacesInterval is the least time between two records of the engines' paces.
+	// pacesInterval is the minimum time between two records of the engines' paces.
 	pacesInterval = time.Second
-	// paceChange is the part by which a pace must have changed to be recorded anew.
-	paceChange = 0.1
+	// minPaceChange is the relative change of a pace above which the paces are recorded again.
+	minPaceChange = 0.1
 )
 
-// recordPaces has the ledger keep the engines' paces once one has changed, so
-// that the next leader places long samples as well as this one.
-func (t *tenure) recordPaces() {
-	if time.Since(t.pacesAt) < pacesInterval {
+// recordPaces records the engines' paces in the ledger if they have changed, for the next leader.
+func (t *leadership) recordPaces() {
+	if time.Since(t.pacesCheckedAt) < pacesInterval {
 		return
 	}
-	t.pacesAt = time.Now()
+	t.pacesCheckedAt = time.Now()
 	paces := t.scheduler.Paces()
 	if !pacesChanged(t.recordedPaces, paces) {
 		return
@@ -31,10 +30,10 @@
 	go t.replica.Execute(t.context, ledger.Command{Paces: &ledger.Paces{Millis: paces}}.Encode())
 }
 
-// pacesChanged tells whether an engine's pace differs from the recorded one.
+// pacesChanged reports whether any engine's pace differs noticeably from the recorded one.
 func pacesChanged(recorded, paces map[string]float64) bool {
 	for id, pace := range paces {
-		if math.Abs(pace-recorded[id]) > paceChange*pace {
+		if math.Abs(pace-recorded[id]) > minPaceChange*pace {
 			return true
 		}
 	}
--- a/server/plan.go
+++ b/server/plan.go
@@ -9,13 +9,13 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-// planLogInterval is the least time between two lines of log that tell of plans.
+// planLogInterval is the minimum time between two log lines about deferred groups.
 const planLogInterval = time.Second
 
-// notePlan tells what the scheduler has put back for lack of room.
-func (t *tenure) notePlan() {
+// publishPlan stores the counts of the current plan for metrics, and logs deferred and late groups.
+func (t *leadership) publishPlan() {
 	counts := t.scheduler.PlanCounts()
-	t.plan.Store(&counts)
+	t.planCounts.Store(&counts)
 	if counts.Deferred+counts.Late == 0 || clock.Since(t.planLoggedAt) < planLogInterval {
 		return
 	}
@@ -24,9 +24,9 @@
 		Uint("late", uint64(counts.Late)).Str("shares", t.scheduler.FormatShares()).Send()
 }
 
-// collectPlan emits what the newest plan of a leader has chosen.
+// collectPlan emits the group counts of the leader's last plan.
 func (x *Executor) collectPlan(emit chan<- prometheus.Metric) {
-	counts := x.plan.Load()
+	counts := x.planCounts.Load()
 	if counts == nil {
 		return
 	}
--- a/server/record.go
+++ b/server/record.go
@@ -9,29 +9,29 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// pendingResult is a result that is to be recorded.
+// pendingResult is a result that has yet to be recorded.
 type pendingResult struct {
 	task   *scheduler.Task
 	result ledger.Result
-	// whole is the result with its whole text, where result has only what no
-	// checkpoint has kept.
-	whole *ledger.Result
+	// full is the result with its complete text. It is set if result omits the events that checkpoints
+	// hold.
+	full *ledger.Result
 }
 
-// newPendingResult returns a result of whose text the ledger keeps some events.
-func newPendingResult(task *scheduler.Task, result ledger.Result, kept uint64) pendingResult {
+// newPendingResult returns a result that omits the given number of checkpointed events.
+func newPendingResult(task *scheduler.Task, result ledger.Result, checkpointed uint64) pendingResult {
 	pending := pendingResult{task: task, result: result}
-	if result.State == ledger.Succeeded && kept > 0 && kept < uint64(len(task.Text.Events)) {
-		whole := result
-		pending.whole = &whole
-		pending.result.ShortenText(task.Text.Events, kept)
+	if result.State == ledger.Succeeded && checkpointed > 0 && checkpointed < uint64(len(task.Text.Events)) {
+		full := result
+		pending.full = &full
+		pending.result.ShortenText(task.Text.Events, checkpointed)
 	}
 	return pending
 }
 
-// record commits the results that have gathered. One commit is under way at a
-// time, and there is a pause between two, since each costs every replica a sync.
-func (t *tenure) record() {
+// record commits the pending results. At most one commit is in progress, and commits are spaced to batch
+// results, since each one costs every replica a sync.
+func (t *leadership) record() {
 	if t.recording || len(t.results) == 0 {
 		return
 	}
@@ -45,34 +45,34 @@
 	pending := t.results
 	t.results, t.recording = nil, true
 	go func() {
-		failed := t.commit(pending)
+		retry := t.commit(pending)
 		t.loop.Submit(func() {
 			t.recording = false
-			t.results = append(failed, t.results...)
-			t.recordAfter = time.Now().Add(recordPause)
-			if len(failed) > 0 {
-				t.recordAfter = time.Now().Add(recordRetry)
+			t.results = append(retry, t.results...)
+			t.recordAfter = time.Now().Add(recordInterval)
+			if len(retry) > 0 {
+				t.recordAfter = time.Now().Add(recordRetryDelay)
 			}
 		})
 	}()
 }
 
 // commit records results step by step and returns those that must be recorded again.
-func (t *tenure) commit(pending []pendingResult) []pendingResult {
-	var order []string
+func (t *leadership) commit(pending []pendingResult) []pendingResult {
+	var steps []string
 	byStep := map[string][]pendingResult{}
-	for _, one := range pending {
-		step := one.task.Step.ID
+	for _, entry := range pending {
+		step := entry.task.Step.ID
 		if byStep[step] == nil {
-			order = append(order, step)
+			steps = append(steps, step)
 		}
-		byStep[step] = append(byStep[step], one)
+		byStep[step] = append(byStep[step], entry)
 	}
-	var failed []pendingResult
-	for _, step := range order {
+	var retry []pendingResult
+	for _, step := range steps {
 		record := &ledger.Record{Step: step}
-		for _, one := range byStep[step] {
-			record.Results = append(record.Results, one.result)
+		for _, entry := range byStep[step] {
+			record.Results = append(record.Results, entry.result)
 		}
 		began := time.Now()
 		limited, cancel := context.WithTimeout(t.context, recordTimeout)
@@ -82,27 +82,27 @@
 		line := event.ResultsRecorded.On(t.logger).Str("step", step).Uint("results", uint64(len(record.Results)))
 		if err != nil {
 			line.Err(err)
-			failed = append(failed, byStep[step]...)
+			retry = append(retry, byStep[step]...)
 		} else {
-			failed = append(failed, t.notTaken(step, byStep[step])...)
+			retry = append(retry, t.incompleteResults(step, byStep[step])...)
 		}
 		line.Send()
 	}
-	return failed
+	return retry
 }
 
-// notTaken returns the results that the ledger could not complete from what it
-// keeps, with their whole texts.
-func (t *tenure) notTaken(step string, recorded []pendingResult) []pendingResult {
+// incompleteResults returns, with complete texts, the results that the ledger could not complete from its
+// checkpoints.
+func (t *leadership) incompleteResults(step string, recorded []pendingResult) []pendingResult {
 	var missing []pendingResult
 	t.replica.Do(func() {
 		entry := t.machine.Step(step)
 		if entry == nil || entry.Ended {
 			return
 		}
-		for _, one := range recorded {
-			if one.whole != nil && !entry.HasResult(one.result.Sample) {
-				missing = append(missing, pendingResult{task: one.task, result: *one.whole})
+		for _, candidate := range recorded {
+			if candidate.full != nil && !entry.HasResult(candidate.result.Sample) {
+				missing = append(missing, pendingResult{task: candidate.task, result: *candidate.full})
 			}
 		}
 	})
--- a/server/renewal_test.go
+++ b/server/renewal_test.go
@@ -269,7 +269,7 @@
 
 // standingTenure returns a leadership with a step to run and an open link to a runner, whose watch
 // stands still after it has told all.
-func standingTenure(t *testing.T, d *standingDirectory, runs countedRuns, seeds ...string) *tenure {
+func standingTenure(t *testing.T, d *standingDirectory, runs countedRuns, seeds ...string) *leadership {
 	logger := zerolog.Nop()
 	w := newTestWatcher(t, seeds...)
 	w.age.limit = testCopyLimit
@@ -277,7 +277,7 @@
 	held := httptest.NewServer(runner.NewServer(runs, &logger))
 	ctx, stop := context.WithCancel(context.Background())
 	executor := &Executor{watcher: w, guard: newGuard(w), metrics: newLedgerMetrics(), logger: &logger}
-	tenured := &tenure{
+	tenured := &leadership{
 		Executor: executor, context: ctx, loop: eventloop.New(), scheduler: scheduler.New(), catalog: w.Catalog(),
 		runners: runner.NewPool(ctx, 1, func([]*runner.OrphanedRun) {}, &logger),
 		cancels: map[*scheduler.Task]context.CancelFunc{}, progress: map[*scheduler.Task]*runProgress{},
@@ -300,9 +300,9 @@
 }
 
 // flush has the leadership look for what may begin, with a state that is fresh but for its copy.
-func flushed(t *testing.T, tenured *tenure) {
-	tenured.fresh.confirmedAt.Store(nowMillis())
-	tenured.ordersAt = time.Now()
+func flushed(t *testing.T, tenured *leadership) {
+	tenured.freshness.confirmedAt.Store(nowMillis())
+	tenured.loadsCheckedAt = time.Now()
 	require.NoError(t, tenured.flush())
 }
 
--- a/server/reward_limit.go
+++ b/server/reward_limit.go
@@ -9,29 +9,28 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// rewardShare is the part of a service's slots that reward calls may take at a time. They
-// come in bursts, when the samples of a step end, and callers' requests that meet a service
-// without a free slot are late or refused. Less would make steps late where few backends
-// are left: docs/design/shifted-desk.md has both ways and the one without a limit.
-const rewardShare = 5.0 / 6
+// rewardSlotFraction is the fraction of a service's slots available to reward calls. They come in bursts
+// when the samples of a step end, and without a limit would delay callers' requests or cause them to be
+// refused. A lower fraction would delay steps when few backends are left.
+const rewardSlotFraction = 5.0 / 6
 
-// rewardLimit bounds the reward calls under way, for each route, and lets those that wait in
-// in the order in which they came. It may be used concurrently.
-type rewardLimit struct {
+// rewardLimiter limits the concurrent reward calls on each route. Waiting calls are admitted in the order
+// of arrival. It is safe for concurrent use.
+type rewardLimiter struct {
 	mutex  sync.Mutex
-	routes map[string]*limitedRoute
+	routes map[string]*routeLimiter
 }
 
-// limitedRoute holds the calls under way on a route, and those that wait.
-type limitedRoute struct {
-	underWay, most int
-	waiting        []chan struct{}
+// routeLimiter counts the active calls on a route and queues the waiting ones.
+type routeLimiter struct {
+	active, limit int
+	waiting       []chan struct{}
 }
 
-func newRewardLimit() *rewardLimit { return &rewardLimit{routes: map[string]*limitedRoute{}} }
+func newRewardLimiter() *rewardLimiter { return &rewardLimiter{routes: map[string]*routeLimiter{}} }
 
-// mostRewards returns how many reward calls may be under way on the route.
-func mostRewards(catalog *directory.Catalog, route routing.Route) int {
+// maxRewardCalls returns the maximum number of concurrent reward calls on the route.
+func maxRewardCalls(catalog *directory.Catalog, route routing.Route) int {
 	slots := 0
 	for _, share := range route.Shares {
 		for _, backend := range catalog.Backends(share.Service) {
@@ -40,63 +39,63 @@
 			}
 		}
 	}
-	return max(int(rewardShare*float64(slots)), 1)
+	return max(int(rewardSlotFraction*float64(slots)), 1)
 }
 
-// enter waits until one more call may be under way on the route, of the most that are
-// allowed now. It returns false if the context ends first; otherwise leave must follow.
-func (l *rewardLimit) enter(ctx context.Context, route string, most int) bool {
+// acquire waits until another call is allowed on the route under the current limit. It returns false if the
+// context ends first; otherwise release must be called.
+func (l *rewardLimiter) acquire(ctx context.Context, route string, limit int) bool {
 	l.mutex.Lock()
-	limited := l.routes[route]
-	if limited == nil {
-		limited = &limitedRoute{}
-		l.routes[route] = limited
+	limiter := l.routes[route]
+	if limiter == nil {
+		limiter = &routeLimiter{}
+		l.routes[route] = limiter
 	}
-	limited.most = most
-	if limited.underWay < most && len(limited.waiting) == 0 {
-		limited.underWay++
+	limiter.limit = limit
+	if limiter.active < limit && len(limiter.waiting) == 0 {
+		limiter.active++
 		l.mutex.Unlock()
 		return true
 	}
-	turn := make(chan struct{})
-	limited.waiting = append(limited.waiting, turn)
-	limited.admit()
+	admitted := make(chan struct{})
+	limiter.waiting = append(limiter.waiting, admitted)
+	limiter.admit()
 	l.mutex.Unlock()
 	select {
-	case <-turn:
+	case <-admitted:
 		return true
 	case <-ctx.Done():
-		l.giveUp(limited, turn)
+		l.cancelWait(limiter, admitted)
 		return false
 	}
 }
 
-// giveUp takes back a call that waits, or that was let in just now.
-func (l *rewardLimit) giveUp(limited *limitedRoute, turn chan struct{}) {
+// cancelWait removes a waiting call, or releases it if it was admitted in the meantime.
+func (l *rewardLimiter) cancelWait(limiter *routeLimiter, admitted chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	position := slices.Index(limited.waiting, turn)
+	position := slices.Index(limiter.waiting, admitted)
 	if position >= 0 {
-		limited.waiting = slices.Delete(limited.waiting, position, position+1)
+		limiter.waiting = slices.Delete(limiter.waiting, position, position+1)
 		return
 	}
-	limited.underWay--
-	limited.admit()
+	limiter.active--
+	limiter.admit()
 }
 
-// leave ends a call that was let in.
-func (l *rewardLimit) leave(route string) {
+// release ends a call that acquire has admitted.
+func (l *rewardLimiter) release(route string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	limited := l.routes[route]
-	limited.underWay--
-	limited.admit()
+	limiter := l.routes[route]
+	limiter.active--
+	limiter.admit()
 }
 
-// admit lets in whoever may go. The mutex must be held.
-func (r *limitedRoute) admit() {
-	for r.underWay < r.most && len(r.waiting) > 0 {
-		r.underWay++
+// admit admits waiting calls up to the limit. The limiter's mutex must be held.
+func (r *routeLimiter) admit() {
+	for r.active < r.limit && len(r.waiting) > 0 {
+		r.active++
 		close(r.waiting[0])
 		r.waiting = r.waiting[1:]
 	}
--- a/server/reward_limit_test.go
+++ b/server/reward_limit_test.go
@@ -11,43 +11,43 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// TestRewardCallsLeaveRoom: no more calls are under way than the limit, those that wait go
-// in order, and one that gives up takes no place.
-func TestRewardCallsLeaveRoom(t *testing.T) {
-	limit := newRewardLimit()
+// TestRewardLimiter checks that active calls stay within the limit, that waiting ones are admitted in
+// order, and that one whose context ends takes no slot.
+func TestRewardLimiter(t *testing.T) {
+	limiter := newRewardLimiter()
 	ctx := context.Background()
-	require.True(t, limit.enter(ctx, "r", 2))
-	require.True(t, limit.enter(ctx, "r", 2))
-	require.True(t, limit.enter(ctx, "other", 1), "routes are apart")
-	type entered struct {
+	require.True(t, limiter.acquire(ctx, "r", 2))
+	require.True(t, limiter.acquire(ctx, "r", 2))
+	require.True(t, limiter.acquire(ctx, "other", 1), "routes are limited independently")
+	type acquisition struct {
 		name string
 		ok   bool
 	}
-	got := make(chan entered, 3)
-	waits := func(name string, ctx context.Context, waiting int) {
-		go func() { got <- entered{name, limit.enter(ctx, "r", 2)} }()
+	acquired := make(chan acquisition, 3)
+	acquireInBackground := func(name string, ctx context.Context, waiting int) {
+		go func() { acquired <- acquisition{name, limiter.acquire(ctx, "r", 2)} }()
 		require.Eventually(t, func() bool {
-			limit.mutex.Lock()
-			defer limit.mutex.Unlock()
-			return len(limit.routes["r"].waiting) == waiting
-		}, testPatience, time.Millisecond)
+			limiter.mutex.Lock()
+			defer limiter.mutex.Unlock()
+			return len(limiter.routes["r"].waiting) == waiting
+		}, testTimeout, time.Millisecond)
 	}
 	cancelled, cancel := context.WithCancel(ctx)
-	waits("first", cancelled, 1)
-	waits("second", ctx, 2)
-	waits("third", ctx, 3)
+	acquireInBackground("first", cancelled, 1)
+	acquireInBackground("second", ctx, 2)
+	acquireInBackground("third", ctx, 3)
 	cancel()
-	require.Equal(t, entered{"first", false}, <-got)
-	limit.leave("r")
-	require.Equal(t, entered{"second", true}, <-got)
-	limit.leave("r")
-	require.Equal(t, entered{"third", true}, <-got)
-	limit.leave("r")
-	limit.leave("r")
-	require.Zero(t, limit.routes["r"].underWay)
+	require.Equal(t, acquisition{"first", false}, <-acquired)
+	limiter.release("r")
+	require.Equal(t, acquisition{"second", true}, <-acquired)
+	limiter.release("r")
+	require.Equal(t, acquisition{"third", true}, <-acquired)
+	limiter.release("r")
+	limiter.release("r")
+	require.Zero(t, limiter.routes["r"].active)
 }
 
-func TestMostRewardsFollowTheSlots(t *testing.T) {
+func TestMaxRewardCalls(t *testing.T) {
 	machine := directory.NewMachine()
 	for _, backend := range []directory.Backend{
 		{ID: "a", Service: "s", Address: "a:1", Slots: 6}, {ID: "b", Service: "s", Address: "b:1", Slots: 6},
@@ -59,6 +59,6 @@
 	route := func(service string) routing.Route {
 		return routing.Route{Shares: []routing.Share{{Service: service, Weight: 1}}}
 	}
-	require.Equal(t, 10, mostRewards(catalog, route("s")))
-	require.Equal(t, 1, mostRewards(catalog, route("none")), "a service without backends is still tried")
+	require.Equal(t, 10, maxRewardCalls(catalog, route("s")))
+	require.Equal(t, 1, maxRewardCalls(catalog, route("none")), "one call is allowed without backends")
 }
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -150,9 +150,9 @@
 		collectReplica(emit, status)
 		collectTransport(emit, l.replica.Counts())
 	}
-	gauge(emit, "ledger_runners_open", "On a leader, stores that can hold streams of runs for it.", float64(l.executor.runnersOpen.Load()))
+	gauge(emit, "ledger_runners_open", "On a leader, stores that can hold streams of runs for it.", float64(l.executor.openRunners.Load()))
 	l.executor.collectPlan(emit)
-	gauge(emit, "runner_runs", "Runs whose streams this store holds for the leader.", float64(l.runs.ActiveRuns()))
+	gauge(emit, "runner_runs", "Runs whose streams this store holds for the leader.", float64(l.runnerServer.ActiveRuns()))
 }
 
 func (g *Gateway) collect(emit chan<- prometheus.Metric) {
--- a/server/run.go
+++ b/server/run.go
@@ -12,15 +12,15 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-func (t *tenure) cancel(task *scheduler.Task) {
+func (t *leadership) cancel(task *scheduler.Task) {
 	if cancel := t.cancels[task]; cancel != nil {
 		cancel()
 		delete(t.cancels, task)
 	}
 }
 
-// eventsOf returns the number of events of the task's text so far.
-func (t *tenure) eventsOf(task *scheduler.Task) uint64 {
+// eventCount returns the number of events in the task's text so far.
+func (t *leadership) eventCount(task *scheduler.Task) uint64 {
 	if progress := t.progress[task]; progress != nil {
 		text, _ := progress.read()
 		return text.Last
@@ -28,48 +28,48 @@
 	return task.Text.Last
 }
 
-// start runs a task on its engine.
-func (t *tenure) start(assignment scheduler.Assignment) {
+// startRun starts the assigned run.
+func (t *leadership) startRun(assignment scheduler.Assignment) {
 	task := assignment.Task
 	link := t.runners.LinkFor(assignment.Backend)
 	event.SampleStarted.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).
 		Str("engine", assignment.Backend.ID).Str("runner", link.Name()).Uint("attempt", uint64(task.Attempts)).Uint("after", task.Text.Last).
 		Uint("expected", uint64(assignment.ExpectedEvents)).Uint("pace", micros(assignment.Pace)).Uint("ahead", boolToUint(task.IsSpeculative())).
 		Int("spare_ms", assignment.SlackMillis).Send()
-	followed := t.followRun(assignment)
+	run := t.beginRun(assignment)
 	request := runner.Request{
 		Backend: assignment.Backend, Step: task.Step.ID, Host: task.Step.Host, Tenant: task.Step.Tenant,
 		Sample: task.Sample, Text: task.Text, DecidedAt: clock.Now(),
-		KnownCrashes: followed.verdict.KnownCrashes, KnownKindCrashes: followed.verdict.KnownKindCrashes,
+		KnownCrashes: run.verdict.KnownCrashes, KnownKindCrashes: run.verdict.KnownKindCrashes,
 	}
-	go followed.run(func(ctx context.Context) scheduler.RunEnd { return link.Run(ctx, request, followed.take) })
+	go run.awaitEnd(func(ctx context.Context) scheduler.RunEnd { return link.Run(ctx, request, run.addBatch) })
 }
 
-// adopt goes on with runs of an earlier leader, where their samples wait and their texts
-// will do. It is called by a runner's link and waits for the loop.
-func (t *tenure) adopt(held []*runner.OrphanedRun) {
+// adoptRuns continues runs of an earlier leader whose samples are waiting and whose texts are usable. It is
+// called by a runner's link and blocks until the loop has executed it.
+func (t *leadership) adoptRuns(orphans []*runner.OrphanedRun) {
 	eventloop.Call(t.loop, func() struct{} {
-		t.engageHeld(held)
-		for _, one := range held {
-			assignment, ok := t.scheduler.Adopt(nowMillis(), one.Step, one.Sample, one.Engine, one.Text)
+		t.includeEngines(orphans)
+		for _, orphan := range orphans {
+			assignment, ok := t.scheduler.Adopt(nowMillis(), orphan.Step, orphan.Sample, orphan.Engine, orphan.Text)
 			if !ok {
 				continue
 			}
-			event.RunAdopted.On(t.logger).Str("sample", one.Sample).Str("step", one.Step).Str("engine", one.Engine).
-				Str("runner", one.Name()).Uint("after", one.Text.Last).Send()
-			followed := t.followRun(assignment)
-			one.Accept(followed.take)
-			go followed.run(one.Wait)
+			event.RunAdopted.On(t.logger).Str("sample", orphan.Sample).Str("step", orphan.Step).Str("engine", orphan.Engine).
+				Str("runner", orphan.Name()).Uint("after", orphan.Text.Last).Send()
+			run := t.beginRun(assignment)
+			orphan.Accept(run.addBatch)
+			go run.awaitEnd(orphan.Wait)
 		}
 		return struct{}{}
 	})
 }
 
-// engageHeld has the engines used that the runs are on.
-func (t *tenure) engageHeld(held []*runner.OrphanedRun) {
-	ids := make([]string, 0, len(held))
-	for _, one := range held {
-		ids = append(ids, one.Engine)
+// includeEngines adds the engines of the orphaned runs to the working sets.
+func (t *leadership) includeEngines(orphans []*runner.OrphanedRun) {
+	ids := make([]string, 0, len(orphans))
+	for _, orphan := range orphans {
+		ids = append(ids, orphan.Engine)
 	}
 	if t.catalog == nil {
 		return
@@ -80,7 +80,7 @@
 	t.syncEngines()
 }
 
-func (t *tenure) runEnded(task *scheduler.Task, assignment scheduler.Assignment, end scheduler.RunEnd, text scheduler.Text, version uint64) {
+func (t *leadership) runEnded(task *scheduler.Task, assignment scheduler.Assignment, end scheduler.RunEnd, text scheduler.Text, version uint64) {
 	if task.Run == assignment.Run {
 		delete(t.progress, task)
 	}
@@ -97,16 +97,16 @@
 		t.scheduler.RecordVersion(assignment.Backend.ID, task.Step.Model, version)
 	}
 	task.Text = text
-	ahead := task.IsSpeculative()
+	speculative := task.IsSpeculative()
 	t.scheduler.RunEnded(nowMillis(), task, assignment.Run, end)
 	t.metrics.runs.WithLabelValues(strconv.Itoa(int(end))).Inc()
 	event.SampleRunEnded.On(t.logger).Str("sample", task.Sample.ID).Str("engine", assignment.Backend.ID).
 		Uint("end", uint64(end)).Uint("events", text.Last).Uint("state", uint64(task.State)).Send()
-	if end == scheduler.Failed && !ahead {
-		t.keepFailures(task)
+	if end == scheduler.Failed && !speculative {
+		t.recordFailures(task)
 	}
 	switch {
-	case ahead:
+	case speculative:
 	case end == scheduler.Unprocessable:
 		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "impossible")
 	case end == scheduler.Failed && task.Failures.Runs >= max(task.Step.Attempts, 1):
@@ -116,17 +116,16 @@
 	}
 }
 
-// keepFailures records how often the task has failed, so that the next leader goes on counting.
-// What cannot be recorded is recorded with the next failure; a leader that is lost before
-// leaves one failure uncounted.
-func (t *tenure) keepFailures(task *scheduler.Task) {
-	failed := &ledger.Failed{Step: task.Step.ID, Sample: task.Sample.ID, Counts: task.Failures}
+// recordFailures records the task's failure counts for later leaders. If that fails, the next failure
+// records them again; if the leader is lost before then, one failure is not counted.
+func (t *leadership) recordFailures(task *scheduler.Task) {
+	command := &ledger.Failed{Step: task.Step.ID, Sample: task.Sample.ID, Counts: task.Failures}
 	go func() {
 		limited, cancel := context.WithTimeout(t.context, recordTimeout)
 		defer cancel()
-		_, err := t.replica.Execute(limited, ledger.Command{Failed: failed}.Encode())
-		line := event.FailuresRecorded.On(t.logger).Str("sample", failed.Sample).Str("step", failed.Step).
-			Uint("runs", uint64(failed.Counts.Runs)).Uint("rewards", uint64(failed.Counts.Rewards))
+		_, err := t.replica.Execute(limited, ledger.Command{Failed: command}.Encode())
+		line := event.FailuresRecorded.On(t.logger).Str("sample", command.Sample).Str("step", command.Step).
+			Uint("runs", uint64(command.Counts.Runs)).Uint("rewards", uint64(command.Counts.Rewards))
 		if err != nil {
 			line.Err(err)
 		}
@@ -134,26 +133,25 @@
 	}()
 }
 
-func (t *tenure) finish(task *scheduler.Task, result ledger.Result, why string) {
+func (t *leadership) finish(task *scheduler.Task, result ledger.Result, reason string) {
 	t.cancel(task)
-	kept := t.checkpointed[task]
+	checkpointed := t.checkpointed[task]
 	delete(t.checkpointed, task)
 	if t.scheduler.Finish(task) {
-		t.noteWhole(task)
+		t.reportStepCompleted(task)
 	}
 	t.metrics.samples.WithLabelValues(strconv.Itoa(int(result.State))).Inc()
-	t.results = append(t.results, newPendingResult(task, result, kept))
+	t.results = append(t.results, newPendingResult(task, result, checkpointed))
 	if result.State == ledger.FailedPermanently {
-		event.SampleFailed.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("reason", why).Send()
+		event.SampleFailed.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("reason", reason).Send()
 	}
 }
 
-// noteWhole says that the trainer has what it waits for of a step, and which
-// sample came last.
-func (t *tenure) noteWhole(last *scheduler.Task) {
-	took := nowMillis() - last.Step.SubmittedAt
-	t.metrics.steps.WithLabelValues().Observe(float64(took) / 1000)
-	event.StepCompleted.On(t.logger).Str("step", last.Step.ID).Uint("number", uint64(last.Step.Number)).Int("ms", took).
-		Str("sample", last.Sample.ID).Str("engine", last.Engine).Uint("events", last.Text.Last).
-		Uint("predicted_tokens", uint64(last.Sample.Predicted)).Uint("attempts", uint64(last.Attempts)).Send()
+// reportStepCompleted logs and measures the completion of a step. lastTask is the task that completed it.
+func (t *leadership) reportStepCompleted(lastTask *scheduler.Task) {
+	elapsed := nowMillis() - lastTask.Step.SubmittedAt
+	t.metrics.steps.WithLabelValues().Observe(float64(elapsed) / 1000)
+	event.StepCompleted.On(t.logger).Str("step", lastTask.Step.ID).Uint("number", uint64(lastTask.Step.Number)).Int("ms", elapsed).
+		Str("sample", lastTask.Sample.ID).Str("engine", lastTask.Engine).Uint("events", lastTask.Text.Last).
+		Uint("predicted_tokens", uint64(lastTask.Sample.Predicted)).Uint("attempts", uint64(lastTask.Attempts)).Send()
 }
--- a/server/score.go
+++ b/server/score.go
@@ -14,10 +14,10 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// score has a whole text scored, and lists it then.
-func (t *tenure) score(task *scheduler.Task) {
+// score requests the score of a complete text, then finishes the task.
+func (t *leadership) score(task *scheduler.Task) {
 	if task.Sample.Reward == nil {
-		t.finish(task, wholeResult(task, ""), "")
+		t.finish(task, succeededResult(task, ""), "")
 		return
 	}
 	scoreContext, cancel := context.WithCancel(t.context)
@@ -25,64 +25,64 @@
 	failures := task.Failures.Rewards
 	go func() {
 		defer cancel()
-		score, end := t.callReward(scoreContext, task, failures)
-		if end != rewardCancelled {
-			t.loop.Submit(func() { t.scored(task, score, end) })
+		score, outcome := t.callReward(scoreContext, task, failures)
+		if outcome != rewardCancelled {
+			t.loop.Submit(func() { t.scoringEnded(task, score, outcome) })
 		}
 	}()
 }
 
-// rewardEnd is how a reward call ended.
-type rewardEnd uint8
+// rewardOutcome is the outcome of a reward call with its retries.
+type rewardOutcome uint8
 
 const (
-	rewardScored rewardEnd = iota + 1
-	// rewardFailed: the call was answered with a failure as often as its route allows.
+	rewardScored rewardOutcome = iota + 1
+	// rewardFailed means that the call has failed as often as its route allows.
 	rewardFailed
-	// rewardCancelled: it is not wanted any more, or the leadership has ended. That
-	// tells nothing of the sample.
+	// rewardCancelled means that the score is no longer needed or the leadership has ended. It is not a
+	// failure of the sample.
 	rewardCancelled
 )
 
-// noteRewardFailures has the failures of a task's reward calls recorded.
-func (t *tenure) noteRewardFailures(task *scheduler.Task, failures int) {
+// recordRewardFailures records the failures of a task's reward calls.
+func (t *leadership) recordRewardFailures(task *scheduler.Task, failures int) {
 	if task.State != scheduler.Scoring {
 		return
 	}
 	task.Failures.Rewards = max(task.Failures.Rewards, failures)
-	t.keepFailures(task)
+	t.recordFailures(task)
 }
 
-func (t *tenure) scored(task *scheduler.Task, score string, end rewardEnd) {
+func (t *leadership) scoringEnded(task *scheduler.Task, score string, outcome rewardOutcome) {
 	if task.State != scheduler.Scoring {
 		return
 	}
 	delete(t.cancels, task)
-	if end == rewardFailed {
+	if outcome == rewardFailed {
 		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "no score")
 		return
 	}
-	t.finish(task, wholeResult(task, score), "")
+	t.finish(task, succeededResult(task, score), "")
 }
 
-func wholeResult(task *scheduler.Task, score string) ledger.Result {
+func succeededResult(task *scheduler.Task, score string) ledger.Result {
 	return ledger.Result{
 		Sample: task.Sample.ID, State: ledger.Succeeded, Text: ledger.JoinEvents(task.Text.Events),
 		Versions: task.Text.Versions, Score: score,
 	}
 }
 
-// callReward repeats the reward call until it is answered with a success, or
-// has failed as often as its route allows, with the failures under earlier leaders.
-func (t *tenure) callReward(ctx context.Context, task *scheduler.Task, failures int) (score string, end rewardEnd) {
+// callReward retries the reward call until it succeeds or has failed as often as its route allows. The
+// failures under earlier leaders count, too.
+func (t *leadership) callReward(ctx context.Context, task *scheduler.Task, failures int) (score string, outcome rewardOutcome) {
 	reward := task.Sample.Reward
 	for ctx.Err() == nil {
 		catalog := t.watcher.Catalog()
 		path, _, _ := strings.Cut(reward.Path, "?")
 		route, ok := catalog.Table.Match(reward.Host, path)
-		if ok && t.rewards.enter(ctx, route.Key(), mostRewards(catalog, route)) {
+		if ok && t.rewardLimiter.acquire(ctx, route.Key(), maxRewardCalls(catalog, route)) {
 			result := t.sendReward(ctx, catalog, route, reward)
-			t.rewards.leave(route.Key())
+			t.rewardLimiter.release(route.Key())
 			if result.Response != nil && result.Response.Status/100 == 2 {
 				return result.Response.Signature, rewardScored
 			}
@@ -91,7 +91,7 @@
 				return "", rewardFailed
 			}
 			if result.Failures > 0 {
-				t.loop.Submit(func() { t.noteRewardFailures(task, failures) })
+				t.loop.Submit(func() { t.recordRewardFailures(task, failures) })
 			}
 		}
 		select {
@@ -102,9 +102,9 @@
 	return "", rewardCancelled
 }
 
-// sendReward sends the call. One of a suspected kind is sent only if no other of the kind is under
-// way, and otherwise comes to nothing.
-func (t *tenure) sendReward(ctx context.Context, catalog *directory.Catalog, route routing.Route, reward *ledger.Reward) forward.Result {
+// sendReward sends the call once. A call of a suspected kind is postponed while another one of that kind is
+// active.
+func (t *leadership) sendReward(ctx context.Context, catalog *directory.Catalog, route routing.Route, reward *ledger.Reward) forward.Result {
 	timeout := time.Duration(route.TimeoutMillis) * time.Millisecond
 	request := &forward.Request{
 		ID: reward.ID, StableID: true, Method: http.MethodPost, Host: reward.Host, Target: reward.Path,
--- a/server/score_test.go
+++ b/server/score_test.go
@@ -10,15 +10,15 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// TestCancelledRewardCallTellsNothing: a sample whose reward call ends because the
-// leadership has is not taken for one that cannot be scored.
-func TestCancelledRewardCallTellsNothing(t *testing.T) {
-	ended, cancel := context.WithCancel(context.Background())
+// TestCancelledRewardCallIsNotAFailure checks that a sample does not fail if its reward call ends with the
+// leadership.
+func TestCancelledRewardCallIsNotAFailure(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	task := &scheduler.Task{
 		Step:   &ledger.Step{ID: "s", Attempts: 3},
 		Sample: &ledger.Sample{ID: "x", Reward: &ledger.Reward{ID: "r", Host: "h", Path: "/reward"}},
 	}
-	_, end := (&tenure{}).callReward(ended, task, 0)
-	require.Equal(t, rewardCancelled, end)
+	_, outcome := (&leadership{}).callReward(ctx, task, 0)
+	require.Equal(t, rewardCancelled, outcome)
 }
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -149,13 +149,13 @@
 	logger := zerolog.Nop()
 	seeds := directory.seeds(&logger)
 	store := NewLedger(settings, seeds, nil, nil, &logger)
-	httpServer := newHTTPServer(store.runs)
+	httpServer := newHTTPServer(store.runnerServer)
 	serveHTTP(httpServer, served, &logger)
 	response, err := http.Get("http://" + served.Addr().String())
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
 	store.executor.guard.RecordFingerprintCrash("content", "backend", 0)
-	store.finish(httpServer)
+	store.shutdown(httpServer)
 	require.False(t, <-directory.reachable)
 }
 
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -16,8 +16,8 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// tenure is one leadership. Its fields belong to its loop.
-type tenure struct {
+// leadership is the state of one term as leader. Its fields are used only in its event loop.
+type leadership struct {
 	*Executor
 	context   context.Context
 	replica   *replica.Replica
@@ -25,70 +25,68 @@
 	term      uint64
 	loop      *eventloop.Loop
 	scheduler *scheduler.Scheduler
-	// runners are the stores that hold the streams of runs.
+	// runners holds the links to the stores that run samples.
 	runners *runner.Pool
 
 	catalog    *directory.Catalog
 	generation uint64
-	// workingSets choose the engines that are used, by their services; they are engaged for
-	// that many samples. Those of the names were used by an earlier leader.
-	workingSets map[string]*scheduler.WorkingSet
-	engaged     []directory.Backend
-	engagedFor  int
-	usedBefore  map[string]bool
-	cancels     map[*scheduler.Task]context.CancelFunc
-	// heldBack holds the samples that were said to be held back, and asking those whose trial
-	// is being asked for.
-	heldBack, asking map[quarantine.Fingerprint]bool
-	// progress holds what each run under way has produced.
+	// workingSets selects the engines to use, by service. selectedEngines were selected for
+	// selectedForSamples concurrent samples. usedBefore holds the names of engines that an earlier leader
+	// used.
+	workingSets        map[string]*scheduler.WorkingSet
+	selectedEngines    []directory.Backend
+	selectedForSamples int
+	usedBefore         map[string]bool
+	cancels            map[*scheduler.Task]context.CancelFunc
+	// quarantined holds the samples already logged as quarantined, requestingTrial those with an open
+	// request for a trial.
+	quarantined, requestingTrial map[quarantine.Fingerprint]bool
+	// progress holds the output of each active run.
 	progress map[*scheduler.Task]*runProgress
-	// checkpointed holds the number of events of each task's text that the ledger keeps.
+	// checkpointed holds the number of events of each task's text that the ledger has stored.
 	checkpointed  map[*scheduler.Task]uint64
 	checkpointing bool
 	results       []pendingResult
 	recording     bool
-	// recordAfter is when results that could not be recorded are tried again.
+	// recordAfter is the earliest time of the next commit of results.
 	recordAfter time.Time
 	prunedAt    time.Time
-	// fresh tells whether the loop's state may be decided by.
-	fresh freshness
-	// awaited is the question about the directory whose end the loop looks at, or nil.
+	// freshness reports whether the state is too old to start runs.
+	freshness freshness
+	// awaited is the pending question to the directory that wakes the loop when it ends, or nil.
 	awaited *question
-	// ordersAt is when loads were last looked for; the zero time has them looked for now.
-	ordersAt time.Time
-	// aheadAt is when runs ahead were last looked for.
-	aheadAt time.Time
-	// known holds the open steps that the scheduler has taken in.
-	known map[string]bool
-	// rewards bounds the reward calls under way.
-	rewards *rewardLimit
-	// turns lets reward calls of suspected kinds go one at a time.
+	// loadsCheckedAt is the time of the last check for loads. The zero time causes a check at the next
+	// flush.
+	loadsCheckedAt       time.Time
+	speculationCheckedAt time.Time
+	// knownSteps holds the open steps that the scheduler has received.
+	knownSteps map[string]bool
+	// rewardLimiter limits concurrent reward calls.
+	rewardLimiter *rewardLimiter
+	// turns serializes reward calls of suspected kinds.
 	turns *kindTurns
-	// recordedPaces are those that the ledger holds, and pacesAt is when they were
-	// last looked at.
-	recordedPaces map[string]float64
-	pacesAt       time.Time
-	// planLoggedAt is when the log was last told of a plan, and demandAt when the directory was of the
-	// demand.
-	planLoggedAt, demandAt time.Time
+	// recordedPaces are the paces stored in the ledger.
+	recordedPaces  map[string]float64
+	pacesCheckedAt time.Time
+	// planLoggedAt is when deferred groups were last logged, demandReportedAt when the demand was last
+	// reported to the directory.
+	planLoggedAt, demandReportedAt time.Time
 }
 
-// deferOrders leaves engines alone that an earlier leader has given orders to,
-// until its lease has ended.
-func (t *tenure) deferOrders() {
+// deferLoads postpones loads on engines that another leader has sent orders to until its lease has ended.
+func (t *leadership) deferLoads() {
 	wait := (t.settings.OrderLease + duty.LeaseMargin).Milliseconds()
 	t.replica.Do(func() { t.orders.Observe(nowMillis(), t.machine.Orders()) })
-	for id, learnt := range t.orders.ObservedFromOthers(t.settings.Name) {
-		t.scheduler.DeferLoads(id, learnt+wait)
+	for id, observedAt := range t.orders.ObservedFromOthers(t.settings.Name) {
+		t.scheduler.DeferLoads(id, observedAt+wait)
 	}
 }
 
-// loadHistory tells the scheduler of the steps that an earlier leader has seen end,
-// and of the engines' paces that it has observed.
-func (t *tenure) loadHistory() {
+// restoreHistory passes the ended steps and the engines' paces from the ledger to the scheduler.
+func (t *leadership) restoreHistory() {
 	t.replica.Do(func() {
 		t.scheduler.RestorePaces(t.machine.Paces())
-		t.usedBefore = orderedLately(t.machine.Orders())
+		t.usedBefore = recentlyOrdered(t.machine.Orders())
 		for _, entry := range t.machine.Steps() {
 			if entry.Ended {
 				t.scheduler.RecordEndedStep(entry.Step)
@@ -97,8 +95,9 @@
 	})
 }
 
-// follow wakes the loop when the ledger or the directory has changed.
-func (t *tenure) follow(stop context.CancelFunc) {
+// watchChanges submits syncState whenever the ledger or the directory has changed. It stops the leadership
+// when the replica no longer leads in this term.
+func (t *leadership) watchChanges(stop context.CancelFunc) {
 	for {
 		ledgerChanged, directoryChanged := t.replica.Changed(), t.watcher.Changed()
 		status := t.replica.Status()
@@ -106,7 +105,7 @@
 			stop()
 			return
 		}
-		t.fresh.noteChange(nowMillis())
+		t.freshness.noteChange(nowMillis())
 		t.loop.Submit(t.syncState)
 		select {
 		case <-t.context.Done():
@@ -117,25 +116,25 @@
 	}
 }
 
-func (t *tenure) tick() {
+func (t *leadership) tick() {
 	for _, task := range t.scheduler.OverdueTasks(nowMillis()) {
 		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "overdue")
 	}
-	t.moveSlow()
-	t.runAhead()
+	t.moveSlowRuns()
+	t.updateSpeculativeRuns()
 	t.checkpoint()
 	t.recordPaces()
 	t.tellDemand()
-	t.runnersOpen.Store(int64(t.runners.OpenLinks()))
-	t.notePlan()
+	t.openRunners.Store(int64(t.runners.OpenLinks()))
+	t.publishPlan()
 	if time.Since(t.prunedAt) > pruneInterval {
 		t.prunedAt = time.Now()
-		t.prune()
+		t.pruneSteps()
 	}
 }
 
-// prune forgets steps that have ended and whose time is over.
-func (t *tenure) prune() {
+// pruneSteps removes ended steps that are older than the retention time.
+func (t *leadership) pruneSteps() {
 	oldest := nowMillis() - t.settings.Retention.Milliseconds()
 	var steps []string
 	t.replica.Do(func() {
@@ -150,21 +149,21 @@
 	}
 }
 
-// syncState takes in what has changed in the directory and the ledger.
-func (t *tenure) syncState() {
-	t.fresh.noteTaken()
+// syncState applies changes of the directory and the ledger.
+func (t *leadership) syncState() {
+	t.freshness.noteTaken()
 	if catalog := t.watcher.Catalog(); catalog != t.catalog {
-		first := t.catalog == nil
+		isFirst := t.catalog == nil
 		t.catalog = catalog
 		t.forwarder.Forget(catalog)
-		t.runners.SetStores(runnersOf(catalog, t.settings.Name))
+		t.runners.SetStores(runnerStores(catalog, t.settings.Name))
 		t.syncEngines()
-		if first {
-			t.inspect(t.engaged)
+		if isFirst {
+			t.inspectEngines(t.selectedEngines)
 		}
 	}
 	var open []*ledger.Entry
-	var whole []*scheduler.Task
+	var completed []*scheduler.Task
 	unchanged := false
 	t.replica.Do(func() {
 		unchanged = t.machine.Generation == t.generation
@@ -174,69 +173,69 @@
 		}
 		for _, entry := range t.machine.Steps() {
 			if !entry.Ended {
-				whole = append(whole, t.scheduler.AddStep(entry)...)
+				completed = append(completed, t.scheduler.AddStep(entry)...)
 				open = append(open, entry)
 			}
 		}
 	})
 	if !unchanged {
-		t.endClosed(open)
-		t.logTakenOver(open)
-		if t.catalog != nil && t.scheduler.ConcurrentSamples() > t.engagedFor {
+		t.endClosedSteps(open)
+		t.logPromoted(open)
+		if t.catalog != nil && t.scheduler.ConcurrentSamples() > t.selectedForSamples {
 			t.syncEngines()
 		}
 	}
-	for _, task := range whole {
+	for _, task := range completed {
 		event.SampleTextReused.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Uint("events", task.Text.Last).Send()
 		t.score(task)
 	}
 }
 
-// logTakenOver says which runs ahead the newest of the open steps have taken over.
-func (t *tenure) logTakenOver(open []*ledger.Entry) {
+// logPromoted logs the speculative runs that became runs of newly opened steps.
+func (t *leadership) logPromoted(open []*ledger.Entry) {
 	for _, entry := range open {
-		if t.known[entry.Step.ID] {
+		if t.knownSteps[entry.Step.ID] {
 			continue
 		}
-		t.known[entry.Step.ID] = true
+		t.knownSteps[entry.Step.ID] = true
 		for _, task := range t.scheduler.Promoted(entry.Step.ID) {
 			event.RunAheadTakenOver.On(t.logger).Str("sample", task.Sample.ID).Str("step", entry.Step.ID).
-				Str("engine", task.Engine).Uint("after", t.eventsOf(task)).Send()
+				Str("engine", task.Engine).Uint("after", t.eventCount(task)).Send()
 		}
 	}
 }
 
-// syncEngines has the scheduler use the engines that its steps need of those that there are.
-func (t *tenure) syncEngines() {
-	t.engaged, t.engagedFor = nil, t.scheduler.ConcurrentSamples()
-	fleet := 0
+// syncEngines selects the engines for the open steps and passes them to the scheduler.
+func (t *leadership) syncEngines() {
+	t.selectedEngines, t.selectedForSamples = nil, t.scheduler.ConcurrentSamples()
+	fleetSize := 0
 	for name, service := range t.catalog.Services {
 		if len(service.Models) == 0 {
 			continue
 		}
 		backends := t.catalog.Backends(name)
-		fleet += len(backends)
-		t.engaged = append(t.engaged, t.workingSet(name).Choose(backends, t.engagedFor)...)
+		fleetSize += len(backends)
+		t.selectedEngines = append(t.selectedEngines, t.workingSet(name).Choose(backends, t.selectedForSamples)...)
 	}
-	t.scheduler.SetFleetSize(fleet)
-	for _, task := range t.scheduler.SyncEngines(nowMillis(), t.engaged, t.catalog.Models) {
-		// It waits again once its run has told what there is of its text.
+	t.scheduler.SetFleetSize(fleetSize)
+	for _, task := range t.scheduler.SyncEngines(nowMillis(), t.selectedEngines, t.catalog.Models) {
+		// The task waits again once its run has ended and its text so far is known.
 		t.cancel(task)
 	}
 }
 
-// workingSet returns what chooses the service's engines.
-func (t *tenure) workingSet(service string) *scheduler.WorkingSet {
-	known := t.workingSets[service]
-	if known == nil {
-		known = scheduler.NewWorkingSet(t.usedBefore)
-		t.workingSets[service] = known
+// workingSet returns the service's working set, creating it if necessary.
+func (t *leadership) workingSet(service string) *scheduler.WorkingSet {
+	set := t.workingSets[service]
+	if set == nil {
+		set = scheduler.NewWorkingSet(t.usedBefore)
+		t.workingSets[service] = set
 	}
-	return known
+	return set
 }
 
-// endClosed stops the tasks of steps that are not open any more.
-func (t *tenure) endClosed(open []*ledger.Entry) {
+// endClosedSteps cancels the tasks of steps that are no longer open.
+func (t *leadership) endClosedSteps(open []*ledger.Entry) {
 	isOpen := make(map[string]bool, len(open))
 	for _, entry := range open {
 		isOpen[entry.Step.ID] = true
@@ -245,7 +244,7 @@
 		if isOpen[id] {
 			continue
 		}
-		delete(t.known, id)
+		delete(t.knownSteps, id)
 		for _, task := range t.scheduler.EndStep(id) {
 			t.cancel(task)
 			delete(t.checkpointed, task)
@@ -253,50 +252,49 @@
 	}
 }
 
-// flush starts what can be started.
-func (t *tenure) flush() error {
+// flush records results, starts loads and starts the runs that are possible now.
+func (t *leadership) flush() error {
 	if t.catalog == nil {
 		return nil
 	}
 	t.record()
 	now := nowMillis()
-	t.giveOrders(now)
-	if !t.runners.Ready() || t.fresh.isStale(now) || !t.copyIsCurrent(now) {
+	t.startLoads(now)
+	if !t.runners.Ready() || t.freshness.isStale(now) || !t.copyIsCurrent(now) {
 		return nil
 	}
 	for _, assignment := range t.scheduler.Assign(now, t.servicesOf) {
-		t.start(assignment)
+		t.startRun(assignment)
 	}
 	return nil
 }
 
-// ordersInterval is the least time between two looks for loads, which go through all engines:
-// a small part of the time of a load, and many times that between two flushes of a leader with
-// hundreds of runs.
-const ordersInterval = 50 * time.Millisecond
+// loadCheckInterval is the minimum time between two checks for loads. A check iterates over all engines, so
+// it must not run at every flush, but it must be short compared to a load.
+const loadCheckInterval = 50 * time.Millisecond
 
-// giveOrders has engines load what is needed. It looks at once after a load has ended.
-func (t *tenure) giveOrders(now int64) {
-	if time.Since(t.ordersAt) < ordersInterval {
+// startLoads starts the loads that are needed, at most once per loadCheckInterval.
+func (t *leadership) startLoads(now int64) {
+	if time.Since(t.loadsCheckedAt) < loadCheckInterval {
 		return
 	}
-	t.ordersAt = time.Now()
+	t.loadsCheckedAt = time.Now()
 	for _, order := range t.scheduler.LoadOrders(now) {
-		go t.load(order)
+		go t.runLoad(order)
 	}
 }
 
-// servicesOf tells the services that may run the task's sample now.
-func (t *tenure) servicesOf(task *scheduler.Task) ([]string, bool) {
+// servicesOf returns the services that may run the task's sample now.
+func (t *leadership) servicesOf(task *scheduler.Task) ([]string, bool) {
 	if t.isHeldBack(task) {
 		return nil, false
 	}
-	services, ok := t.routeOf(task)
+	services, ok := t.routedServices(task)
 	return services, ok && !t.isPostponed(task, services)
 }
 
-// routeOf returns the services that the task's route leads to, and whether there is a route.
-func (t *tenure) routeOf(task *scheduler.Task) ([]string, bool) {
+// routedServices returns the services of the task's route, and whether a route exists.
+func (t *leadership) routedServices(task *scheduler.Task) ([]string, bool) {
 	path, _, _ := strings.Cut(task.Sample.Path, "?")
 	route, ok := t.catalog.Table.Match(task.Step.Host, path)
 	if !ok {
--- a/server/tenure_copy.go
+++ b/server/tenure_copy.go
@@ -1,9 +1,9 @@
 package server
 
-// copyIsCurrent tells whether runs may begin by the copy of the directory. One that is too old is
-// asked for, and the loop looks again after that. A leader that is out of touch goes on by what it
-// knows: its runs may be repeated.
-func (t *tenure) copyIsCurrent(now int64) bool {
+// copyIsCurrent reports whether the copy of the directory is fresh enough to start runs. If it is too old,
+// the loop is woken once the directory has answered. A leader that cannot reach the directory continues
+// with its copy; its runs may be repeated.
+func (t *leadership) copyIsCurrent(now int64) bool {
 	switch t.watcher.age.state(now) {
 	case copyTooOld:
 		t.awaitQuestion(t.watcher.ask())
@@ -11,12 +11,12 @@
 	case copyAging, copyOutOfTouch:
 		t.watcher.askAside()
 	}
-	// What an answer has brought is taken in by the loop.
+	// A newer catalog must be applied by the loop first.
 	return t.catalog == t.watcher.Catalog()
 }
 
-// awaitQuestion has the loop look again when the question has ended.
-func (t *tenure) awaitQuestion(asked *question) {
+// awaitQuestion wakes the loop when the question has ended.
+func (t *leadership) awaitQuestion(asked *question) {
 	if t.awaited == asked {
 		return
 	}
