--- a/server/ledger_call.go
+++ b/server/ledger_call.go
@@ -120,8 +120,8 @@
 	return submitAnswer(l.stepAccess(step.ID, step.Tenant))
 }
 
-// submitAnswer returns the answer for a step whose entry is committed. This replica may not have applied it
-// yet, if a later leader committed it.
+// submit commits a new step. The step's relative times become times of the leader's clock at the first
+// submission.
 func submitAnswer(exists, allowed bool) ledgerAnswer {
 	switch {
 	case !exists:
--- a/server/ledger_client.go
+++ b/server/ledger_client.go
@@ -35,7 +35,7 @@
 	mutex sync.Mutex
 	// leader is the address of the last known leader.
 	leader string
-	// localRetryAt is the time before which the replica in the local zone is not called.
+	// localRetryAt is when the replica in the local zone may be called again after a failure.
 	localRetryAt time.Time
 }
 
