--- a/server/copy_age.go
+++ b/server/copy_age.go
@@ -96,8 +96,8 @@
 	a.noteProven(began)
 }
 
-// lineProof is how old a replica's proof may be when it sends a line: see evidenceLimit.
-const lineProof = evidenceLimit + evidenceTick
+// lineProof is how old a replica's proof may be when it sends a line: see maxConfirmationAge.
+const lineProof = maxConfirmationAge + confirmationCheckInterval
 
 // watchProof tells what the lines of a replica's watches prove. A line may be read long after
 // it was sent, by a process that stood still; but a replica sends the line of a number no earlier
@@ -127,7 +127,7 @@
 // have held everything that it has told of, if the line proves that.
 func (f *watchProof) noteLine(now int64) (provenAt int64, proves bool) {
 	f.noteHeard(now)
-	f.sentAt = f.askedAt + f.lines*watchLineInterval.Milliseconds()
+	f.sentAt = f.askedAt + f.lines*keepaliveInterval.Milliseconds()
 	f.lines++
 	if f.lines == 1 {
 		// The first line says only that the watch has come.
@@ -139,7 +139,7 @@
 // noteHeard takes in that the replica has said anything. One that nobody watched for a while
 // begins anew to prove what it says.
 func (f *watchProof) noteHeard(now int64) {
-	if f.lines == 0 && (f.from == 0 || now-f.sentAt > evidenceLinger.Milliseconds()) {
+	if f.lines == 0 && (f.from == 0 || now-f.sentAt > readConfirmLinger.Milliseconds()) {
 		f.from = now
 	}
 }
--- a/server/copy_age_test.go
+++ b/server/copy_age_test.go
@@ -62,7 +62,7 @@
 // were sent at the earliest, however late they are read.
 func TestLinesProve(t *testing.T) {
 	const start = int64(1_000_000)
-	line, proof := watchLineInterval.Milliseconds(), lineProof.Milliseconds()
+	line, proof := keepaliveInterval.Milliseconds(), lineProof.Milliseconds()
 	var followed watchProof
 	_, proves := watched(&followed, start, start)
 	require.False(t, proves, "a first line")
--- a/server/directory.go
+++ b/server/directory.go
@@ -25,100 +25,98 @@
 const (
 	directoryCallPath  = "/internal/directory/call"
 	directoryWatchPath = "/internal/directory/watch"
-	// watchWait is how long a watch without lines is held while nothing changes.
-	watchWait = 2 * time.Second
-	// reviewInterval is the time between the leader's reviews of what is silent.
+	// plainWatchTimeout bounds a watch without keepalives.
+	plainWatchTimeout = 2 * time.Second
+	// reviewInterval is the time between two reviews by the leader.
 	reviewInterval = 250 * time.Millisecond
-	// silentBeats and goneBeats are the numbers of missed heartbeats after which
-	// a backend counts as silent, and is taken out.
-	silentBeats = 4
-	goneBeats   = 20
-	// finalBeats take the place of goneBeats while one that is taken out could not return.
-	finalBeats = 10 * goneBeats
-	// formationPause is how long no new store may have registered before the
-	// first group is formed, and formationWait how long at most is waited for
-	// as many as are wanted.
-	formationPause   = 400 * time.Millisecond
-	formationWait    = 3 * time.Second
-	maxInternalBytes = 128 << 20
+	// silentHeartbeats and removalHeartbeats are the numbers of missed heartbeats after which a backend
+	// counts as silent, and is removed.
+	silentHeartbeats  = 4
+	removalHeartbeats = 20
+	// permanentRemovalHeartbeats replaces removalHeartbeats while a removed backend cannot return.
+	permanentRemovalHeartbeats = 10 * removalHeartbeats
+	// formationQuietTime is how long no new store may have registered before the first group is formed,
+	// and maxFormationWait how long formation waits for the wanted number of stores.
+	formationQuietTime = 400 * time.Millisecond
+	maxFormationWait   = 3 * time.Second
+	maxInternalBytes   = 128 << 20
 )
 
-// Heartbeat is what a backend says about itself.
+// Heartbeat is a backend's report of its state.
 type Heartbeat struct {
 	Backend directory.Backend `cbor:"1,keyasint"`
-	// Sequence rises with every heartbeat of an incarnation.
+	// Sequence increases with every heartbeat of an incarnation.
 	Sequence uint64 `cbor:"2,keyasint"`
-	// Unread says that something about models was not understood: what is registered of those
-	// that it does not name holds.
+	// Unread is set if part of the models could not be read: registered models that are not listed here
+	// are kept.
 	Unread bool `cbor:"3,keyasint,omitempty"`
 }
 
-// keepUnread takes over, from what is registered, the models that the heartbeat names in a way
-// that was not understood.
-func (h *Heartbeat) keepUnread(known directory.Backend) {
-	if !h.Unread || known.ID != h.Backend.ID {
+// mergeRegisteredModels adds the registered models that a partly unread heartbeat does not list.
+func (h *Heartbeat) mergeRegisteredModels(registered directory.Backend) {
+	if !h.Unread || registered.ID != h.Backend.ID {
 		return
 	}
-	models := slices.Clone(known.Models)
-	for _, said := range h.Backend.Models {
-		place := slices.IndexFunc(models, func(held directory.ModelVersion) bool { return held.Model == said.Model })
-		if place < 0 {
-			models = append(models, said)
+	models := slices.Clone(registered.Models)
+	for _, reported := range h.Backend.Models {
+		position := slices.IndexFunc(models, func(model directory.ModelVersion) bool { return model.Model == reported.Model })
+		if position < 0 {
+			models = append(models, reported)
 			continue
 		}
-		models[place] = said
+		models[position] = reported
 	}
 	h.Backend.Models = models
 }
 
-// ErrNotFound: what a call names does not exist.
+// ErrNotFound is the type of errors about objects that do not exist.
 var ErrNotFound = errorx.NewNamespace("server").NewType("not_found")
 
 // Directory runs one replica of the directory.
 type Directory struct {
-	settings config.Directory
-	logger   *zerolog.Logger
-	machine  *directory.Machine
-	replica  *replica.Replica
-	client   *http.Client
-	evidence *evidence
-	metrics  directoryMetrics
-	// view is the machine's state, a little late.
+	settings      config.Directory
+	logger        *zerolog.Logger
+	machine       *directory.Machine
+	replica       *replica.Replica
+	client        *http.Client
+	confirmations *readConfirmations
+	metrics       directoryMetrics
+	// view is a copy of the machine's state that may lag behind it.
 	view       atomic.Pointer[directory.Catalog]
 	heartbeats *heartbeats
-	// registrations are heartbeats that change something, on their way to the leader.
-	registrations *gather[Heartbeat]
-	feed          *feed
-	usage         *usageKeeper
-	duties        *dutyKeeper
-	versions      *versionKeeper
-	returning     *returning
-	scale         *scaleKeeper
-	standstill    standstill
-	spoiled       spoiledLog
-	// suspects belongs to the review.
+	// registrations sends heartbeats that change a registration to the leader, in batches.
+	registrations  *gather[Heartbeat]
+	feed           *feed
+	usage          *usageKeeper
+	duties         *dutyKeeper
+	versions       *versionKeeper
+	returning      *returning
+	scale          *scaleKeeper
+	stalls         standstill
+	invalidReports spoiledLog
+	// suspects is used only by review.
 	suspects suspectClock
-	// clockTold is when the leader was last told of this machine's clock. It belongs to
-	// the review.
-	clockTold time.Time
-	// toldAt is when the newest call began in which the leader was told whom this replica has
-	// heard, in milliseconds.
-	toldAt atomic.Int64
+	// clockSentAt is when this machine's clock was last sent to the leader. It is used only by review.
+	clockSentAt time.Time
+	// reportedAt is when the newest call began that reported heard backends to the leader, in
+	// milliseconds.
+	reportedAt atomic.Int64
 
 	mutex   sync.Mutex
 	serving bool
-	// newestStore is when a store last registered for the first time.
-	newestStore, firstStore time.Time
+	// newestStoreAt and firstStoreAt are when the newest and the first store registered in this
+	// leadership.
+	newestStoreAt, firstStoreAt time.Time
 }
 
-// NewDirectory opens the replica's data folder or sets it up. The client, which may be nil,
-// carries out the calls that one process at a time makes.
+// NewDirectory opens the replica's data folder or creates it. The client, which may be nil, makes the
+// calls that only one process at a time may make.
 func NewDirectory(settings config.Directory, seeds *Seeds, client DutyClient, logger *zerolog.Logger) (*Directory, error) {
 	machine := directory.NewMachine()
-	founders, identity := directoryFounders(settings)
+	members, identity := initialDirectoryMembers(settings)
 	opened, err := replica.Open(replica.Settings{
 		Cluster: settings.Cluster + "-directory", Address: settings.InternalAddress, DataFolder: settings.DataFolder,
-		Voters: config.Voters(settings.ToleratedLosses), InitialMembers: founders, Replica: identity,
+		Voters: config.Voters(settings.ToleratedLosses), InitialMembers: members, Replica: identity,
 		Contacts: seeds.Current, KnownVersion: directory.KnownVersion,
 	}, machine, logger)
 	if err != nil {
@@ -126,7 +124,7 @@
 	}
 	d := &Directory{
 		settings: settings, logger: logger, machine: machine, replica: opened,
-		client: replica.NewInternalClient(), evidence: newEvidence(), metrics: newDirectoryMetrics(), heartbeats: newHeartbeats(), feed: newFeed(),
+		client: replica.NewInternalClient(), confirmations: newReadConfirmations(), metrics: newDirectoryMetrics(), heartbeats: newHeartbeats(), feed: newFeed(),
 	}
 	d.duties = &dutyKeeper{settings: settings, replica: opened, machine: machine, acts: duty.NewTracker(), wait: time.Sleep}
 	d.usage = &usageKeeper{
@@ -142,24 +140,24 @@
 	return d, nil
 }
 
-// directoryFounders returns the first members and this process's identity among
-// them. Only at the first start of the whole system is there such a group.
-func directoryFounders(settings config.Directory) (consensus.Membership, consensus.ReplicaID) {
+// initialDirectoryMembers returns the initial members of the group and this process's ID among them. Both
+// are empty unless this is the first start of the whole system.
+func initialDirectoryMembers(settings config.Directory) (consensus.Membership, consensus.ReplicaID) {
 	if !settings.FirstStart {
 		return consensus.Membership{}, consensus.None
 	}
-	var founders consensus.Membership
+	var members consensus.Membership
 	identity := consensus.None
 	peers := append([]string(nil), settings.PeerAddresses()...)
 	sort.Strings(peers)
 	for position, address := range peers {
 		id := consensus.ReplicaID(position + 1)
-		founders.Members = append(founders.Members, consensus.Member{ID: id, Address: address, Voter: true})
+		members.Members = append(members.Members, consensus.Member{ID: id, Address: address, Voter: true})
 		if address == settings.InternalAddress {
 			identity = id
 		}
 	}
-	return founders, identity
+	return members, identity
 }
 
 // Run serves other processes on the listener until the context ends.
@@ -173,22 +171,21 @@
 	defer httpServer.Close()
 	go d.review(ctx)
 	go d.feedWatchers(ctx)
-	go d.keepEvidence(ctx)
+	go d.confirmReads(ctx)
 	return d.replica.Run(ctx)
 }
 
 // Status returns the replica's status.
 func (d *Directory) Status() *replica.Status { return d.replica.Status() }
 
-// Leave takes out a backend that ends. Without a birth it is whichever incarnation is registered
-// under the name.
+// Leave removes a backend that shuts down. Without a start time it removes whichever incarnation is
+// registered under the name.
 func (d *Directory) Leave(ctx context.Context, leaving directory.Incarnation) error {
 	_, err := d.call(ctx, directoryCall{Leave: leaving.Name, LeaveBorn: leaving.StartTime})
 	return err
 }
 
-// PutConfiguration puts a valid configuration into force, unless a version as
-// high is held already.
+// PutConfiguration stores a valid configuration, unless the directory has the same or a higher version.
 func (d *Directory) PutConfiguration(ctx context.Context, put directory.PutConfiguration) error {
 	_, err := d.call(ctx, directoryCall{Put: &put})
 	return err
@@ -199,12 +196,12 @@
 func (d *Directory) Configuration(ctx context.Context) ([]byte, error) {
 	answer, err := d.call(ctx, directoryCall{Read: true})
 	if err == nil && answer.Version == 0 {
-		return nil, ErrNotFound.New("there is no configuration")
+		return nil, ErrNotFound.New("no configuration is stored")
 	}
 	return answer.Source, err
 }
 
-// NameVersion makes a version of a model's weights known.
+// NameVersion publishes a version of a model's weights.
 func (d *Directory) NameVersion(ctx context.Context, version directory.ModelVersion) error {
 	_, err := d.call(ctx, directoryCall{Name: &version})
 	return err
@@ -216,12 +213,12 @@
 	return answer.Retire, err
 }
 
-// Retired tells whether a store that was to be emptied is empty. It returns an
-// ErrNotFound error if nobody asked for that.
+// Retired reports whether a retiring store is empty. It returns an ErrNotFound error if the store is not
+// retiring.
 func (d *Directory) Retired(ctx context.Context, name string) (bool, error) {
 	answer, err := d.call(ctx, directoryCall{Retired: name})
 	if err == nil && !answer.Found {
-		return false, ErrNotFound.New("store %q is not to be emptied", name)
+		return false, ErrNotFound.New("store %q is not retiring", name)
 	}
 	return answer.Retired, err
 }
--- a/server/directory_call.go
+++ b/server/directory_call.go
@@ -13,11 +13,11 @@
 	"github.com/dillchute/dillchute/upgrade"
 )
 
-// directoryCall is a call to the directory's leader. Exactly one field is set; Heard comes
-// with Clock or Newest.
+// directoryCall is a call to the directory's leader. Exactly one field is set, apart from those that
+// accompany another one.
 type directoryCall struct {
 	Heartbeat *Heartbeat `cbor:"1,keyasint,omitempty"`
-	// Leave is the name of a backend that ends, and LeaveBorn its birth if it says it.
+	// Leave is the name of a backend that shuts down, and LeaveBorn its start time if known.
 	Leave   string                      `cbor:"2,keyasint,omitempty"`
 	Put     *directory.PutConfiguration `cbor:"3,keyasint,omitempty"`
 	Name    *directory.ModelVersion     `cbor:"4,keyasint,omitempty"`
@@ -26,35 +26,35 @@
 	Retired string                      `cbor:"7,keyasint,omitempty"`
 	Store   *directory.Store            `cbor:"8,keyasint,omitempty"`
 	Report  *directory.Group            `cbor:"9,keyasint,omitempty"`
-	// Heard are backends that another replica has heard of.
+	// Heard are the IDs of backends that another replica has heard from. It comes with Clock or Newest.
 	Heard []string `cbor:"10,keyasint,omitempty"`
 	// Newest asks for the revision that a quorum has confirmed.
 	Newest bool       `cbor:"11,keyasint,omitempty"`
 	Usage  *usageCall `cbor:"12,keyasint,omitempty"`
-	// Clock is what the machine of a replica that does not lead shows; it comes with Heard.
+	// Clock is a follower's clock reading.
 	Clock      *clockReading   `cbor:"13,keyasint,omitempty"`
 	Quarantine *quarantineCall `cbor:"14,keyasint,omitempty"`
 	LeaveBorn  int64           `cbor:"16,keyasint,omitempty"`
-	// Heartbeats are those that change something, of several backends.
+	// Heartbeats are those of several backends that change their registrations.
 	Heartbeats []Heartbeat `cbor:"17,keyasint,omitempty"`
-	// Demands are what the ledger's leader needs, by service.
+	// Demands are those of the ledger's leader, by service.
 	Demands []capacity.Demand `cbor:"19,keyasint,omitempty"`
-	// Missed comes with Newest, and asks for what a copy misses up to there.
+	// Missed comes with Newest, and asks for the changes up to that revision that a copy lacks.
 	Missed *missedCall `cbor:"18,keyasint,omitempty"`
-	// Says is what the replica that sends Clock says of its build.
+	// Says is the version report of the replica that sends Clock.
 	Says *upgrade.VersionReport `cbor:"20,keyasint,omitempty"`
-	// Passed is set on a call that another replica passes on, which is not passed on again.
+	// Passed is set on a call that a replica has forwarded, which is not forwarded again.
 	Passed bool `cbor:"15,keyasint,omitempty"`
 }
 
-// missedCall tells which copy of the directory a process has; see directory.Watch.
+// missedCall describes the copy of the directory that a process has; see directory.Watch.
 type missedCall struct {
 	Since uint64          `cbor:"1,keyasint"`
 	Scope directory.Scope `cbor:"2,keyasint,omitempty"`
 	Held  string          `cbor:"3,keyasint,omitempty"`
 }
 
-// clockReading is a machine's time of day in milliseconds since 1970, with where it is.
+// clockReading is a machine's wall clock in milliseconds since 1970, with the replica's zone.
 type clockReading struct {
 	Machine string                `cbor:"1,keyasint"`
 	Millis  int64                 `cbor:"2,keyasint"`
@@ -73,15 +73,14 @@
 	// Revision answers Newest.
 	Revision uint64       `cbor:"7,keyasint,omitempty"`
 	Usage    *usageAnswer `cbor:"8,keyasint,omitempty"`
-	// Granted answers the question for a trial.
+	// Granted is set if the requested trial is granted.
 	Granted bool `cbor:"9,keyasint,omitempty"`
-	// Missed answers the call of the name.
+	// Missed answers directoryCall.Missed.
 	Missed *directory.Delta `cbor:"10,keyasint,omitempty"`
 }
 
-// kind returns the call's name in logs, or "" if calls of its kind are frequent
-// and repeated anyway.
-func (c directoryCall) kind() string {
+// logName returns the call's name in logs, or "" for frequent calls, whose failures are not logged.
+func (c directoryCall) logName() string {
 	switch {
 	case c.Put != nil:
 		return "put"
@@ -97,16 +96,16 @@
 	return ""
 }
 
-// call has the leader carry out the call, wherever it is.
+// call executes the call on the leader, and logs a failure.
 func (d *Directory) call(ctx context.Context, call directoryCall) (directoryAnswer, error) {
-	answer, err := d.pass(ctx, call)
-	if kind := call.kind(); err != nil && kind != "" {
-		event.CallFailed.On(d.logger).Str("call", kind).Str("leader", d.replica.Status().Leader).Err(err).Send()
+	answer, err := d.forward(ctx, call)
+	if name := call.logName(); err != nil && name != "" {
+		event.CallFailed.On(d.logger).Str("call", name).Str("leader", d.replica.Status().Leader).Err(err).Send()
 	}
 	return answer, err
 }
 
-func (d *Directory) pass(ctx context.Context, call directoryCall) (directoryAnswer, error) {
+func (d *Directory) forward(ctx context.Context, call directoryCall) (directoryAnswer, error) {
 	status := d.replica.Status()
 	if status.Leading {
 		return d.handle(ctx, call)
@@ -128,8 +127,8 @@
 	return answer, decodeInternal(data, &answer)
 }
 
-// serveCall serves a call of another process. A replica that does not lead passes it on: who
-// calls may know no other replica.
+// serveCall serves a call of another process. A follower forwards it, because the caller may know no
+// other replica.
 func (d *Directory) serveCall(response http.ResponseWriter, request *http.Request) {
 	var call directoryCall
 	if !readCBOR(response, request, &call) {
@@ -139,7 +138,7 @@
 		http.Error(response, "not the leader", http.StatusServiceUnavailable)
 		return
 	}
-	answer, err := d.pass(request.Context(), call)
+	answer, err := d.forward(request.Context(), call)
 	if err != nil {
 		http.Error(response, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -147,25 +146,25 @@
 	writeCBOR(response, answer)
 }
 
-// handle carries out a call on the leader.
+// handle executes a call on the leader, and records its latency.
 func (d *Directory) handle(ctx context.Context, call directoryCall) (directoryAnswer, error) {
 	answer := directoryAnswer{Leader: d.settings.InternalAddress}
-	began := time.Now()
-	err := d.carryOut(ctx, call, &answer)
-	d.metrics.calls.WithLabelValues(outcomeOf(err)).Observe(time.Since(began).Seconds())
+	start := time.Now()
+	err := d.dispatch(ctx, call, &answer)
+	d.metrics.calls.WithLabelValues(outcomeOf(err)).Observe(time.Since(start).Seconds())
 	return answer, err
 }
 
-func (d *Directory) carryOut(ctx context.Context, call directoryCall, answer *directoryAnswer) error {
-	d.heartbeats.noteHeard(clock.Now(), call.Heard)
+func (d *Directory) dispatch(ctx context.Context, call directoryCall, answer *directoryAnswer) error {
+	d.heartbeats.recordHeard(clock.Now(), call.Heard)
 	var err error
 	switch {
 	case call.Heartbeats != nil:
 		err = d.handleHeartbeats(ctx, call.Heartbeats)
 	case call.Clock != nil:
 		d.usage.noteClock(call.Clock.Machine, call.Clock.Millis)
-		d.versions.note(call.Clock.At.Address, call.Says)
-		err = d.noteZone(ctx, call.Clock.At)
+		d.versions.recordReport(call.Clock.At.Address, call.Says)
+		err = d.recordZone(ctx, call.Clock.At)
 	case call.Usage != nil:
 		answer.Usage, err = d.usage.take(ctx, call.Usage)
 	case call.Quarantine != nil:
@@ -175,7 +174,7 @@
 	case call.Leave != "":
 		event.BackendDeregistered.On(d.logger).Str("backend", call.Leave).Int("born", call.LeaveBorn).Send()
 		_, err = d.execute(ctx, directory.Command{RemoveBackend: &directory.RemoveBackend{
-			Name: call.Leave, Born: call.LeaveBorn, LatestBirth: d.latestBirth() - birthSlack.Milliseconds(),
+			Name: call.Leave, Born: call.LeaveBorn, LatestBirth: d.latestStartTime() - maxStartTimeSkew.Milliseconds(),
 		}})
 	case call.Put != nil:
 		err = d.handlePut(ctx, call.Put, answer)
@@ -199,7 +198,7 @@
 }
 
 func (d *Directory) execute(ctx context.Context, command directory.Command) (directory.Result, error) {
-	d.versions.noteCommand(command)
+	d.versions.recordCommand(command)
 	data, err := d.replica.Execute(ctx, command.Encode())
 	if err != nil {
 		return directory.Result{}, err
@@ -207,8 +206,8 @@
 	return directory.DecodeResult(data)
 }
 
-// noteZone records where a replica is, if that is news.
-func (d *Directory) noteZone(ctx context.Context, at directory.ReplicaZone) error {
+// recordZone stores a replica's zone if it has changed.
+func (d *Directory) recordZone(ctx context.Context, at directory.ReplicaZone) error {
 	if at.Address == "" || d.view.Load().Zones[at.Address] == at {
 		return nil
 	}
@@ -219,11 +218,11 @@
 func (d *Directory) handlePut(ctx context.Context, put *directory.PutConfiguration, answer *directoryAnswer) error {
 	result, err := d.execute(ctx, directory.Command{PutConfiguration: put})
 	answer.Version = result.Version
-	line := event.ConfigurationSubmitted.On(d.logger).Uint("offered", put.Configuration.Version).Uint("held", result.Version)
+	entry := event.ConfigurationSubmitted.On(d.logger).Uint("offered", put.Configuration.Version).Uint("held", result.Version)
 	if err != nil {
-		line.Err(err)
+		entry.Err(err)
 	}
-	line.Send()
+	entry.Send()
 	return err
 }
 
@@ -272,16 +271,16 @@
 }
 
 func (d *Directory) handleStore(ctx context.Context, store directory.Store) error {
-	var known directory.Store
+	var registered directory.Store
 	var ok bool
-	d.replica.Do(func() { known, ok = d.machine.Store(store.Name) })
-	if ok && known.Replica == store.Replica && known.Address == store.Address {
+	d.replica.Do(func() { registered, ok = d.machine.Store(store.Name) })
+	if ok && registered.Replica == store.Replica && registered.Address == store.Address {
 		return nil
 	}
 	d.mutex.Lock()
-	d.newestStore = time.Now()
-	if d.firstStore.IsZero() {
-		d.firstStore = d.newestStore
+	d.newestStoreAt = time.Now()
+	if d.firstStoreAt.IsZero() {
+		d.firstStoreAt = d.newestStoreAt
 	}
 	d.mutex.Unlock()
 	event.StoreRegistered.On(d.logger).Str("store", store.Name).Str("address", store.Address).Uint("replica", uint64(store.Replica)).Send()
--- a/server/directory_review.go
+++ b/server/directory_review.go
@@ -12,30 +12,29 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-func sameRegistration(known, backend directory.Backend) bool {
-	if len(known.Models) != len(backend.Models) {
+func sameRegistration(registered, backend directory.Backend) bool {
+	if len(registered.Models) != len(backend.Models) {
 		return false
 	}
-	for position, held := range backend.Models {
-		if known.Models[position] != held {
+	for position, model := range backend.Models {
+		if registered.Models[position] != model {
 			return false
 		}
 	}
-	// A mark of draining is never taken back, whatever a late heartbeat says.
-	return known.Service == backend.Service && known.Address == backend.Address && known.Zone == backend.Zone &&
-		known.Slots == backend.Slots && (known.Draining || !backend.Draining) && !known.Silent
+	// A backend never stops draining, whatever a late heartbeat says.
+	return registered.Service == backend.Service && registered.Address == backend.Address && registered.Zone == backend.Zone &&
+		registered.Slots == backend.Slots && (registered.Draining || !backend.Draining) && !registered.Silent
 }
 
-// review looks for silent backends and forms the first group of stores, while
-// this replica leads.
+// review runs the leader's periodic checks while this replica leads, and reports to the leader otherwise.
 func (d *Directory) review(ctx context.Context) {
 	every(ctx, reviewInterval, func() {
 		serving := d.replica.Status().Serving
-		d.beginServing(serving)
+		d.updateServing(serving)
 		d.duties.noteActs()
-		d.versions.follow()
+		d.versions.updateInUse()
 		if !serving {
-			d.tellHeard(ctx)
+			d.reportHeard(ctx)
 			return
 		}
 		limited, cancel := context.WithTimeout(ctx, time.Second)
@@ -44,13 +43,13 @@
 	})
 }
 
-// reviewAsLeader does what is the leader's alone.
+// reviewAsLeader runs the checks that only the leader makes.
 func (d *Directory) reviewAsLeader(ctx context.Context) {
 	d.versions.review(ctx)
 	d.reviewBackends(ctx)
 	d.reviewSuspects(ctx)
 	d.formGroup(ctx)
-	if err := d.noteZone(ctx, d.ownZone()); err != nil {
+	if err := d.recordZone(ctx, d.ownZone()); err != nil {
 		event.LeaderUpdateFailed.On(d.logger).Err(err).Send()
 	}
 	d.usage.noteClock(d.settings.Name, time.Now().UnixMilli())
@@ -58,41 +57,41 @@
 	d.scale.review(d.view.Load())
 }
 
-// beginServing forgets, when a leadership begins, what was heard in an earlier one.
-func (d *Directory) beginServing(serving bool) {
+// updateServing resets the state of an earlier leadership when a new one begins.
+func (d *Directory) updateServing(serving bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if serving && !d.serving {
 		d.heartbeats.reset()
-		d.standstill.begin()
+		d.stalls.begin()
 		d.suspects = suspectClock{}
 		d.scale.begin()
-		d.firstStore, d.newestStore = time.Time{}, time.Time{}
+		d.firstStoreAt, d.newestStoreAt = time.Time{}, time.Time{}
 	}
 	d.serving = serving
 }
 
-// patience returns after how long a silence a backend is taken out.
-func (d *Directory) patience() time.Duration {
+// removalTimeout returns how long a backend may be silent before it is removed.
+func (d *Directory) removalTimeout() time.Duration {
 	if d.versions.inUse.Load() < directory.ReturnVersion {
-		return finalBeats * d.settings.HeartbeatInterval
+		return permanentRemovalHeartbeats * d.settings.HeartbeatInterval
 	}
-	return goneBeats * d.settings.HeartbeatInterval
+	return removalHeartbeats * d.settings.HeartbeatInterval
 }
 
-// reviewBackends marks or takes out the backends that have fallen silent, all of them in one entry
-// of the log. It goes by the view: whoever registers meanwhile is looked at next time.
+// reviewBackends marks or removes silent backends, all in one log entry. It reads the view: backends that
+// register meanwhile are checked next time.
 func (d *Directory) reviewBackends(ctx context.Context) {
 	d.noteStandstill()
 	now := clock.Now()
-	patience := d.patience()
+	removalTimeout := d.removalTimeout()
 	var changes []directory.Command
 	for backend := range d.view.Load().AllBackends() {
 		switch silence := d.heartbeats.silence(now, backend.ID); {
-		case silence > patience:
+		case silence > removalTimeout:
 			event.BackendRemoved.On(d.logger).Str("backend", backend.ID).Uint("silent_ms", uint64(silence.Milliseconds())).Send()
 			changes = append(changes, directory.Command{RemoveBackend: &directory.RemoveBackend{ID: backend.ID}})
-		case silence > silentBeats*d.settings.HeartbeatInterval && !backend.Silent:
+		case silence > silentHeartbeats*d.settings.HeartbeatInterval && !backend.Silent:
 			event.BackendSilent.On(d.logger).Str("backend", backend.ID).Uint("silent_ms", uint64(silence.Milliseconds())).Send()
 			silent := *backend
 			silent.Silent = true
@@ -104,8 +103,7 @@
 	}
 }
 
-// formGroup makes the first group of the ledger out of the stores that have
-// registered, with as many zones as there are.
+// formGroup forms the first group of the ledger from the registered stores, spread over the zones.
 func (d *Directory) formGroup(ctx context.Context) {
 	var stores []directory.Store
 	formed := true
@@ -113,10 +111,10 @@
 		stores = d.machine.Stores()
 		formed = len(d.machine.Group().Members) > 0
 	})
-	if formed || !d.formationDue(len(stores)) {
+	if formed || !d.isFormationDue(len(stores)) {
 		return
 	}
-	members := chooseFounders(stores, config.Voters(d.settings.ToleratedLosses))
+	members := chooseInitialMembers(stores, config.Voters(d.settings.ToleratedLosses))
 	if len(members) == 0 {
 		return
 	}
@@ -124,23 +122,23 @@
 	d.execute(ctx, directory.Command{FormGroup: &directory.Group{Members: members}})
 }
 
-func (d *Directory) formationDue(stores int) bool {
+func (d *Directory) isFormationDue(stores int) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.firstStore.IsZero() {
+	if d.firstStoreAt.IsZero() {
 		if stores > 0 {
-			d.firstStore, d.newestStore = time.Now(), time.Now()
+			d.firstStoreAt, d.newestStoreAt = time.Now(), time.Now()
 		}
 		return false
 	}
-	if time.Since(d.newestStore) < formationPause {
+	if time.Since(d.newestStoreAt) < formationQuietTime {
 		return false
 	}
-	return stores >= config.Voters(d.settings.ToleratedLosses) || time.Since(d.firstStore) > formationWait
+	return stores >= config.Voters(d.settings.ToleratedLosses) || time.Since(d.firstStoreAt) > maxFormationWait
 }
 
-// chooseFounders takes fresh stores by turns from each zone.
-func chooseFounders(stores []directory.Store, most int) []consensus.Member {
+// chooseInitialMembers picks fresh stores from the zones in turn.
+func chooseInitialMembers(stores []directory.Store, limit int) []consensus.Member {
 	byZone := map[string][]directory.Store{}
 	var zones []string
 	for _, store := range stores {
@@ -154,10 +152,10 @@
 	}
 	sort.Strings(zones)
 	var members []consensus.Member
-	for round := 0; len(members) < most; round++ {
+	for round := 0; len(members) < limit; round++ {
 		before := len(members)
 		for _, zone := range zones {
-			if round < len(byZone[zone]) && len(members) < most {
+			if round < len(byZone[zone]) && len(members) < limit {
 				store := byZone[zone][round]
 				members = append(members, consensus.Member{ID: store.Replica, Address: store.Address, Voter: true})
 			}
--- a/server/directory_watch.go
+++ b/server/directory_watch.go
@@ -11,180 +11,178 @@
 	"github.com/dillchute/dillchute/replica"
 )
 
-// confirmTimeout bounds the question which revision is the newest, for which no lines are sent.
-const confirmTimeout = 600 * time.Millisecond
+// initialReadTimeout bounds the read of the newest revision, during which no keepalives are sent.
+const initialReadTimeout = 600 * time.Millisecond
 
-// serveWatch answers with what changed after a revision, as soon as there is
-// something. A replica that hears no leader answers nothing: it may be cut off. One
-// without a proof that it holds everything lets its watchers go, so that they ask
-// another one.
-// A watcher that knows nothing is told nothing older than what a quorum has
-// confirmed after its question, so that a restarted process never acts on a
-// state that has passed; later answers cannot go back.
+// serveWatch answers with the changes after a revision as soon as there are any. A replica that knows no
+// leader, or whose read confirmation is too old, rejects the watch, so that the watcher asks another
+// replica.
+// A watcher without a copy gets nothing older than the revision that a quorum confirms after its request,
+// so that a restarted process never acts on an outdated state.
 func (d *Directory) serveWatch(response http.ResponseWriter, request *http.Request) {
 	since, err := strconv.ParseUint(request.URL.Query().Get("since"), 10, 64)
 	if err != nil {
 		http.Error(response, "since: must be a number", http.StatusBadRequest)
 		return
 	}
-	d.evidence.beginWatch(clock.Now())
-	defer func() { d.evidence.endWatch(clock.Now()) }()
+	d.confirmations.beginWatch(clock.Now())
+	defer func() { d.confirmations.endWatch(clock.Now()) }()
 	query := request.URL.Query()
 	answer := &watchAnswer{response: response, members: query.Get(watchMembersParameter)}
-	answer.isProved = func() bool { return d.evidence.proves(clock.Now()) }
-	least := since + 1
+	answer.isFresh = func() bool { return d.confirmations.isFresh(clock.Now()) }
+	minRevision := since + 1
 	if since == 0 {
-		newest, err := d.firstRevision(request.Context(), answer)
+		newest, err := d.initialRevision(request.Context(), answer)
 		if err != nil {
-			answer.refuse(err.Error())
+			answer.reject(err.Error())
 			return
 		}
-		least = max(least, newest)
+		minRevision = max(minRevision, newest)
 	}
 	watch := directory.Watch{Since: since, Scope: directory.Scope(query.Get(watchScopeParameter)), Held: query.Get(watchHeldParameter)}
-	if since > 0 && !d.holdsScope(watch) {
-		least = since
+	if since > 0 && !d.isScopeCurrent(watch) {
+		minRevision = since
 	}
-	d.answerWatch(request.Context(), answer, watch, least)
+	d.answerWatch(request.Context(), answer, watch, minRevision)
 }
 
-// holdsScope tells whether the watcher holds the backends that are in its scope now. One that does
-// not is told of them at once, though there is no other revision.
-func (d *Directory) holdsScope(watch directory.Watch) bool {
-	holds := false
-	d.replica.Do(func() { holds = d.machine.IsScopeCurrent(watch) })
-	return holds
+// isScopeCurrent reports whether the watcher has the backends that are in its scope now. If not, it is
+// answered at once, even if the revision is the same.
+func (d *Directory) isScopeCurrent(watch directory.Watch) bool {
+	isCurrent := false
+	d.replica.Do(func() { isCurrent = d.machine.IsScopeCurrent(watch) })
+	return isCurrent
 }
 
-// firstRevision returns the revision that a watcher is to be told that knows nothing.
-func (d *Directory) firstRevision(ctx context.Context, answer *watchAnswer) (uint64, error) {
+// initialRevision returns the least revision with which to answer a watcher that has no copy.
+func (d *Directory) initialRevision(ctx context.Context, answer *watchAnswer) (uint64, error) {
 	if !d.replica.Status().LeaderKnown {
 		return 0, replica.ErrUnavailable.New("no leader is known")
 	}
-	if !answer.hold() {
-		return 0, replica.ErrUnavailable.New("the watcher is gone")
+	if !answer.sendKeepalive() {
+		return 0, replica.ErrUnavailable.New("the watcher has disconnected")
 	}
 	return d.newestRevision(ctx)
 }
 
-// newestRevision returns the revision that a quorum has confirmed.
+// newestRevision returns a revision that a quorum confirms after the call.
 func (d *Directory) newestRevision(ctx context.Context) (uint64, error) {
-	limited, cancel := context.WithTimeout(ctx, confirmTimeout)
+	limited, cancel := context.WithTimeout(ctx, initialReadTimeout)
 	defer cancel()
 	return d.confirmedRevision(limited, directoryCall{Newest: true})
 }
 
-// answerWatch waits until the machine has reached the least revision and holds something new for
-// the watcher, and answers with it.
-func (d *Directory) answerWatch(ctx context.Context, answer *watchAnswer, watch directory.Watch, least uint64) {
-	hold := watchWait
+// answerWatch waits until the machine has reached minRevision and has changes for the watcher, and sends
+// them.
+func (d *Directory) answerWatch(ctx context.Context, answer *watchAnswer, watch directory.Watch, minRevision uint64) {
+	wait := plainWatchTimeout
 	if answer.members != "" {
-		hold = watchHold
+		wait = keepaliveWatchTimeout
 	}
-	timeout := time.NewTimer(hold)
+	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
-	line := time.NewTicker(watchLineInterval)
-	defer line.Stop()
-	lapsed := d.evidence.Lapsed()
+	keepalive := time.NewTicker(keepaliveInterval)
+	defer keepalive.Stop()
+	suspended := d.confirmations.Suspended()
 	for {
 		status := d.replica.Status()
 		round := d.feed.current()
 		if !status.LeaderKnown {
-			answer.refuse("no leader is known")
+			answer.reject("no leader is known")
 			return
 		}
-		if round.revision >= least {
-			news := d.answerSince(round, watch, status.Members)
+		if round.revision >= minRevision {
+			response := d.answerSince(round, watch, status.Members)
 			switch {
-			case !news.ok:
-				answer.refuse("the replica has stopped")
+			case !response.isValid:
+				answer.reject("the replica has stopped")
 				return
-			case news.empty:
-				// The watcher misses nothing up to there.
-				watch.Since, least = news.revision, news.revision+1
-			case news.revision >= least:
-				answer.giveEncoded(news.body)
+			case response.empty:
+				// The watcher misses nothing up to this revision.
+				watch.Since, minRevision = response.revision, response.revision+1
+			case response.revision >= minRevision:
+				answer.sendEncoded(response.body)
 				return
 			}
 		}
-		if !answer.begun && !answer.hold() {
+		if !answer.started && !answer.sendKeepalive() {
 			return
 		}
-		switch d.awaitChange(ctx, answer, watchSignals{changed: round.next, lapsed: lapsed, timeout: timeout.C, line: line.C}) {
-		case watchGoesOn:
-		case watchEnds:
+		switch d.awaitChange(ctx, answer, watchSignals{changed: round.next, suspended: suspended, timeout: timeout.C, keepalive: keepalive.C}) {
+		case watchChanged:
+		case watchCanceled:
 			return
-		case watchRefused:
-			answer.refuse("this replica trails")
+		case watchSuspended:
+			answer.reject("this replica may be stale")
 			return
-		case watchTimesOut:
-			d.answerHeld(answer, watch)
+		case watchTimedOut:
+			d.answerTimedOut(answer, watch)
 			return
 		}
 	}
 }
 
-// watchSignals are what a watch waits for.
+// watchSignals are the channels that a watch waits on.
 type watchSignals struct {
-	changed, lapsed <-chan struct{}
-	timeout, line   <-chan time.Time
+	changed, suspended <-chan struct{}
+	timeout, keepalive <-chan time.Time
 }
 
-// watchStep tells how a watch goes on.
-type watchStep uint8
+// watchOutcome is the reason why a watch stops waiting.
+type watchOutcome uint8
 
 const (
-	// watchGoesOn: there may be news.
-	watchGoesOn watchStep = iota
-	// watchEnds: nobody waits any more.
-	watchEnds
-	// watchRefused: this replica may trail.
-	watchRefused
-	// watchTimesOut: the watch has been held for long enough, or the watcher knows other members.
-	watchTimesOut
+	// watchChanged: there may be changes for the watcher.
+	watchChanged watchOutcome = iota
+	// watchCanceled: the watcher has disconnected.
+	watchCanceled
+	// watchSuspended: this replica may be stale.
+	watchSuspended
+	// watchTimedOut: the watch has reached its timeout, or the watcher knows other members.
+	watchTimedOut
 )
 
-// awaitChange waits for the machine's next change.
-func (d *Directory) awaitChange(ctx context.Context, answer *watchAnswer, signals watchSignals) watchStep {
+// awaitChange waits for the machine's next change, and sends keepalives meanwhile.
+func (d *Directory) awaitChange(ctx context.Context, answer *watchAnswer, signals watchSignals) watchOutcome {
 	for {
 		select {
 		case <-signals.changed:
-			return watchGoesOn
+			return watchChanged
 		case <-ctx.Done():
-			return watchEnds
-		case <-signals.lapsed:
-			return watchRefused
+			return watchCanceled
+		case <-signals.suspended:
+			return watchSuspended
 		case <-signals.timeout:
-			return watchTimesOut
-		case <-signals.line:
+			return watchTimedOut
+		case <-signals.keepalive:
 			switch {
-			case d.hasOtherMembers(answer):
-				return watchTimesOut
-			case !answer.hold():
-				return watchEnds
+			case d.membersDiffer(answer):
+				return watchTimedOut
+			case !answer.sendKeepalive():
+				return watchCanceled
 			}
 		}
 	}
 }
 
-// hasOtherMembers tells whether the watcher knows other members than this replica, which is
-// certain of its own.
-func (d *Directory) hasOtherMembers(answer *watchAnswer) bool {
-	return answer.members != "" && answer.members != membersDigest(d.replica.Status().Members) && d.evidence.proves(clock.Now())
+// membersDiffer reports whether the watcher knows other members than this replica, if this replica is
+// known to be up to date.
+func (d *Directory) membersDiffer(answer *watchAnswer) bool {
+	return answer.members != "" && answer.members != membersDigest(d.replica.Status().Members) && d.confirmations.isFresh(clock.Now())
 }
 
-// answerHeld answers a watch that has been held for long enough, with what is new for the watcher by
-// now, if anything. Only a replica that is certain to hold everything can say so.
-func (d *Directory) answerHeld(answer *watchAnswer, watch directory.Watch) {
+// answerTimedOut answers a watch at its timeout with the changes for the watcher, if any. Only a replica
+// that is known to be up to date may do so.
+func (d *Directory) answerTimedOut(answer *watchAnswer, watch directory.Watch) {
 	var delta directory.Delta
 	read := d.replica.Do(func() { delta = d.machine.DeltaFor(watch) })
-	trails := delta.Revision < watch.Since || watch.Since == 0 && delta.Revision > 0
-	if !read || trails || !d.evidence.proves(clock.Now()) {
-		answer.refuse("this replica trails")
+	isStale := delta.Revision < watch.Since || watch.Since == 0 && delta.Revision > 0
+	if !read || isStale || !d.confirmations.isFresh(clock.Now()) {
+		answer.reject("this replica may be stale")
 		return
 	}
 	delta.Replicas = d.replica.Status().Members
-	answer.give(delta)
+	answer.send(delta)
 }
 
 // revision returns the machine's revision.
--- a/server/directory_watch_test.go
+++ b/server/directory_watch_test.go
@@ -27,27 +27,26 @@
 )
 
 const (
-	// watchSoon bounds what should take far less.
-	watchSoon     = time.Minute
-	watchInterval = 10 * time.Millisecond
-	// firstIndex is that of the first entry after those that founders begin with.
+	// eventuallyTimeout bounds waits for conditions that should take far less time.
+	eventuallyTimeout  = time.Minute
+	eventuallyInterval = 10 * time.Millisecond
+	// firstIndex is the index of the first entry after those that the initial members begin with.
 	firstIndex = 2
 )
 
-// scriptedLeader is a stand-in of the leader of a directory of two replicas. It
-// sends what a test wants, and answers calls with a revision.
+// scriptedLeader stands in for the leader of a directory of two replicas. It sends entries as a test
+// wants, and answers calls with a revision.
 type scriptedLeader struct {
 	address  string
 	follower string
-	// id is the leader's identity, 1 or 2; the follower has the other.
-	id       consensus.ReplicaID
-	sender   *transport.Transport
-	revision atomic.Uint64
-	// asked is set once the leader has been asked for the newest revision, and questions
-	// counts how often.
-	asked     atomic.Bool
-	questions atomic.Int64
-	// unconfirmed has the leader say that no quorum confirms it.
+	// id is the leader's ID, 1 or 2; the follower has the other.
+	id        consensus.ReplicaID
+	transport *transport.Transport
+	revision  atomic.Uint64
+	// wasQueried is set once the leader was asked for the newest revision, and queries counts how often.
+	wasQueried atomic.Bool
+	queries    atomic.Int64
+	// unconfirmed makes the leader fail calls, as if no quorum confirmed it.
 	unconfirmed atomic.Bool
 }
 
@@ -62,15 +61,15 @@
 	if leader.address > follower {
 		leader.id = 2
 	}
-	leader.sender = transport.New(logger, func(protocol.Message) {})
-	t.Cleanup(leader.sender.Close)
+	leader.transport = transport.New(logger, func(protocol.Message) {})
+	t.Cleanup(leader.transport.Close)
 	router := mux.NewRouter()
-	router.Handle(transport.Path, leader.sender)
+	router.Handle(transport.Path, leader.transport)
 	router.HandleFunc(directoryCallPath, func(response http.ResponseWriter, request *http.Request) {
 		var call directoryCall
 		if readCBOR(response, request, &call) && call.Newest {
-			leader.asked.Store(true)
-			leader.questions.Add(1)
+			leader.wasQueried.Store(true)
+			leader.queries.Add(1)
 		}
 		if leader.unconfirmed.Load() {
 			http.Error(response, "no quorum", http.StatusServiceUnavailable)
@@ -84,13 +83,13 @@
 	return leader
 }
 
-// send sends entries from the index on, of which those up to the commit are committed.
+// send sends entries from the first index on, which are committed up to the commit index.
 func (l *scriptedLeader) send(first, commit uint64, commands ...directory.Command) {
 	var entries []consensus.Entry
 	for position, command := range commands {
 		entries = append(entries, consensus.Entry{Term: 1, Index: first + uint64(position), Kind: consensus.EntryNormal, Data: command.Encode()})
 	}
-	l.sender.Send(l.follower, protocol.Message{From: l.address, Consensus: &consensus.Message{
+	l.transport.Send(l.follower, protocol.Message{From: l.address, Consensus: &consensus.Message{
 		Kind: consensus.MessageAppend, From: l.id, To: 3 - l.id, Term: 1, Index: first - 1, LogTerm: 1, Commit: commit, Entries: entries,
 	}})
 }
@@ -99,7 +98,7 @@
 	return directory.Command{PutConfiguration: &directory.PutConfiguration{Configuration: routing.Configuration{Version: version}}}
 }
 
-// startFollower runs a replica that founds a group with the leader at the address.
+// startFollower runs a replica that forms a group with the leader at the address.
 func startFollower(t *testing.T, internal net.Listener, leader string, logger *zerolog.Logger) *Directory {
 	settings := config.DefaultDirectory()
 	settings.InternalAddress = internal.Addr().String()
@@ -122,8 +121,8 @@
 	return d
 }
 
-// watch asks the replica for what is newer than the revision, and returns nil
-// if it does not say.
+// watch asks the replica for the changes after the revision. It returns nil if the replica rejects the
+// watch.
 func watch(t *testing.T, address string, since uint64) *directory.Delta {
 	response, err := http.Get("http://" + address + directoryWatchPath + "?since=" + strconv.FormatUint(since, 10))
 	if err != nil {
@@ -138,9 +137,8 @@
 	return &delta
 }
 
-// TestFirstWatchIsConfirmed: a replica that hears a leader but trails tells a
-// process that knows nothing no configuration before it holds all that the
-// leader has confirmed.
+// TestFirstWatchIsConfirmed checks that a stale follower sends a process without a copy no configuration
+// before it holds everything that the leader has confirmed.
 func TestFirstWatchIsConfirmed(t *testing.T) {
 	logger := zerolog.Nop()
 	internal, leaderListener := listenLoopback(t), listenLoopback(t)
@@ -154,12 +152,12 @@
 	leader.revision.Store(machine.Revision())
 	require.Positive(t, oldest)
 
-	trails := func() bool {
+	hasVersion2 := func() bool {
 		leader.send(firstIndex, firstIndex+1, putVersion(1), putVersion(2))
 		delta := watch(t, internal.Addr().String(), oldest)
 		return delta != nil && delta.Version == 2
 	}
-	require.Eventually(t, trails, watchSoon, watchInterval, "the follower holds version 2")
+	require.Eventually(t, hasVersion2, eventuallyTimeout, eventuallyInterval, "the follower has applied version 2")
 	answered := make(chan *directory.Delta, 1)
 	go func() {
 		for {
@@ -171,29 +169,28 @@
 	}()
 	require.Eventually(t, func() bool {
 		leader.send(firstIndex, firstIndex+1, putVersion(1), putVersion(2))
-		return leader.asked.Load() || len(answered) > 0
-	}, watchSoon, watchInterval)
-	ticker := time.NewTicker(watchInterval)
+		return leader.wasQueried.Load() || len(answered) > 0
+	}, eventuallyTimeout, eventuallyInterval)
+	ticker := time.NewTicker(eventuallyInterval)
 	defer ticker.Stop()
 	for {
 		leader.send(firstIndex, firstIndex+2, putVersion(1), putVersion(2), putVersion(3))
 		select {
 		case delta := <-answered:
-			require.Equal(t, uint64(3), delta.Version, "a process that knows nothing is told the newest")
+			require.Equal(t, uint64(3), delta.Version, "the first answer has the newest version")
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// lead sends the entries again and again until the test ends, which keeps the follower from
-// standing for election.
+// lead keeps sending the entries until the test ends, which prevents an election by the follower.
 func (l *scriptedLeader) lead(t *testing.T, commands ...directory.Command) {
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		ticker := time.NewTicker(watchInterval)
+		ticker := time.NewTicker(eventuallyInterval)
 		defer ticker.Stop()
 		for {
 			l.send(firstIndex, firstIndex+uint64(len(commands))-1, commands...)
@@ -210,15 +207,15 @@
 	})
 }
 
-// followedReplica runs a replica that holds one configuration and whose leader's later entries
-// never come, and returns its address, its leader and the revision that it holds.
-func followedReplica(t *testing.T) (string, *scriptedLeader, uint64) {
-	d, leader, revision := followedDirectory(t, putVersion(1))
+// startReplicaWithLeader runs a replica with one configuration, and returns its address, its leader and
+// its revision.
+func startReplicaWithLeader(t *testing.T) (string, *scriptedLeader, uint64) {
+	d, leader, revision := startDirectoryWithLeader(t, putVersion(1))
 	return d.settings.InternalAddress, leader, revision
 }
 
-// followedDirectory runs a replica that holds what the commands do.
-func followedDirectory(t *testing.T, commands ...directory.Command) (*Directory, *scriptedLeader, uint64) {
+// startDirectoryWithLeader runs a replica that has applied the commands.
+func startDirectoryWithLeader(t *testing.T, commands ...directory.Command) (*Directory, *scriptedLeader, uint64) {
 	logger := zerolog.Nop()
 	internal, leaderListener := listenLoopback(t), listenLoopback(t)
 	leader := newScriptedLeader(t, leaderListener, internal.Addr().String(), &logger)
@@ -234,30 +231,30 @@
 		delta := watch(t, address, 0)
 		return delta != nil && delta.Revision == machine.Revision()
 	}
-	require.Eventually(t, holds, watchSoon, watchInterval)
+	require.Eventually(t, holds, eventuallyTimeout, eventuallyInterval)
 	return d, leader, machine.Revision()
 }
 
-// TestTrailingReplicaLetsWatchersGo: a replica that hears its leader, but does not get what that
-// has acknowledged, does not say that nothing has changed.
-func TestTrailingReplicaLetsWatchersGo(t *testing.T) {
-	address, leader, revision := followedReplica(t)
+// TestStaleReplicaRejectsWatches checks that a replica without everything that its leader has
+// acknowledged does not answer that nothing has changed.
+func TestStaleReplicaRejectsWatches(t *testing.T) {
+	address, leader, revision := startReplicaWithLeader(t)
 	unchanged := func() bool { return watch(t, address, revision) != nil }
-	require.Eventually(t, unchanged, watchSoon, watchInterval, "a replica that holds everything says so")
+	require.Eventually(t, unchanged, eventuallyTimeout, eventuallyInterval, "an up-to-date replica answers")
 	leader.revision.Store(revision + 1)
-	// The question before the change may have been answered just now.
+	// The query before the change may just have been answered.
 	watch(t, address, revision)
 	for range 3 {
-		require.Nil(t, watch(t, address, revision), "a replica that trails")
+		require.Nil(t, watch(t, address, revision), "a stale replica")
 	}
 	leader.revision.Store(revision)
-	require.Eventually(t, unchanged, watchSoon, watchInterval, "it holds everything again")
+	require.Eventually(t, unchanged, eventuallyTimeout, eventuallyInterval, "the replica is up to date again")
 }
 
-// TestUnconfirmedLeaderProvesNothing: what no quorum confirms is no proof that nothing has
-// changed.
-func TestUnconfirmedLeaderProvesNothing(t *testing.T) {
-	address, leader, revision := followedReplica(t)
+// TestUnconfirmedLeaderRejectsWatches checks that a replica does not answer that nothing has changed if
+// no quorum confirms its leader.
+func TestUnconfirmedLeaderRejectsWatches(t *testing.T) {
+	address, leader, revision := startReplicaWithLeader(t)
 	leader.unconfirmed.Store(true)
 	watch(t, address, revision)
 	for range 3 {
@@ -265,53 +262,54 @@
 	}
 }
 
-// TestOneQuestionServesAllWatches: the leader is asked no more often for many watches than for
-// one.
-func TestOneQuestionServesAllWatches(t *testing.T) {
-	address, leader, revision := followedReplica(t)
-	const watchers = 50
-	asked := leader.questions.Load()
-	var held sync.WaitGroup
-	for range watchers {
-		held.Go(func() { watch(t, address, revision) })
+// TestOneConfirmationServesAllWatches checks that the number of queries to the leader does not grow with
+// the watches.
+func TestOneConfirmationServesAllWatches(t *testing.T) {
+	address, leader, revision := startReplicaWithLeader(t)
+	const watches = 50
+	queriesBefore := leader.queries.Load()
+	var running sync.WaitGroup
+	for range watches {
+		running.Go(func() { watch(t, address, revision) })
 	}
-	held.Wait()
-	most := int64(watchWait/evidenceInterval) + 2
-	require.LessOrEqual(t, leader.questions.Load()-asked, most)
+	running.Wait()
+	maxQueries := int64(plainWatchTimeout/readConfirmInterval) + 2
+	require.LessOrEqual(t, leader.queries.Load()-queriesBefore, maxQueries)
 }
 
-// linesAndAnswer returns how many lines an answer to a watch has, and what comes after them.
-func linesAndAnswer(t *testing.T, address string, since uint64, members string) (int, []byte) {
+// keepalivesAndAnswer returns the number of keepalives in an answer to a watch, and the content after
+// them.
+func keepalivesAndAnswer(t *testing.T, address string, since uint64, members string) (int, []byte) {
 	response, err := http.Get(watchURL(address, since, members))
 	require.NoError(t, err)
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	content := bytes.TrimLeft(body, string(watchLine))
+	content := bytes.TrimLeft(body, string(watchKeepalive))
 	return len(body) - len(content), content
 }
 
-// TestHeldWatchHasLines: a watcher that asks for it is told that its watch is held, and then what
-// has changed; a replica that trails ends the watch without an answer.
-func TestHeldWatchHasLines(t *testing.T) {
-	address, leader, revision := followedReplica(t)
+// TestWatchSendsKeepalives checks that a watch sends keepalives before the answer, and that a stale
+// replica ends it without one.
+func TestWatchSendsKeepalives(t *testing.T) {
+	address, leader, revision := startReplicaWithLeader(t)
 	var members string
-	knewOthers := func() bool {
-		lines, content := linesAndAnswer(t, address, revision, "other")
+	isAnswered := func() bool {
+		keepalives, content := keepalivesAndAnswer(t, address, revision, "other")
 		var delta directory.Delta
 		if len(content) == 0 || decodeInternal(content, &delta) != nil {
 			return false
 		}
-		require.Positive(t, lines)
+		require.Positive(t, keepalives)
 		require.Equal(t, revision, delta.Revision)
 		require.Len(t, delta.Replicas, 2)
 		members = membersDigest(delta.Replicas)
 		return true
 	}
-	require.Eventually(t, knewOthers, watchSoon, watchInterval, "a watcher that knows other members is told")
+	require.Eventually(t, isAnswered, eventuallyTimeout, eventuallyInterval, "a watcher that knows other members is answered")
 	leader.revision.Store(revision + 1)
-	linesAndAnswer(t, address, revision, members)
-	_, content := linesAndAnswer(t, address, revision, members)
+	keepalivesAndAnswer(t, address, revision, members)
+	_, content := keepalivesAndAnswer(t, address, revision, members)
 	require.Empty(t, content)
 }
 
@@ -319,15 +317,15 @@
 	return "http://" + address + directoryWatchPath + "?since=" + strconv.FormatUint(since, 10) + "&" + watchMembersParameter + "=" + members
 }
 
-// TestOtherScopeIsToldAtOnce: a watcher that comes to follow other backends is told of them though
-// nothing has changed since, also by a watch that is held already.
-func TestOtherScopeIsToldAtOnce(t *testing.T) {
+// TestScopeChangeIsAnsweredAtOnce checks that a watcher whose scope changes gets its backends although
+// the revision is the same, also while a watch is open.
+func TestScopeChangeIsAnsweredAtOnce(t *testing.T) {
 	backend := directory.Backend{ID: "b", Service: "s", Address: "10.0.0.1:80", Slots: 1}
-	d, _, revision := followedDirectory(t, putVersion(1), directory.Command{PutBackend: &backend})
+	d, _, revision := startDirectoryWithLeader(t, putVersion(1), directory.Command{PutBackend: &backend})
 	w := newTestWatcher(t, d.settings.InternalAddress)
-	var follows atomic.Bool
+	var followsBackends atomic.Bool
 	w.scope = func() directory.Scope {
-		if follows.Load() {
+		if followsBackends.Load() {
 			return directory.ScopeAll
 		}
 		return directory.ScopeNone
@@ -336,21 +334,21 @@
 	holds := func(backends int) func() bool {
 		return func() bool { return w.Catalog().Revision == revision && w.Catalog().BackendCount() == backends }
 	}
-	require.Eventually(t, holds(0), watchSoon, watchInterval)
-	follows.Store(true)
-	require.Eventually(t, holds(1), watchSoon, watchInterval)
-	follows.Store(false)
-	require.Eventually(t, holds(0), watchSoon, watchInterval)
+	require.Eventually(t, holds(0), eventuallyTimeout, eventuallyInterval)
+	followsBackends.Store(true)
+	require.Eventually(t, holds(1), eventuallyTimeout, eventuallyInterval)
+	followsBackends.Store(false)
+	require.Eventually(t, holds(0), eventuallyTimeout, eventuallyInterval)
 }
 
-// TestHeldWatchIsAnswered: a watch that was held for long enough is answered though there have been
-// changes out of its scope meanwhile, and never by a replica that trails what the watcher knows.
-func TestHeldWatchIsAnswered(t *testing.T) {
+// TestTimedOutWatchIsAnswered checks that a watch is answered at its timeout although changes were
+// outside its scope, but not by a replica that is behind the watcher.
+func TestTimedOutWatchIsAnswered(t *testing.T) {
 	backend := directory.Backend{ID: "b", Service: "s", Address: "10.0.0.1:80", Slots: 1}
-	d, _, revision := followedDirectory(t, putVersion(1), directory.Command{PutBackend: &backend})
-	ask := func(watch directory.Watch) *directory.Delta {
+	d, _, revision := startDirectoryWithLeader(t, putVersion(1), directory.Command{PutBackend: &backend})
+	answerTimedOut := func(watch directory.Watch) *directory.Delta {
 		recorder := httptest.NewRecorder()
-		d.answerHeld(&watchAnswer{response: recorder, members: "m"}, watch)
+		d.answerTimedOut(&watchAnswer{response: recorder, members: "m"}, watch)
 		if recorder.Code != http.StatusOK {
 			return nil
 		}
@@ -361,13 +359,13 @@
 	none := string(directory.ScopeNone)
 	var answered *directory.Delta
 	require.Eventually(t, func() bool {
-		answered = ask(directory.Watch{Since: revision - 1, Scope: directory.ScopeNone, Held: none})
+		answered = answerTimedOut(directory.Watch{Since: revision - 1, Scope: directory.ScopeNone, Held: none})
 		return answered != nil
-	}, watchSoon, watchInterval)
+	}, eventuallyTimeout, eventuallyInterval)
 	require.Equal(t, revision, answered.Revision)
 	require.Equal(t, uint64(1), answered.Version)
 	require.Equal(t, none, answered.Held)
 	require.True(t, answered.IsEmpty())
-	require.Nil(t, ask(directory.Watch{Since: revision + 1}), "the watcher knows more")
-	require.Nil(t, ask(directory.Watch{}), "a first answer needs a quorum's revision")
+	require.Nil(t, answerTimedOut(directory.Watch{Since: revision + 1}), "the watcher is ahead")
+	require.Nil(t, answerTimedOut(directory.Watch{}), "a first answer needs a confirmed revision")
 }
--- a/server/evidence.go
+++ b/server/evidence.go
@@ -11,207 +11,208 @@
 )
 
 const (
-	// evidenceInterval is the time between two questions of a replica whether it trails, while
-	// it is watched, and evidenceTimeout bounds one of them: a leader answers within a round of
-	// heartbeats, some milliseconds.
-	evidenceInterval = 400 * time.Millisecond
-	evidenceTimeout  = 400 * time.Millisecond
-	// evidenceLimit is how old the newest proof may be that a replica holds all that was
-	// acknowledged. It bounds how long a watcher stays with a replica that trails, so that a
-	// change is in force there within a second. An answer has 300 ms to arrive.
-	evidenceLimit = 700 * time.Millisecond
-	// evidenceTick is the time between two looks at the proof's age.
-	evidenceTick = 100 * time.Millisecond
-	// evidenceLinger is how long after the last watch a replica goes on asking, so that a
-	// watcher that comes round again is told at once if the replica still trails.
-	evidenceLinger = 3 * time.Second
+	// readConfirmInterval is the time between two queries for the newest revision while the replica is
+	// watched, and readConfirmTimeout bounds one of them.
+	readConfirmInterval = 400 * time.Millisecond
+	readConfirmTimeout  = 400 * time.Millisecond
+	// maxConfirmationAge is how old the newest confirmation may be that the replica holds everything
+	// acknowledged. It bounds how long a watcher stays with a stale replica, so that changes take effect
+	// within a second.
+	maxConfirmationAge = 700 * time.Millisecond
+	// confirmationCheckInterval is the time between two checks of the confirmation's age.
+	confirmationCheckInterval = 100 * time.Millisecond
+	// readConfirmLinger is how long queries continue after the last watch, so that a watcher that returns
+	// to a stale replica is rejected at once.
+	readConfirmLinger = 3 * time.Second
 )
 
-// confirmation is a revision that a quorum has confirmed after a moment.
+// confirmation is a revision that a quorum has confirmed after startedAt.
 type confirmation struct {
-	began    time.Time
-	revision uint64
+	startedAt time.Time
+	revision  uint64
 }
 
-// evidence tells how long ago a replica is known to have held all that the directory had
-// acknowledged. "Nothing has changed" may be said only by it. One question serves all watches
-// that are held; none is asked while nobody watches. It may be used concurrently.
-type evidence struct {
+// readConfirmations tracks how long ago the replica is known to have held everything that the directory
+// had acknowledged. Only a replica with a recent confirmation may report that nothing has changed. One
+// query serves all watches; none is sent without watches. It may be used concurrently.
+type readConfirmations struct {
 	mutex sync.Mutex
-	// held is the number of watches, and usedAt when the last one began or ended.
-	held   int
-	usedAt time.Time
-	// wantedFrom is when the first watch began after a time without any.
-	wantedFrom time.Time
-	// provedAt is when the newest question began whose revision the replica holds, and open are
-	// the newer answers, whose revisions it does not hold yet.
-	provedAt time.Time
-	open     []confirmation
-	// askedAt is when the last question began, and asking is set while it is open.
-	askedAt time.Time
-	asking  bool
-	// lapsed is closed while the proof is too old.
-	lapsed   chan struct{}
-	isLapsed bool
-}
-
-func newEvidence() *evidence { return &evidence{lapsed: make(chan struct{})} }
+	// watchCount is the number of open watches, and lastWatchAt when the last one began or ended.
+	watchCount  int
+	lastWatchAt time.Time
+	// activeSince is when the first watch began after a time without any.
+	activeSince time.Time
+	// confirmedAt is when the newest query began whose revision the replica holds, and pending are the
+	// confirmations whose revisions it does not hold yet.
+	confirmedAt time.Time
+	pending     []confirmation
+	// queriedAt is when the last query began, and isQuerying is set while it runs.
+	queriedAt  time.Time
+	isQuerying bool
+	// suspended is closed while the confirmation is too old.
+	suspended   chan struct{}
+	isSuspended bool
+}
+
+func newReadConfirmations() *readConfirmations {
+	return &readConfirmations{suspended: make(chan struct{})}
+}
 
 // beginWatch counts a watch.
-func (e *evidence) beginWatch(now time.Time) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	if !e.isWanted(now) {
-		e.wantedFrom = now
-		e.renew()
+func (c *readConfirmations) beginWatch(now time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if !c.isActive(now) {
+		c.activeSince = now
+		c.resume()
 	}
-	e.held++
-	e.usedAt = now
+	c.watchCount++
+	c.lastWatchAt = now
 }
 
-// endWatch ends what beginWatch has begun.
-func (e *evidence) endWatch(now time.Time) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.held--
-	e.usedAt = now
+// endWatch ends a watch that beginWatch counted.
+func (c *readConfirmations) endWatch(now time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.watchCount--
+	c.lastWatchAt = now
 }
 
-// watches returns the number of watches that are held.
-func (e *evidence) watches() int {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return e.held
+// activeWatches returns the number of watches.
+func (c *readConfirmations) activeWatches() int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.watchCount
 }
 
-func (e *evidence) isWanted(now time.Time) bool {
-	return e.held > 0 || now.Sub(e.usedAt) < evidenceLinger
+func (c *readConfirmations) isActive(now time.Time) bool {
+	return c.watchCount > 0 || now.Sub(c.lastWatchAt) < readConfirmLinger
 }
 
-// beginQuestion tells whether a question is due, and counts it as begun.
-func (e *evidence) beginQuestion(now time.Time) bool {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	if e.asking || !e.isWanted(now) || now.Sub(e.askedAt) < evidenceInterval {
+// beginQuery reports whether a query is due, and marks it as running.
+func (c *readConfirmations) beginQuery(now time.Time) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.isQuerying || !c.isActive(now) || now.Sub(c.queriedAt) < readConfirmInterval {
 		return false
 	}
-	e.askedAt, e.asking = now, true
+	c.queriedAt, c.isQuerying = now, true
 	return true
 }
 
-// endQuestion ends what beginQuestion has begun.
-func (e *evidence) endQuestion() {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.asking = false
+// endQuery ends a query that beginQuery started.
+func (c *readConfirmations) endQuery() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.isQuerying = false
 }
 
-// noteConfirmed takes in what a quorum has confirmed to a question.
-func (e *evidence) noteConfirmed(answer confirmation) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.open = append(e.open, answer)
+// record adds the answer to a query.
+func (c *readConfirmations) record(confirmed confirmation) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.pending = append(c.pending, confirmed)
 }
 
-// review takes in the revision that the replica holds, and lets the watches go if the proof is
-// too old. It tells whether that has changed.
-func (e *evidence) review(now time.Time, held uint64) (changed bool) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.open = slices.DeleteFunc(e.open, func(answer confirmation) bool {
-		if answer.revision <= held && answer.began.After(e.provedAt) {
-			e.provedAt = answer.began
+// update applies the revision that the replica holds, and suspends or resumes the watches. It reports
+// whether that changed.
+func (c *readConfirmations) update(now time.Time, revision uint64) (changed bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.pending = slices.DeleteFunc(c.pending, func(confirmed confirmation) bool {
+		if confirmed.revision <= revision && confirmed.startedAt.After(c.confirmedAt) {
+			c.confirmedAt = confirmed.startedAt
 		}
-		return answer.revision <= held || now.Sub(answer.began) > evidenceLimit
+		return confirmed.revision <= revision || now.Sub(confirmed.startedAt) > maxConfirmationAge
 	})
-	if e.isProved(now) {
-		return e.renew()
+	if c.isFreshLocked(now) {
+		return c.resume()
 	}
-	if e.isLapsed || !e.isWanted(now) || now.Sub(e.wantedFrom) <= evidenceLimit {
+	if c.isSuspended || !c.isActive(now) || now.Sub(c.activeSince) <= maxConfirmationAge {
 		return false
 	}
-	e.isLapsed = true
-	close(e.lapsed)
+	c.isSuspended = true
+	close(c.suspended)
 	return true
 }
 
-// renew has watches held again, and tells whether they were not.
-func (e *evidence) renew() bool {
-	if !e.isLapsed {
+// resume resumes the watches, and reports whether they were suspended.
+func (c *readConfirmations) resume() bool {
+	if !c.isSuspended {
 		return false
 	}
-	e.isLapsed = false
-	e.lapsed = make(chan struct{})
+	c.isSuspended = false
+	c.suspended = make(chan struct{})
 	return true
 }
 
-// hasLapsed tells whether the proof is too old.
-func (e *evidence) hasLapsed() bool {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return e.isLapsed
+// areWatchesSuspended reports whether the confirmation is too old to serve watches.
+func (c *readConfirmations) areWatchesSuspended() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.isSuspended
 }
 
-// proves tells whether the replica may say that it holds everything.
-func (e *evidence) proves(now time.Time) bool {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return e.isProved(now)
+// isFresh reports whether the replica is known to hold everything acknowledged.
+func (c *readConfirmations) isFresh(now time.Time) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.isFreshLocked(now)
 }
 
-func (e *evidence) isProved(now time.Time) bool {
-	return !e.provedAt.IsZero() && now.Sub(e.provedAt) <= evidenceLimit
+func (c *readConfirmations) isFreshLocked(now time.Time) bool {
+	return !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) <= maxConfirmationAge
 }
 
-// Lapsed returns a channel that is closed while the proof is too old.
-func (e *evidence) Lapsed() <-chan struct{} {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return e.lapsed
+// Suspended returns a channel that is closed while watches are suspended.
+func (c *readConfirmations) Suspended() <-chan struct{} {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.suspended
 }
 
-// keepEvidence asks the leader what a quorum has confirmed, as long as the replica is watched.
-func (d *Directory) keepEvidence(ctx context.Context) {
-	every(ctx, evidenceTick, func() {
-		if d.evidence.review(clock.Now(), d.revision()) {
-			d.logEvidence()
+// confirmReads queries the leader for the newest confirmed revision while the replica is watched.
+func (d *Directory) confirmReads(ctx context.Context) {
+	every(ctx, confirmationCheckInterval, func() {
+		if d.confirmations.update(clock.Now(), d.revision()) {
+			d.logWatchState()
 		}
-		if d.evidence.beginQuestion(clock.Now()) {
-			go d.askEvidence(ctx)
+		if d.confirmations.beginQuery(clock.Now()) {
+			go d.confirmRead(ctx)
 		}
 	})
 }
 
-// logEvidence says whether watches are let go or held from now on.
-func (d *Directory) logEvidence() {
-	message := event.WatchesResumed
-	if d.evidence.hasLapsed() {
-		message = event.WatchesSuspended
+// logWatchState logs whether watches are suspended or resumed.
+func (d *Directory) logWatchState() {
+	transition := event.WatchesResumed
+	if d.confirmations.areWatchesSuspended() {
+		transition = event.WatchesSuspended
 	}
-	message.On(d.logger).Uint("revision", d.revision()).Str("leader", d.replica.Status().Leader).Send()
+	transition.On(d.logger).Uint("revision", d.revision()).Str("leader", d.replica.Status().Leader).Send()
 }
 
-// askEvidence asks once. The question takes along whom this replica has heard, which saves a
-// call.
-func (d *Directory) askEvidence(ctx context.Context) {
-	defer d.evidence.endQuestion()
-	question := directoryCall{Newest: true}
+// confirmRead runs one query. It also reports the backends that this replica has heard from, which saves
+// a call.
+func (d *Directory) confirmRead(ctx context.Context) {
+	defer d.confirmations.endQuery()
+	call := directoryCall{Newest: true}
 	if !d.replica.Status().Leading {
-		question.Heard = d.heartbeats.takeUntold()
+		call.Heard = d.heartbeats.takeUnreported()
 	}
-	limited, cancel := context.WithTimeout(ctx, evidenceTimeout)
+	limited, cancel := context.WithTimeout(ctx, readConfirmTimeout)
 	defer cancel()
-	// Without an answer the proof grows old, which ends the watches.
-	_, _ = d.confirmedRevision(limited, question)
+	// Without an answer the confirmation expires, which suspends the watches.
+	_, _ = d.confirmedRevision(limited, call)
 }
 
-// confirmedRevision returns the revision that a quorum has confirmed after the call.
-func (d *Directory) confirmedRevision(ctx context.Context, question directoryCall) (uint64, error) {
-	began := clock.Now()
-	answer, err := d.call(ctx, question)
+// confirmedRevision returns a revision that a quorum confirms after the call.
+func (d *Directory) confirmedRevision(ctx context.Context, call directoryCall) (uint64, error) {
+	startedAt := clock.Now()
+	answer, err := d.call(ctx, call)
 	if err != nil {
 		return 0, err
 	}
-	d.evidence.noteConfirmed(confirmation{began: began, revision: answer.Revision})
+	d.confirmations.record(confirmation{startedAt: startedAt, revision: answer.Revision})
 	return answer.Revision, nil
 }
--- a/server/evidence_test.go
+++ b/server/evidence_test.go
@@ -7,66 +7,67 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEvidenceGrowsOld: a replica is certain to hold everything for a limited time after the
-// beginning of a question whose answer it holds.
-func TestEvidenceGrowsOld(t *testing.T) {
-	began := time.Unix(1000, 0)
-	e := newEvidence()
-	require.False(t, e.proves(began), "nobody has confirmed anything")
-	e.beginWatch(began)
-	require.True(t, e.beginQuestion(began))
-	e.noteConfirmed(confirmation{began: began, revision: 7})
-	e.review(began, 6)
-	require.False(t, e.proves(began), "the replica does not hold the revision")
-	e.review(began, 7)
-	require.True(t, e.proves(began.Add(evidenceLimit)))
-	require.False(t, e.proves(began.Add(evidenceLimit+1)), "counted from the question's beginning")
+// TestReadConfirmationExpires checks that a confirmation is valid for a limited time, counted from the
+// beginning of its query.
+func TestReadConfirmationExpires(t *testing.T) {
+	startedAt := time.Unix(1000, 0)
+	c := newReadConfirmations()
+	require.False(t, c.isFresh(startedAt), "nothing is confirmed")
+	c.beginWatch(startedAt)
+	require.True(t, c.beginQuery(startedAt))
+	c.record(confirmation{startedAt: startedAt, revision: 7})
+	c.update(startedAt, 6)
+	require.False(t, c.isFresh(startedAt), "the replica lacks the revision")
+	c.update(startedAt, 7)
+	require.True(t, c.isFresh(startedAt.Add(maxConfirmationAge)))
+	require.False(t, c.isFresh(startedAt.Add(maxConfirmationAge+1)), "counted from the start of the query")
 }
 
-// TestEvidenceLapses: watches are let go once the proof is too old, and held again with a new one.
-func TestEvidenceLapses(t *testing.T) {
-	began := time.Unix(1000, 0)
-	e := newEvidence()
-	e.beginWatch(began)
-	e.review(began.Add(evidenceLimit), 1)
-	require.False(t, e.hasLapsed(), "the first answer has time to come")
-	late := began.Add(evidenceLimit + time.Millisecond)
-	e.review(late, 1)
-	require.True(t, e.hasLapsed())
+// TestWatchesAreSuspendedAndResumed checks that watches are suspended when the confirmation has expired,
+// and resumed with a new one.
+func TestWatchesAreSuspendedAndResumed(t *testing.T) {
+	startedAt := time.Unix(1000, 0)
+	c := newReadConfirmations()
+	c.beginWatch(startedAt)
+	c.update(startedAt.Add(maxConfirmationAge), 1)
+	require.False(t, c.areWatchesSuspended(), "the first query may still be running")
+	expiredAt := startedAt.Add(maxConfirmationAge + time.Millisecond)
+	c.update(expiredAt, 1)
+	require.True(t, c.areWatchesSuspended())
 	select {
-	case <-e.Lapsed():
+	case <-c.Suspended():
 	default:
-		t.Fatal("watches that are held learn of it")
+		t.Fatal("open watches are not notified")
 	}
-	e.endWatch(late)
-	e.beginWatch(late)
-	require.True(t, e.hasLapsed(), "a watcher that comes round again is told at once")
-	e.noteConfirmed(confirmation{began: late, revision: 2})
-	e.review(late, 1)
-	require.True(t, e.hasLapsed(), "the replica trails")
-	e.review(late, 2)
-	require.False(t, e.hasLapsed())
+	c.endWatch(expiredAt)
+	c.beginWatch(expiredAt)
+	require.True(t, c.areWatchesSuspended(), "a returning watcher is rejected at once")
+	c.record(confirmation{startedAt: expiredAt, revision: 2})
+	c.update(expiredAt, 1)
+	require.True(t, c.areWatchesSuspended(), "the replica is stale")
+	c.update(expiredAt, 2)
+	require.False(t, c.areWatchesSuspended())
 }
 
-// TestNoQuestionsWhileNobodyWatches: a replica asks one question at a time, and none while it is
-// not watched. The next watcher is not held responsible for that.
-func TestNoQuestionsWhileNobodyWatches(t *testing.T) {
+// TestNoQueriesWithoutWatches checks that a replica runs one query at a time, and none without watches.
+// The next watch is not suspended because of that.
+func TestNoQueriesWithoutWatches(t *testing.T) {
 	now := time.Unix(1000, 0)
-	e := newEvidence()
-	require.False(t, e.beginQuestion(now))
-	e.beginWatch(now)
-	require.True(t, e.beginQuestion(now))
-	require.False(t, e.beginQuestion(now.Add(evidenceInterval)), "one at a time")
-	e.endQuestion()
-	require.False(t, e.beginQuestion(now.Add(evidenceInterval-1)))
-	require.True(t, e.beginQuestion(now.Add(evidenceInterval)))
-	e.endQuestion()
-	e.endWatch(now)
-	idle := now.Add(evidenceLinger)
-	require.False(t, e.beginQuestion(idle))
-	e.review(idle, 1)
-	e.beginWatch(idle)
-	e.review(idle, 1)
-	require.False(t, e.hasLapsed())
-	require.False(t, e.proves(idle))
+	c := newReadConfirmations()
+	require.False(t, c.beginQuery(now))
+	c.beginWatch(now)
+	require.True(t, c.beginQuery(now))
+	require.False(t, c.beginQuery(now.Add(readConfirmInterval)), "one query at a time")
+	c.endQuery()
+	require.False(t, c.beginQuery(now.Add(readConfirmInterval-1)))
+	require.True(t, c.beginQuery(now.Add(readConfirmInterval)))
+	c.endQuery()
+	c.endWatch(now)
+	idleAt := now.Add(readConfirmLinger)
+	require.False(t, c.beginQuery(idleAt))
+	c.update(idleAt, 1)
+	c.beginWatch(idleAt)
+	c.update(idleAt, 1)
+	require.False(t, c.areWatchesSuspended())
+	require.False(t, c.isFresh(idleAt))
 }
--- a/server/executor.go
+++ b/server/executor.go
@@ -91,7 +91,7 @@
 	t.loadHistory()
 	go t.follow(stop)
 	// The loop looks again for what can be started after each call.
-	go t.fresh.confirm(leadership, opened, func() { t.loop.Submit(func() {}) })
+	go t.fresh.confirmLeadership(leadership, opened, func() { t.loop.Submit(func() {}) })
 	t.loop.Run(leadership, executorTick, t.tick, t.flush)
 	x.runnersOpen.Store(0)
 	x.plan.Store(nil)
--- a/server/feed.go
+++ b/server/feed.go
@@ -10,22 +10,19 @@
 )
 
 const (
-	// feedPause is the least time between two rounds in which a replica tells its watchers of
-	// registrations, and feedPauseEach what each watcher adds to it: while thousands of backends
-	// register, a replica answers some 200 watches a second, however many it serves, and each of
-	// a thousand watchers spends a few round trips a second on them instead of dozens. What is
-	// urgent does not wait, see directory.Machine.Urgent; a registration waits for half a pause
-	// in the mean, and is missed by nobody meanwhile.
-	feedPause     = 10 * time.Millisecond
-	feedPauseEach = 5 * time.Millisecond
-	// feedPauseMost bounds the pause where a replica serves very many: a quarter of the second
-	// within which a change is to be known.
-	feedPauseMost = 250 * time.Millisecond
+	// minFeedInterval is the least time between two rounds of answers to watchers, and
+	// feedIntervalPerWatcher what each watcher adds: while thousands of backends register, a replica
+	// sends at most about 200 answers a second. Urgent changes do not wait; see
+	// directory.Machine.UrgentRevision.
+	minFeedInterval        = 10 * time.Millisecond
+	feedIntervalPerWatcher = 5 * time.Millisecond
+	// maxFeedInterval bounds the interval on a replica with many watchers, so that changes are known
+	// within a second.
+	maxFeedInterval = 250 * time.Millisecond
 )
 
-// feed is what a replica tells its watchers: its state as of the newest round, and the answers made
-// of it so far. Watchers of one replica know mostly the same, so one answer serves them all. It may
-// be used concurrently.
+// feed holds the state that watchers are sent, as of the newest round, with the answers encoded so far.
+// Watchers at the same revision share one answer. It may be used concurrently.
 type feed struct {
 	mutex sync.Mutex
 	round *feedRound
@@ -34,30 +31,30 @@
 // feedRound is the state as of one round.
 type feedRound struct {
 	revision uint64
-	// next is closed when there is another round.
+	// next is closed when the next round begins.
 	next chan struct{}
 
 	mutex sync.Mutex
-	// answers are encoded deltas, by what the watcher knows and wants to know.
+	// answers are encoded deltas, by the watcher's revision, scope and members.
 	answers map[feedKey]*feedAnswer
 }
 
-// feedKey tells answers apart.
+// feedKey identifies an answer.
 type feedKey struct {
 	watch directory.Watch
-	// members is the digest of the replicas that the answer names.
+	// members is the digest of the members in the answer.
 	members string
 }
 
-// feedAnswer is an encoded delta, once it is made.
+// feedAnswer is an encoded delta, built once.
 type feedAnswer struct {
 	once sync.Once
-	// revision is what the watcher knows once it has taken it in, and empty is set where it
-	// would learn nothing else.
+	// revision is the watcher's revision after the delta, and empty is set if the delta changes nothing
+	// else.
 	revision uint64
 	empty    bool
 	body     []byte
-	ok       bool
+	isValid  bool
 }
 
 func newFeedRound(revision uint64) *feedRound {
@@ -73,20 +70,20 @@
 	return f.round
 }
 
-// advance begins a round at the revision, if it is another one.
+// advance begins a round if the revision is a new one.
 func (f *feed) advance(revision uint64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.round.revision == revision {
 		return
 	}
-	earlier := f.round
+	previous := f.round
 	f.round = newFeedRound(revision)
-	close(earlier.next)
+	close(previous.next)
 }
 
-// answer returns the answer for the key, which the function makes if nobody has asked yet.
-func (r *feedRound) answer(key feedKey, make func() (directory.Delta, bool)) *feedAnswer {
+// answer returns the answer for the key, which the function builds on first use.
+func (r *feedRound) answer(key feedKey, build func() (directory.Delta, bool)) *feedAnswer {
 	r.mutex.Lock()
 	answer := r.answers[key]
 	if answer == nil {
@@ -96,7 +93,7 @@
 	r.mutex.Unlock()
 	answer.once.Do(func() {
 		var delta directory.Delta
-		if delta, answer.ok = make(); answer.ok {
+		if delta, answer.isValid = build(); answer.isValid {
 			answer.revision, answer.empty = delta.Revision, delta.IsEmpty()
 			answer.body = encodeInternal(delta)
 		}
@@ -104,51 +101,52 @@
 	return answer
 }
 
-// pauseFor returns the time between two rounds for that many watchers.
-func pauseFor(watchers int) time.Duration {
-	return min(feedPause+time.Duration(watchers)*feedPauseEach, feedPauseMost)
+// feedInterval returns the time between two rounds for that many watchers.
+func feedInterval(watchers int) time.Duration {
+	return min(minFeedInterval+time.Duration(watchers)*feedIntervalPerWatcher, maxFeedInterval)
 }
 
-// feedWatchers begins rounds as the machine changes, no more often than the watchers can be told.
+// feedWatchers begins rounds as the machine changes, at most once per feed interval unless a change is
+// urgent.
 func (d *Directory) feedWatchers(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := d.replica.Changed()
-		d.followMachine()
+		d.updateView()
 		d.feed.advance(d.view.Load().Revision)
 		d.awaitRound(ctx, changed)
 	}
 }
 
-// awaitRound waits for a change that is urgent, or for the pause and any change.
+// awaitRound waits for an urgent change, or for any change and the end of the interval.
 func (d *Directory) awaitRound(ctx context.Context, changed <-chan struct{}) {
-	pause := time.NewTimer(pauseFor(d.evidence.watches()))
-	defer pause.Stop()
-	rested, dirty := false, false
-	for !rested || !dirty {
+	interval := time.NewTimer(feedInterval(d.confirmations.activeWatches()))
+	defer interval.Stop()
+	intervalElapsed, hasChange := false, false
+	for !intervalElapsed || !hasChange {
 		select {
 		case <-ctx.Done():
 			return
-		case <-pause.C:
-			rested = true
+		case <-interval.C:
+			intervalElapsed = true
 		case <-changed:
-			dirty = true
+			hasChange = true
 			changed = d.replica.Changed()
-			if d.hasUrgent() {
+			if d.hasUrgentChange() {
 				return
 			}
 		}
 	}
 }
 
-// hasUrgent tells whether the machine holds an urgent change that the view does not.
-func (d *Directory) hasUrgent() bool {
-	urgent := uint64(0)
-	d.replica.Do(func() { urgent = d.machine.UrgentRevision() })
-	return urgent > d.view.Load().Revision
+// hasUrgentChange reports whether the machine has an urgent change that the view lacks.
+func (d *Directory) hasUrgentChange() bool {
+	urgentRevision := uint64(0)
+	d.replica.Do(func() { urgentRevision = d.machine.UrgentRevision() })
+	return urgentRevision > d.view.Load().Revision
 }
 
-// followMachine brings the view of the machine up to date, which needs no turn of the loop.
-func (d *Directory) followMachine() {
+// updateView brings the view up to date with the machine.
+func (d *Directory) updateView() {
 	view := d.view.Load()
 	var delta directory.Delta
 	read := d.replica.Do(func() {
@@ -161,7 +159,7 @@
 	}
 }
 
-// answerSince returns what a watcher is told, as of the round.
+// answerSince returns the answer to a watch, as of the round.
 func (d *Directory) answerSince(round *feedRound, watch directory.Watch, members []consensus.Member) *feedAnswer {
 	return round.answer(feedKey{watch: watch, members: membersDigest(members)}, func() (directory.Delta, bool) {
 		var delta directory.Delta
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -14,14 +14,14 @@
 	"github.com/dillchute/dillchute/directory"
 )
 
-// The tests here put the load of a fleet on a directory, in one process and without its backends:
-// what is counted grows with the work, whatever the machine's speed.
+// These tests put the load of a fleet on a directory in one process, without backends. They count work,
+// which does not depend on the machine's speed.
 
 const (
 	fleetReplicas = 3
 	fleetWatchers = 60
 	fleetBackends = 3000
-	// fleetCallers are the backends that wait for an answer at one moment.
+	// fleetCallers is the number of concurrent heartbeats.
 	fleetCallers = 300
 )
 
@@ -34,14 +34,14 @@
 	return replicas
 }
 
-// fleetMember is a replica of a directory that runs, and may be started anew in the same folder.
+// fleetMember is a running replica of a directory, which can be restarted with the same data folder.
 type fleetMember struct {
 	directory *Directory
 	settings  config.Directory
 	stop      func()
 }
 
-// startMembers runs the replicas of a directory, each of which is prepared before it runs.
+// startMembers runs the replicas of a directory, and calls prepare for each before it runs.
 func startMembers(t *testing.T, prepare func(number int, d *Directory)) []*fleetMember {
 	var listeners []net.Listener
 	var peers []string
@@ -62,7 +62,7 @@
 	return members
 }
 
-// start runs the replica on the listener until it is stopped, by the test's end at the latest.
+// start runs the replica on the listener until it is stopped, at the latest when the test ends.
 func (m *fleetMember) start(t *testing.T, listener net.Listener, prepare func(d *Directory)) {
 	logger := zerolog.Nop()
 	process := m.settings.Process
@@ -79,8 +79,8 @@
 	t.Cleanup(m.stop)
 }
 
-// startAgain stops the replica, if it runs, and runs it anew after it is prepared.
-func (m *fleetMember) startAgain(t *testing.T, prepare func(d *Directory)) {
+// restart stops the replica if it runs, and starts it again with the same data folder.
+func (m *fleetMember) restart(t *testing.T, prepare func(d *Directory)) {
 	m.stop()
 	listener, err := net.Listen("tcp", m.settings.InternalAddress)
 	require.NoError(t, err)
@@ -88,8 +88,8 @@
 	m.start(t, listener, prepare)
 }
 
-// followAll runs watchers of all zones, and returns them.
-func followAll(t *testing.T, replicas []*Directory) []*Watcher {
+// runWatchers runs watchers in all zones, half of them without backends in their scope.
+func runWatchers(t *testing.T, replicas []*Directory) []*Watcher {
 	logger := zerolog.Nop()
 	var watchers []*Watcher
 	for number := range fleetWatchers {
@@ -106,12 +106,12 @@
 	return watchers
 }
 
-// TestFleetRegisters: thousands of backends register at all replicas at once. Each is answered,
-// the log grows by few entries, each watcher learns of all of them or of none, as it wants, and
-// asks the replica of its zone.
+// TestFleetRegisters checks that thousands of backends can register at all replicas at once: all are
+// answered, the log grows by few entries, and each watcher asks a replica of its zone and learns of the
+// backends in its scope.
 func TestFleetRegisters(t *testing.T) {
 	replicas := startFleetDirectory(t)
-	serving := func() bool {
+	isServing := func() bool {
 		for _, d := range replicas {
 			if d.Status().Serving {
 				return true
@@ -119,9 +119,9 @@
 		}
 		return false
 	}
-	require.Eventually(t, serving, watchSoon, watchInterval)
-	watchers := followAll(t, replicas)
-	knowZones := func() bool {
+	require.Eventually(t, isServing, eventuallyTimeout, eventuallyInterval)
+	watchers := runWatchers(t, replicas)
+	haveZones := func() bool {
 		for _, w := range watchers {
 			if len(w.Catalog().Zones) < fleetReplicas {
 				return false
@@ -129,7 +129,7 @@
 		}
 		return true
 	}
-	require.Eventually(t, knowZones, watchSoon, watchInterval)
+	require.Eventually(t, haveZones, eventuallyTimeout, eventuallyInterval)
 	before := replicas[0].Status().Commit
 	registerFleet(t, replicas)
 	entries := replicas[0].Status().Commit - before
@@ -139,13 +139,13 @@
 		if number%2 == 1 {
 			wanted = 0
 		}
-		require.Eventually(t, func() bool { return w.Catalog().BackendCount() == wanted }, watchSoon, watchInterval)
+		require.Eventually(t, func() bool { return w.Catalog().BackendCount() == wanted }, eventuallyTimeout, eventuallyInterval)
 		first := w.addresses()[0]
 		require.Equal(t, w.zone, w.Catalog().Zones[first].Zone)
 	}
 }
 
-// registerFleet has all backends send a heartbeat until it is answered.
+// registerFleet sends a heartbeat for each backend until it is accepted.
 func registerFleet(t *testing.T, replicas []*Directory) {
 	numbers := make(chan int)
 	var callers sync.WaitGroup
--- a/server/freshness.go
+++ b/server/freshness.go
@@ -9,54 +9,50 @@
 )
 
 const (
-	// staleLimit is how long a change may wait for its turn in the loop before nothing more is
-	// begun until it is taken in: a step may have ended meanwhile, and none of it may reach an
-	// engine for long after that. Of the 3 s that the users allow, a start may spend
-	// maxPendingTime and maxReportAge of package runner on its way, and up to 0.7 s on a
-	// connection.
-	staleLimit = 300 * time.Millisecond
-	// confirmInterval is the time between two questions whether this replica still leads, and
-	// confirmLimit how long the newest answer holds. A leader that is short of processor time
-	// may not have noticed yet that another one has taken over.
-	confirmInterval = 200 * time.Millisecond
-	confirmLimit    = 700 * time.Millisecond
+	// maxChangeDelay is how long a change may wait to be applied before nothing more is started: the
+	// change may end a step, whose starts must stop within 3 s. maxPendingTime and maxReportAge of
+	// package runner, and up to 0.7 s for a connection, add to it.
+	maxChangeDelay = 300 * time.Millisecond
+	// leaderConfirmInterval is the time between two confirmations of the leader by a quorum, and
+	// maxLeaderConfirmAge how long one is valid. A leader short of processor time may not know yet that
+	// another one was elected.
+	leaderConfirmInterval = 200 * time.Millisecond
+	maxLeaderConfirmAge   = 700 * time.Millisecond
 )
 
-// freshness tells whether a leader's state may be decided by. It may be used concurrently.
+// freshness tells whether a leader's state is fresh enough to act on. It may be used concurrently.
 type freshness struct {
-	// changedAt is when the oldest change became known that was not taken in yet, and
-	// confirmedAt when the newest question began to which a quorum has answered that this
-	// replica leads; both in milliseconds, 0 for none.
+	// changedAt is when the oldest change arrived that is not applied yet, and confirmedAt when the
+	// newest confirmation began by which a quorum confirmed that this replica leads; both in
+	// milliseconds, 0 for none.
 	changedAt, confirmedAt atomic.Int64
 }
 
-// noteChange notes that there is a change to be taken in.
-func (f *freshness) noteChange(now int64) { f.changedAt.CompareAndSwap(0, now) }
+// recordChange records that a change waits to be applied.
+func (f *freshness) recordChange(now int64) { f.changedAt.CompareAndSwap(0, now) }
 
-// noteTaken notes that all changes so far are being taken in.
-func (f *freshness) noteTaken() { f.changedAt.Store(0) }
+// recordApplied records that all changes so far are being applied.
+func (f *freshness) recordApplied() { f.changedAt.Store(0) }
 
-// isStale tells whether the state may have passed: a change waits for its turn, or no quorum
-// has confirmed the leader lately.
+// isStale reports whether a change has waited for too long, or no quorum has confirmed the leader lately.
 func (f *freshness) isStale(now int64) bool {
-	if changed := f.changedAt.Load(); changed != 0 && now-changed > staleLimit.Milliseconds() {
+	if changed := f.changedAt.Load(); changed != 0 && now-changed > maxChangeDelay.Milliseconds() {
 		return true
 	}
-	return now-f.confirmedAt.Load() > confirmLimit.Milliseconds()
+	return now-f.confirmedAt.Load() > maxLeaderConfirmAge.Milliseconds()
 }
 
-// confirm has a quorum confirm the leader again and again, and says when it was for the first
-// time: what has waited for that may begin.
-func (f *freshness) confirm(ctx context.Context, opened *replica.Replica, first func()) {
+// confirmLeadership has a quorum confirm the leader regularly, and calls onFirst after the first time.
+func (f *freshness) confirmLeadership(ctx context.Context, opened *replica.Replica, onFirst func()) {
 	for ctx.Err() == nil {
-		began := nowMillis()
-		limited, cancel := context.WithTimeout(ctx, confirmLimit)
+		startedAt := nowMillis()
+		limited, cancel := context.WithTimeout(ctx, maxLeaderConfirmAge)
 		if opened.Confirm(limited) == nil {
-			if f.confirmedAt.Swap(began) == 0 {
-				first()
+			if f.confirmedAt.Swap(startedAt) == 0 {
+				onFirst()
 			}
 		}
 		cancel()
-		sleep(ctx, confirmInterval)
+		sleep(ctx, leaderConfirmInterval)
 	}
 }
--- a/server/gateway_test.go
+++ b/server/gateway_test.go
@@ -51,7 +51,7 @@
 	machine.Apply(directory.Command{PutConfiguration: &directory.PutConfiguration{Configuration: routing.Configuration{
 		Version: 1, Routes: []routing.Route{route}, Services: []routing.Service{{Name: "s"}},
 	}}}.Encode())
-	started.watcher.take(started.Catalog(), machine.DeltaSince(0))
+	started.watcher.apply(started.Catalog(), machine.DeltaSince(0))
 	got := <-answered
 	require.NoError(t, got.err)
 	require.Equal(t, "r", got.route.Name)
--- a/server/gather_test.go
+++ b/server/gather_test.go
@@ -48,7 +48,7 @@
 		defer g.mutex.Unlock()
 		return len(g.waiting)+int(taken.Load()) == things
 	}
-	require.Eventually(t, waiting, watchSoon, watchInterval)
+	require.Eventually(t, waiting, eventuallyTimeout, eventuallyInterval)
 	close(release)
 	wait.Wait()
 	require.Len(t, carried, things)
--- a/server/golden_test.go
+++ b/server/golden_test.go
@@ -7,7 +7,7 @@
 	"github.com/dillchute/dillchute/internal/golden"
 )
 
-// TestGoldenMessages reads the calls and answers of earlier builds.
+// TestGoldenMessages decodes the calls and answers of earlier builds.
 func TestGoldenMessages(t *testing.T) {
 	kinds := []golden.Kind{
 		{Name: "directoryCall", Zero: directoryCall{}, IsUnion: true},
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -13,13 +13,13 @@
 	"github.com/dillchute/dillchute/replica"
 )
 
-// heartbeats remembers when backends were heard of. A replica that does not lead
-// gathers whom it has heard, and tells the leader now and then.
+// heartbeats records when backends were last heard from. A follower collects the backends that it hears
+// from and reports them to the leader.
 type heartbeats struct {
-	mutex     sync.Mutex
-	heard     map[string]time.Time
-	sequences map[string]uint64
-	untold    map[string]bool
+	mutex      sync.Mutex
+	heard      map[string]time.Time
+	sequences  map[string]uint64
+	unreported map[string]bool
 }
 
 func newHeartbeats() *heartbeats {
@@ -28,15 +28,15 @@
 	return h
 }
 
-// reset forgets everything, as at the start of a leadership.
+// reset discards everything, when a leadership begins.
 func (h *heartbeats) reset() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.heard, h.sequences, h.untold = map[string]time.Time{}, map[string]uint64{}, map[string]bool{}
+	h.heard, h.sequences, h.unreported = map[string]time.Time{}, map[string]uint64{}, map[string]bool{}
 }
 
-// note takes in a heartbeat, and tells whether it is not older than one before.
-func (h *heartbeats) note(now time.Time, id string, sequence uint64) bool {
+// record records a heartbeat. It returns false if a newer one was recorded before.
+func (h *heartbeats) record(now time.Time, id string, sequence uint64) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if sequence < h.sequences[id] {
@@ -44,12 +44,12 @@
 	}
 	h.sequences[id] = sequence
 	h.heard[id] = now
-	h.untold[id] = true
+	h.unreported[id] = true
 	return true
 }
 
-// noteHeard takes in whom another replica has heard.
-func (h *heartbeats) noteHeard(now time.Time, ids []string) {
+// recordHeard records the backends that another replica has heard from.
+func (h *heartbeats) recordHeard(now time.Time, ids []string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for _, id := range ids {
@@ -57,27 +57,25 @@
 	}
 }
 
-// takeUntold returns whom the leader has not been told of, and forgets them.
-func (h *heartbeats) takeUntold() []string {
+// takeUnreported returns the backends that were not reported to the leader yet, and clears them.
+func (h *heartbeats) takeUnreported() []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	ids := slices.Sorted(maps.Keys(h.untold))
-	clear(h.untold)
+	ids := slices.Sorted(maps.Keys(h.unreported))
+	clear(h.unreported)
 	return ids
 }
 
-// forgive gives all backends a fresh patience after this process has stood still for the
-// duration: it could not hear them meanwhile.
-func (h *heartbeats) forgive(pause time.Duration) {
+// excludeStall subtracts a stall of this process from all silences: it could not hear backends meanwhile.
+func (h *heartbeats) excludeStall(stall time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for id, heard := range h.heard {
-		h.heard[id] = heard.Add(pause)
+		h.heard[id] = heard.Add(stall)
 	}
 }
 
-// silence returns how long the backend has not been heard of, counted from the
-// first question at the earliest.
+// silence returns the time since the backend was last heard from, or since the first call for it.
 func (h *heartbeats) silence(now time.Time, id string) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -89,58 +87,60 @@
 	return now.Sub(heard)
 }
 
-// Heartbeat takes in what a backend says about itself, and returns the internal
-// address of the replica that is to be told next time. What changes nothing is
-// answered by any replica that tells the leader; the rest is the leader's to commit.
+// Heartbeat records a backend's heartbeat, and returns the internal address of the replica to send the
+// next one to. Any replica that reports to the leader answers a heartbeat that changes nothing; the
+// leader commits the others.
 func (d *Directory) Heartbeat(ctx context.Context, heartbeat Heartbeat) (string, error) {
 	if !d.replica.Status().LeaderKnown {
 		return "", replica.ErrUnavailable.New("no leader is known")
 	}
-	known, registered := d.view.Load().Backend(heartbeat.Backend.ID)
-	heartbeat.keepUnread(known)
-	if registered && sameRegistration(known, heartbeat.Backend) && d.tellsLeader() {
-		d.heartbeats.note(clock.Now(), heartbeat.Backend.ID, heartbeat.Sequence)
+	registered, isRegistered := d.view.Load().Backend(heartbeat.Backend.ID)
+	heartbeat.mergeRegisteredModels(registered)
+	if isRegistered && sameRegistration(registered, heartbeat.Backend) && d.isReportingToLeader() {
+		d.heartbeats.record(clock.Now(), heartbeat.Backend.ID, heartbeat.Sequence)
 		return d.settings.InternalAddress, nil
 	}
 	return d.settings.InternalAddress, d.registrations.do(ctx, heartbeat)
 }
 
-// tellBeats is the number of heartbeats for which the leader may not have answered a replica that
-// takes them for it. Beyond that a backend has to go to another replica: with silentBeats the leader
-// would take it for silent, though it is heard here.
-const tellBeats = 2
+// maxReportAgeHeartbeats is the number of heartbeat intervals since its last report to the leader for
+// which a replica answers heartbeats itself. It is less than silentHeartbeats, after which the leader
+// would count the backend as silent.
+const maxReportAgeHeartbeats = 2
 
-// tellsLeader tells whether this replica leads, or has lately told the leader whom it has heard.
-func (d *Directory) tellsLeader() bool {
-	age := time.Duration(nowMillis()-d.toldAt.Load()) * time.Millisecond
-	return d.replica.Status().Leading || age <= tellBeats*d.settings.HeartbeatInterval
+// isReportingToLeader reports whether this replica leads, or has lately reported to the leader.
+func (d *Directory) isReportingToLeader() bool {
+	age := time.Duration(nowMillis()-d.reportedAt.Load()) * time.Millisecond
+	return d.replica.Status().Leading || age <= maxReportAgeHeartbeats*d.settings.HeartbeatInterval
 }
 
-// noteTold notes that the leader has answered a call that began at the time.
-func (d *Directory) noteTold(began int64) { d.toldAt.Store(max(d.toldAt.Load(), began)) }
+// recordReport records that the leader has answered a call that began at startedAt.
+func (d *Directory) recordReport(startedAt int64) {
+	d.reportedAt.Store(max(d.reportedAt.Load(), startedAt))
+}
 
-// registerAll has the leader take in what heartbeats change.
+// registerAll sends the leader heartbeats that change registrations.
 func (d *Directory) registerAll(ctx context.Context, heartbeats []Heartbeat) error {
 	_, err := d.call(ctx, directoryCall{Heartbeats: heartbeats})
 	return err
 }
 
-// handleHeartbeats commits, on the leader, what heartbeats change, in one entry of the log.
+// handleHeartbeats commits, on the leader, the registration changes of heartbeats in one log entry.
 func (d *Directory) handleHeartbeats(ctx context.Context, heartbeats []Heartbeat) error {
 	d.noteStandstill()
-	sound := d.noteHeartbeats(heartbeats)
-	known := make([]registered, len(sound))
+	current := d.recordHeartbeats(heartbeats)
+	states := make([]registrationState, len(current))
 	if !d.replica.Do(func() {
-		for position, heartbeat := range sound {
-			known[position] = d.registeredFor(heartbeat.Backend)
+		for position, heartbeat := range current {
+			states[position] = d.registrationState(heartbeat.Backend)
 		}
 	}) {
 		return replica.ErrUnavailable.New("the replica has stopped")
 	}
 	var changes []directory.Command
-	for position, heartbeat := range sound {
-		heartbeat.keepUnread(known[position].named)
-		if change, isNews := d.register(known[position], heartbeat); isNews {
+	for position, heartbeat := range current {
+		heartbeat.mergeRegisteredModels(states[position].registered)
+		if change, isChange := d.register(states[position], heartbeat); isChange {
 			changes = append(changes, change)
 		}
 	}
@@ -151,120 +151,120 @@
 	return err
 }
 
-// noteHeartbeats notes whom the leader has heard, and returns the heartbeats that are not late.
-func (d *Directory) noteHeartbeats(heartbeats []Heartbeat) []Heartbeat {
-	now, latest := clock.Now(), d.latestBirth()
-	var sound []Heartbeat
+// recordHeartbeats records heartbeats on the leader, and returns those that are valid and not outdated.
+func (d *Directory) recordHeartbeats(heartbeats []Heartbeat) []Heartbeat {
+	now, latestStartTime := clock.Now(), d.latestStartTime()
+	var current []Heartbeat
 	for _, heartbeat := range heartbeats {
-		if heartbeat.Backend.Born > latest {
+		if heartbeat.Backend.Born > latestStartTime {
 			d.NoteSpoiled(Spoiled{Writer: heartbeat.Backend.ID, Field: "born", Reason: "in the future"})
 			continue
 		}
-		if d.heartbeats.note(now, heartbeat.Backend.ID, heartbeat.Sequence) {
-			sound = append(sound, heartbeat)
+		if d.heartbeats.record(now, heartbeat.Backend.ID, heartbeat.Sequence) {
+			current = append(current, heartbeat)
 		}
 	}
-	return sound
+	return current
 }
 
-// registered is what the machine holds that concerns a backend.
-type registered struct {
-	// named is the incarnation that is registered under its name, and holder whoever is at its
-	// address.
-	named, holder    directory.Backend
-	isNamed, hasHeld bool
-	// gone is set if the incarnation has left or was taken out, and mayReturn if it was only not heard.
-	gone, mayReturn bool
+// registrationState is the machine's state that concerns a backend.
+type registrationState struct {
+	// registered is the incarnation registered under the backend's name, and addressHolder the backend
+	// registered at its address.
+	registered, addressHolder      directory.Backend
+	isRegistered, hasAddressHolder bool
+	// isRemoved is set if the incarnation has left or was removed, and mayReturn if it was removed only
+	// for silence.
+	isRemoved, mayReturn bool
 }
 
-// registeredFor returns what the machine holds that concerns the backend. It is called in the
-// replica's loop.
-func (d *Directory) registeredFor(backend directory.Backend) registered {
-	var r registered
-	r.named, r.isNamed = d.machine.BackendByName(backend.NameOrID())
-	r.holder, r.hasHeld = d.machine.BackendByAddress(backend.Address)
-	r.gone = d.machine.IsRemoved(backend.Incarnation())
-	r.mayReturn = d.machine.MayReturn(backend.Incarnation())
-	return r
+// registrationState returns the machine's state that concerns the backend. It is called in the replica's
+// loop.
+func (d *Directory) registrationState(backend directory.Backend) registrationState {
+	var state registrationState
+	state.registered, state.isRegistered = d.machine.BackendByName(backend.NameOrID())
+	state.addressHolder, state.hasAddressHolder = d.machine.BackendByAddress(backend.Address)
+	state.isRemoved = d.machine.IsRemoved(backend.Incarnation())
+	state.mayReturn = d.machine.MayReturn(backend.Incarnation())
+	return state
 }
 
-// changes tells whether what a backend says changes what is registered.
-func (d *Directory) changes(known registered, backend directory.Backend) bool {
+// changesRegistration reports whether a backend's heartbeat changes its registration.
+func (d *Directory) changesRegistration(state registrationState, backend directory.Backend) bool {
 	switch {
-	case known.gone:
+	case state.isRemoved:
 		return false
-	case known.isNamed && known.named.ID == backend.ID && sameRegistration(known.named, backend):
+	case state.isRegistered && state.registered.ID == backend.ID && sameRegistration(state.registered, backend):
 		return false
-	case known.isNamed && known.named.ID != backend.ID && known.named.Born >= backend.Born:
-		event.StaleHeartbeatIgnored.On(d.logger).Str("backend", backend.ID).Str("registered", known.named.ID).Send()
+	case state.isRegistered && state.registered.ID != backend.ID && state.registered.Born >= backend.Born:
+		event.StaleHeartbeatIgnored.On(d.logger).Str("backend", backend.ID).Str("registered", state.registered.ID).Send()
 		return false
 	}
-	return !d.isContested(known, backend)
+	return !d.isAddressContested(state, backend)
 }
 
-// isContested tells whether another one keeps the address that the backend names.
-func (d *Directory) isContested(known registered, backend directory.Backend) bool {
-	if !known.hasHeld || known.holder.NameOrID() == backend.NameOrID() || !d.keepsAddress(known.holder, backend) {
+// isAddressContested reports whether another backend keeps the address.
+func (d *Directory) isAddressContested(state registrationState, backend directory.Backend) bool {
+	if !state.hasAddressHolder || state.addressHolder.NameOrID() == backend.NameOrID() || !d.keepsAddress(state.addressHolder, backend) {
 		return false
 	}
-	event.AddressConflict.On(d.logger).Str("backend", backend.ID).Str("holder", known.holder.ID).Str("address", backend.Address).Send()
+	event.AddressConflict.On(d.logger).Str("backend", backend.ID).Str("holder", state.addressHolder.ID).Str("address", backend.Address).Send()
 	return true
 }
 
-// keepsAddress tells whether the holder keeps its address from another backend: because it is
-// heard of, or because it started later, so that the other has ended.
+// keepsAddress reports whether the holder keeps its address: it was heard from lately, or it started
+// after the other backend, which must have ended.
 func (d *Directory) keepsAddress(holder, backend directory.Backend) bool {
 	return backend.Born > 0 && backend.Born < holder.Born || d.heartbeats.silence(clock.Now(), holder.ID) < d.addressHold()
 }
 
-// birthSlack is by how much a backend's clock may be ahead of this machine's: clocks may be off by
-// seconds, and a birth that nothing real can follow would keep all later starts out.
-const birthSlack = time.Minute
+// maxStartTimeSkew is how far a backend's start time may be ahead of this machine's clock. A start time
+// in the far future would keep all later incarnations out.
+const maxStartTimeSkew = time.Minute
 
-// latestBirth is the latest time, in milliseconds since 1970, at which a backend may say that it
-// was born.
-func (d *Directory) latestBirth() int64 {
+// latestStartTime returns the latest valid start time of a backend, in milliseconds since 1970.
+func (d *Directory) latestStartTime() int64 {
 	now := time.Now().UnixMilli()
-	if ahead, ok := d.usage.clock.Offset(nowMillis()); ok {
-		now = nowMillis() + ahead
+	if offset, ok := d.usage.clock.Offset(nowMillis()); ok {
+		now = nowMillis() + offset
 	}
-	return now + birthSlack.Milliseconds()
+	return now + maxStartTimeSkew.Milliseconds()
 }
 
-// tellHeard tells the leader whom this replica has heard, and now and then what its clock
-// shows.
-func (d *Directory) tellHeard(ctx context.Context) {
-	heard := d.heartbeats.takeUntold()
-	if len(heard) == 0 && time.Since(d.clockTold) < clockInterval {
+// reportHeard reports to the leader the backends that this replica has heard from, and regularly its
+// clock.
+func (d *Directory) reportHeard(ctx context.Context) {
+	heard := d.heartbeats.takeUnreported()
+	if len(heard) == 0 && time.Since(d.clockSentAt) < clockReportInterval {
 		return
 	}
-	d.clockTold = time.Now()
+	d.clockSentAt = time.Now()
 	limited, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	began := nowMillis()
-	// What is lost is told again with the next heartbeats.
+	startedAt := nowMillis()
+	// A backend in a lost report is reported again after its next heartbeat.
 	_, err := d.call(limited, directoryCall{Heard: heard, Clock: &clockReading{
 		Machine: d.settings.Name, Millis: time.Now().UnixMilli(), At: d.ownZone(),
 	}, Says: &d.versions.own})
 	if err == nil {
-		d.noteTold(began)
+		d.recordReport(startedAt)
 	}
 }
 
-// ownZone tells where this replica is.
+// ownZone returns this replica's address and zone.
 func (d *Directory) ownZone() directory.ReplicaZone {
 	return directory.ReplicaZone{Address: d.settings.InternalAddress, Zone: d.settings.Zone}
 }
 
-// addressBeats is the number of missed heartbeats after which a backend's address may be
-// another's. A heartbeat that a cut has held up may come after its sender has crashed and a
-// later incarnation, which goes on sending them, has registered at the same address.
-const addressBeats = 1.5
+// addressHoldHeartbeats is the number of missed heartbeats after which another backend may take an
+// address. A delayed heartbeat may arrive after its sender has crashed and a later incarnation, which
+// keeps sending heartbeats, has registered at the same address.
+const addressHoldHeartbeats = 1.5
 
-// addressHold is how long an address stays its holder's without a heartbeat of it.
+// addressHold returns how long a silent backend keeps its address.
 func (d *Directory) addressHold() time.Duration {
-	return time.Duration(addressBeats * float64(d.settings.HeartbeatInterval))
+	return time.Duration(addressHoldHeartbeats * float64(d.settings.HeartbeatInterval))
 }
 
-// clockInterval is the longest time between two readings of a replica's clock.
-const clockInterval = time.Second
+// clockReportInterval is the longest time between two reports of a replica's clock.
+const clockReportInterval = time.Second
--- a/server/ledger_client_test.go
+++ b/server/ledger_client_test.go
@@ -70,7 +70,7 @@
 	logger := zerolog.Nop()
 	seeds := NewSeeds(config.Process{}, func() (config.Process, error) { return config.Process{}, nil }, &logger)
 	watcher := NewWatcher(seeds, "z", 0, &logger)
-	watcher.take(watcher.Catalog(), machine.DeltaSince(0))
+	watcher.apply(watcher.Catalog(), machine.DeltaSince(0))
 	return newLedgerClient(watcher, "near", &logger), near, far
 }
 
--- a/server/ledger_test.go
+++ b/server/ledger_test.go
@@ -71,7 +71,7 @@
 	settings := config.DefaultLedger()
 	seeds := NewSeeds(settings.Process, func() (config.Process, error) { return settings.Process, nil }, &logger)
 	store := NewLedger(settings, seeds, nil, nil, &logger)
-	store.watcher.take(store.watcher.Catalog(), machine.DeltaSince(0))
+	store.watcher.apply(store.watcher.Catalog(), machine.DeltaSince(0))
 	require.Equal(t, []string{"a:70", "b:70"}, store.contacts())
 	require.Equal(t, []string{"c:70"}, store.others())
 }
--- a/server/renewal.go
+++ b/server/renewal.go
@@ -75,11 +75,11 @@
 func (w *Watcher) ask() *question {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.asked == nil {
-		w.asked = &question{began: clock.Now(), done: make(chan struct{})}
-		go w.carryOut(w.asked)
+	if w.inFlight == nil {
+		w.inFlight = &question{began: clock.Now(), done: make(chan struct{})}
+		go w.carryOut(w.inFlight)
 	}
-	return w.asked
+	return w.inFlight
 }
 
 // carryOut asks until the copy holds all that the directory has acknowledged by the beginning of
@@ -91,7 +91,7 @@
 		w.noteUnrenewed(err)
 	}
 	w.mutex.Lock()
-	w.asked = nil
+	w.inFlight = nil
 	w.mutex.Unlock()
 	close(asked.done)
 }
@@ -99,8 +99,8 @@
 // noteUnrenewed notes that a question was in vain.
 func (w *Watcher) noteUnrenewed(err error) {
 	now := nowMillis()
-	w.questionsInVain.Add(1)
-	if w.age.state(now) > copyAging && w.outOfTouch.CompareAndSwap(false, true) {
+	w.failedQueries.Add(1)
+	if w.age.state(now) > copyAging && w.isDisconnected.CompareAndSwap(false, true) {
 		event.CopyStale.On(w.logger).Uint("revision", w.Catalog().Revision).Int("age_ms", now-w.age.provenAt.Load()).Err(err).Send()
 	}
 	w.age.noteQuestionUnanswered(now)
@@ -116,13 +116,13 @@
 		if err != nil {
 			return err
 		}
-		if !w.take(base, delta) && w.Catalog().Revision < delta.Revision {
+		if !w.apply(base, delta) && w.Catalog().Revision < delta.Revision {
 			// The watch has brought something else meanwhile.
 			continue
 		}
 		w.age.noteQuestionAnswered(began)
-		w.questions.Add(1)
-		w.outOfTouch.Store(false)
+		w.queries.Add(1)
+		w.isDisconnected.Store(false)
 		event.CopyRefreshed.On(w.logger).Int("age_ms", began-age).Uint("from", base.Revision).Uint("revision", w.Catalog().Revision).Send()
 		return nil
 	}
@@ -159,7 +159,7 @@
 		case got := <-replies:
 			open--
 			if got.err == nil && got.answer.Missed != nil {
-				w.noteAnswered(got.answer.Leader)
+				w.recordResponse(got.answer.Leader)
 				return *got.answer.Missed, nil
 			}
 			if got.err == nil && tellsNothingNewer(got.answer, base) {
--- a/server/renewal_test.go
+++ b/server/renewal_test.go
@@ -90,7 +90,7 @@
 func (d *standingDirectory) tellAll(w *Watcher) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	w.take(w.Catalog(), d.machine.DeltaFor(directory.Watch{Scope: w.scope()}))
+	w.apply(w.Catalog(), d.machine.DeltaFor(directory.Watch{Scope: w.scope()}))
 	w.age.noteProven(nowMillis())
 }
 
@@ -145,7 +145,7 @@
 			source := &clock.Suspendable{}
 			defer clock.Use(source)()
 			d := newStandingDirectory(t, kind, leaving("a"), leaving("b"))
-			dark, _ := darkReplica(t)
+			dark, _ := startUnresponsiveReplica(t)
 			client := &sentBackends{outcome: forward.Answered}
 			gateway := standingGateway(t, d, client, dark, d.address)
 			d.drain(leaving("a"))
@@ -221,7 +221,7 @@
 			source := &clock.Suspendable{}
 			defer clock.Use(source)()
 			d := newStandingDirectory(t, one.kind, leaving("a"))
-			dark, _ := darkReplica(t)
+			dark, _ := startUnresponsiveReplica(t)
 			client := &sentBackends{outcome: forward.Answered}
 			gateway := standingGateway(t, d, client, dark)
 			for range 3 {
@@ -238,7 +238,7 @@
 			if !one.served {
 				require.Empty(t, client.ids)
 			}
-			require.Positive(t, gateway.watcher.questionsInVain.Load())
+			require.Positive(t, gateway.watcher.failedQueries.Load())
 		})
 	}
 }
@@ -253,7 +253,7 @@
 	d.drain(leaving("a"))
 	require.NoError(t, w.renew(t.Context()))
 	renewed := w.Catalog()
-	require.False(t, w.take(before, late))
+	require.False(t, w.apply(before, late))
 	require.Same(t, renewed, w.Catalog())
 	known, _ := renewed.Backend("a")
 	require.True(t, known.Draining)
@@ -289,7 +289,7 @@
 		held.Close()
 	})
 	tenured.runners.SetStores([]runner.Store{{Name: "store", Address: strings.TrimPrefix(held.URL, "http://")}})
-	require.Eventually(t, tenured.runners.Ready, watchSoon, watchInterval)
+	require.Eventually(t, tenured.runners.Ready, eventuallyTimeout, eventuallyInterval)
 	tenured.scheduler.SyncEngines(nowMillis(), []directory.Backend{leaving("a")}, map[string]uint64{"m": 1})
 	tenured.scheduler.AddStep(&ledger.Entry{Step: &ledger.Step{
 		ID: "step", Host: "h", Model: "m", OldestVersion: 1, Wanted: 1, Attempts: 1,
@@ -340,7 +340,7 @@
 			require.Eventually(t, func() bool {
 				flushed(t, tenured)
 				return len(tenured.cancels) == 1
-			}, watchSoon, watchInterval)
+			}, eventuallyTimeout, eventuallyInterval)
 			if suspended == 0 {
 				// A runner that woke as well takes in no start from before.
 				require.Equal(t, "a", <-runs.began)
@@ -355,15 +355,15 @@
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
 	d := newStandingDirectory(t, routing.Rollout, leaving("a"))
-	dark, _ := darkReplica(t)
+	dark, _ := startUnresponsiveReplica(t)
 	runs := countedRuns{began: make(chan string, 1)}
 	tenured := standingTenure(t, d, runs, dark)
 	source.Suspend(testCopyLimit)
 	require.Eventually(t, func() bool {
 		flushed(t, tenured)
 		return len(tenured.cancels) == 1
-	}, watchSoon, watchInterval)
-	require.Positive(t, tenured.watcher.questionsInVain.Load())
+	}, eventuallyTimeout, eventuallyInterval)
+	require.Positive(t, tenured.watcher.failedQueries.Load())
 }
 
 // TestAnyReplicaTellsWhatACopyMisses: a question reaches the directory's leader through whichever
@@ -375,7 +375,7 @@
 		_, err := replicas[0].Heartbeat(t.Context(), Heartbeat{Backend: backend, Sequence: 1})
 		return err == nil
 	}
-	require.Eventually(t, registered, watchSoon, watchInterval)
+	require.Eventually(t, registered, eventuallyTimeout, eventuallyInterval)
 	var watchers []*Watcher
 	holds := func(w *Watcher, draining bool) func() bool {
 		return func() bool {
@@ -386,16 +386,16 @@
 	for _, replica := range replicas {
 		w := newTestWatcher(t, replica.settings.InternalAddress)
 		watchers = append(watchers, w)
-		require.Eventually(t, holds(w, false), watchSoon, watchInterval)
+		require.Eventually(t, holds(w, false), eventuallyTimeout, eventuallyInterval)
 	}
 	backend.Draining = true
 	drained := func() bool {
 		_, err := replicas[0].Heartbeat(t.Context(), Heartbeat{Backend: backend, Sequence: 2})
 		return err == nil
 	}
-	require.Eventually(t, drained, watchSoon, watchInterval)
+	require.Eventually(t, drained, eventuallyTimeout, eventuallyInterval)
 	for _, w := range watchers {
-		require.Eventually(t, func() bool { return w.renew(t.Context()) == nil }, watchSoon, watchInterval)
+		require.Eventually(t, func() bool { return w.renew(t.Context()) == nil }, eventuallyTimeout, eventuallyInterval)
 		known, _ := w.Catalog().Backend("a")
 		require.True(t, known.Draining, "one answer brings it")
 	}
@@ -419,15 +419,15 @@
 		for _, proved := range []bool{false, true} {
 			t.Run(fmt.Sprintf("held %v, proved %v", held, proved), func(t *testing.T) {
 				served := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
-					answer := &watchAnswer{response: response, members: "m", isProved: func() bool { return proved }}
+					answer := &watchAnswer{response: response, members: "m", isFresh: func() bool { return proved }}
 					if held {
-						answer.hold()
+						answer.sendKeepalive()
 					}
-					answer.give(directory.Delta{Revision: 8, Version: 3})
+					answer.send(directory.Delta{Revision: 8, Version: 3})
 				}))
 				t.Cleanup(served.Close)
 				w := newTestWatcher(t)
-				w.take(w.Catalog(), directory.Delta{Revision: 7, Full: true, Version: 3})
+				w.apply(w.Catalog(), directory.Delta{Revision: 7, Full: true, Version: 3})
 				before := nowMillis()
 				require.NoError(t, w.poll(t.Context(), strings.TrimPrefix(served.URL, "http://"), time.Hour))
 				require.Equal(t, uint64(8), w.Catalog().Revision)
@@ -452,7 +452,7 @@
 		t.Cleanup(served.Close)
 		w := newTestWatcher(t, strings.TrimPrefix(served.URL, "http://"))
 		w.age.limit = testCopyLimit
-		w.take(w.Catalog(), directory.Delta{Revision: 7, Full: true, Version: 3})
+		w.apply(w.Catalog(), directory.Delta{Revision: 7, Full: true, Version: 3})
 		require.Equal(t, want, w.awaitCurrent(t.Context(), time.Hour))
 		require.Equal(t, uint64(7), w.Catalog().Revision)
 		require.Equal(t, uint64(3), w.Catalog().Version)
--- a/server/returning.go
+++ b/server/returning.go
@@ -35,7 +35,7 @@
 func (r *returning) note(now time.Time, id string, sequence uint64, interval time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	maps.DeleteFunc(r.first, func(_ string, beat returnBeat) bool { return now.Sub(beat.lastAt) > silentBeats*interval })
+	maps.DeleteFunc(r.first, func(_ string, beat returnBeat) bool { return now.Sub(beat.lastAt) > silentHeartbeats*interval })
 	beat, known := r.first[id]
 	if !known {
 		r.first[id] = returnBeat{at: now, lastAt: now, sequence: sequence}
@@ -55,12 +55,12 @@
 
 // comesBack tells, on the leader, whether a backend that was taken out only because nobody heard it
 // is to be registered again. It must not be while another one at its address is heard of.
-func (d *Directory) comesBack(known registered, heartbeat Heartbeat) bool {
+func (d *Directory) comesBack(known registrationState, heartbeat Heartbeat) bool {
 	backend := heartbeat.Backend
 	if !known.mayReturn {
 		return false
 	}
-	if d.isContested(known, backend) {
+	if d.isAddressContested(known, backend) {
 		d.returning.forget(backend.ID)
 		return false
 	}
@@ -72,10 +72,10 @@
 }
 
 // register returns the command that takes in what the backend says, if it changes something.
-func (d *Directory) register(known registered, heartbeat Heartbeat) (directory.Command, bool) {
+func (d *Directory) register(known registrationState, heartbeat Heartbeat) (directory.Command, bool) {
 	backend := heartbeat.Backend
 	switch {
-	case d.changes(known, backend):
+	case d.changesRegistration(known, backend):
 		event.BackendRegistered.On(d.logger).Str("backend", backend.ID).Str("service", backend.Service).
 			Str("address", backend.Address).Uint("draining", boolToUint(backend.Draining)).Send()
 		return directory.Command{PutBackend: &backend}, true
--- a/server/returning_test.go
+++ b/server/returning_test.go
@@ -36,16 +36,16 @@
 	return registered
 }
 
-// eventually waits for what takes far less than watchSoon.
+// eventually waits for what takes far less than eventuallyTimeout.
 func eventually(t *testing.T, condition func() bool, why string) {
 	t.Helper()
-	require.Eventually(t, condition, watchSoon, watchInterval, why)
+	require.Eventually(t, condition, eventuallyTimeout, eventuallyInterval, why)
 }
 
 // never requires that the condition does not come about for that long.
 func never(t *testing.T, duration time.Duration, condition func() bool, why string) {
 	t.Helper()
-	require.Never(t, condition, duration, watchInterval, why)
+	require.Never(t, condition, duration, eventuallyInterval, why)
 }
 
 // leaderOf returns the replica that leads and serves.
@@ -109,8 +109,8 @@
 	require.True(t, r.note(start.Add(gap), "a", 8, beat))
 
 	require.False(t, r.note(start, "b", 7, beat))
-	require.False(t, r.note(start.Add(silentBeats*beat+1), "b", 8, beat), "too long ago")
-	require.True(t, r.note(start.Add(silentBeats*beat+1+gap), "b", 9, beat))
+	require.False(t, r.note(start.Add(silentHeartbeats*beat+1), "b", 8, beat), "too long ago")
+	require.True(t, r.note(start.Add(silentHeartbeats*beat+1+gap), "b", 9, beat))
 
 	require.False(t, r.note(start, "c", 7, beat))
 	r.forget("c")
@@ -180,7 +180,7 @@
 	}
 	next := leaderOf(t, others)
 	eventually(t, func() bool { return backend.beat(next.directory) }, "it is heard by the next")
-	earlier.startAgain(t, asThisBuild)
+	earlier.restart(t, asThisBuild)
 	eventually(t, func() bool { return isRegistered(earlier.directory, "b") }, "the earlier one learns of it")
 }
 
@@ -216,11 +216,11 @@
 	earlier = leaderOf(t, members)
 	for _, member := range members {
 		if member != earlier {
-			member.startAgain(t, prepare)
+			member.restart(t, prepare)
 		}
 	}
 	for leaderOf(t, members) == earlier {
-		earlier.startAgain(t, asEarlier)
+		earlier.restart(t, asEarlier)
 	}
 	return members, earlier
 }
@@ -237,7 +237,7 @@
 		return registered && known.Silent
 	}
 	eventually(t, isSilent, "it is not heard")
-	never(t, goneBeats*d.settings.HeartbeatInterval, func() bool { return !isSilent() }, "it is used last, and not taken out")
+	never(t, removalHeartbeats*d.settings.HeartbeatInterval, func() bool { return !isSilent() }, "it is used last, and not taken out")
 	eventually(t, func() bool { return backend.beat(d) }, "it is heard")
 	eventually(t, func() bool {
 		known, _ := d.view.Load().Backend("b")
@@ -260,7 +260,7 @@
 	takeOut(t, members, "b")
 	never(t, 2*d.settings.HeartbeatInterval, func() bool { return backend.beat(d) }, "it stays out as before")
 	require.False(t, isRaised())
-	earlier.startAgain(t, asThisBuild)
+	earlier.restart(t, asThisBuild)
 	awaitVersion(t, members)
 	other := newBeating(t, "c", "10.0.0.2:80")
 	eventually(t, func() bool { return other.beat(d) }, "another one registers")
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -127,7 +127,7 @@
 	collectReplica(emit, d.replica.Status())
 	collectTransport(emit, d.replica.Counts())
 	d.scale.collect(emit)
-	gauge(emit, "directory_watches", "Watches that are held.", float64(d.evidence.watches()))
+	gauge(emit, "directory_watches", "Watches that are held.", float64(d.confirmations.activeWatches()))
 	gauge(emit, "directory_backends", "Backends that are registered.", float64(d.view.Load().BackendCount()))
 	d.replica.Do(func() {
 		gauge(emit, "directory_version_in_use", "Version of the directory's commands that is in use.", float64(d.machine.VersionInUse()))
@@ -172,6 +172,6 @@
 	gauge(emit, "directory_age_seconds", "Time since the directory last answered.", w.ageSeconds())
 	gauge(emit, "copy_age_seconds", "Time since this process's copy of the directory is known to have held everything.", w.copyAgeSeconds())
 	const name, help = "copy_questions_total", "Questions what a copy that grows old misses, by outcome."
-	counter(emit, name, help, w.questions.Load(), "outcome", "answered")
-	counter(emit, name, help, w.questionsInVain.Load(), "outcome", "unanswered")
+	counter(emit, name, help, w.queries.Load(), "outcome", "answered")
+	counter(emit, name, help, w.failedQueries.Load(), "outcome", "unanswered")
 }
--- a/server/scale_keeper_test.go
+++ b/server/scale_keeper_test.go
@@ -165,7 +165,7 @@
 		return len(d.scale.demands) == 0
 	}
 	require.Eventually(t, func() bool {
-		d.heartbeats.noteHeard(clock.Now(), []string{"e0", "e1"})
+		d.heartbeats.recordHeard(clock.Now(), []string{"e0", "e1"})
 		_, err := d.call(t.Context(), *muchWork())
 		require.NoError(t, err)
 		return len(asked) > 0
@@ -245,7 +245,7 @@
 		d, _ := loneDirectory(t, taker, func(settings *config.Directory) { settings.HoldOrders = hold })
 		scaledService(t, d)
 		reason := func() capacity.Reason {
-			d.heartbeats.noteHeard(clock.Now(), []string{"e0", "e1"})
+			d.heartbeats.recordHeard(clock.Now(), []string{"e0", "e1"})
 			_, err := d.call(t.Context(), *muchWork())
 			require.NoError(t, err)
 			d.scale.mutex.Lock()
--- a/server/silence_test.go
+++ b/server/silence_test.go
@@ -22,7 +22,7 @@
 		_, registered := replicas[0].view.Load().Backend("b")
 		return registered
 	}
-	require.Eventually(t, isHeard, watchSoon, watchInterval)
+	require.Eventually(t, isHeard, eventuallyTimeout, eventuallyInterval)
 	isTakenOut := func() bool {
 		for _, d := range replicas {
 			if d.Status().Leading {
@@ -32,11 +32,11 @@
 		}
 		return false
 	}
-	require.Eventually(t, isTakenOut, watchSoon, watchInterval)
+	require.Eventually(t, isTakenOut, eventuallyTimeout, eventuallyInterval)
 	isGone := func() bool {
 		_, registered := replicas[0].view.Load().Backend("b")
 		return !registered
 	}
-	require.Eventually(t, isGone, watchSoon, watchInterval)
-	require.Eventually(t, isHeard, watchSoon, watchInterval, "it is heard again, and well")
+	require.Eventually(t, isGone, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, isHeard, eventuallyTimeout, eventuallyInterval, "it is heard again, and well")
 }
--- a/server/standstill.go
+++ b/server/standstill.go
@@ -40,7 +40,7 @@
 
 // noteStandstill gives backends a fresh patience if this process has stood still.
 func (d *Directory) noteStandstill() {
-	if pause := d.standstill.look(clock.Now()); pause > 0 {
-		d.heartbeats.forgive(pause)
+	if pause := d.stalls.look(clock.Now()); pause > 0 {
+		d.heartbeats.excludeStall(pause)
 	}
 }
--- a/server/suspension_test.go
+++ b/server/suspension_test.go
@@ -48,7 +48,7 @@
 	defer clock.Use(source)()
 	d := &Directory{heartbeats: newHeartbeats()}
 	d.noteStandstill()
-	d.heartbeats.note(clock.Now(), "b", 1)
+	d.heartbeats.record(clock.Now(), "b", 1)
 	source.Suspend(suspension)
 	d.noteStandstill()
 	require.Less(t, d.heartbeats.silence(clock.Now(), "b"), suspension/2)
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -106,7 +106,7 @@
 			stop()
 			return
 		}
-		t.fresh.noteChange(nowMillis())
+		t.fresh.recordChange(nowMillis())
 		t.loop.Submit(t.syncState)
 		select {
 		case <-t.context.Done():
@@ -152,7 +152,7 @@
 
 // syncState takes in what has changed in the directory and the ledger.
 func (t *tenure) syncState() {
-	t.fresh.noteTaken()
+	t.fresh.recordApplied()
 	if catalog := t.watcher.Catalog(); catalog != t.catalog {
 		first := t.catalog == nil
 		t.catalog = catalog
--- a/server/version_keeper.go
+++ b/server/version_keeper.go
@@ -18,83 +18,84 @@
 	"github.com/dillchute/dillchute/upgrade"
 )
 
-// versionKeeper has the directory's leader raise the version of its commands once all members know
-// it, and tells when they do not.
+// versionKeeper raises, on the directory's leader, the version of its commands once all members know it,
+// and logs which members do not.
 type versionKeeper struct {
 	own     upgrade.VersionReport
 	address string
 	replica *replica.Replica
 	machine *directory.Machine
 	logger  *zerolog.Logger
-	// inUse is the version in use, a little late.
+	// inUse is the version in use, which may lag behind the machine.
 	inUse atomic.Uint64
 
-	mutex  sync.Mutex
-	census *upgrade.VersionTracker
-	// silenced are the IDs of backends that this process has had taken out, in a term that it led
-	// in and before ReturnVersion was in use, only because nobody heard them.
-	silenced     map[string]bool
-	silencedTerm uint64
-	// missing are the members that do not know the version, since when, and whether that was told;
-	// builds are those of the members. They belong to the review.
-	missing      []string
-	missingSince time.Time
-	missingTold  bool
-	builds       []string
+	mutex   sync.Mutex
+	reports *upgrade.VersionTracker
+	// silentRemovals are the IDs of backends that this process, as the leader of silentRemovalsTerm,
+	// removed for silence before ReturnVersion was in use.
+	silentRemovals     map[string]bool
+	silentRemovalsTerm uint64
+	// unconfirmed are the members that do not know the version, unconfirmedSince is when that list last
+	// changed, and unconfirmedLogged whether it was logged; builds are those of the members. They are
+	// used only by review.
+	unconfirmed       []string
+	unconfirmedSince  time.Time
+	unconfirmedLogged bool
+	builds            []string
 }
 
 func newVersionKeeper(address string, opened *replica.Replica, machine *directory.Machine, logger *zerolog.Logger) *versionKeeper {
 	return &versionKeeper{
 		own:     upgrade.VersionReport{Knows: directory.KnownVersion, Build: upgrade.Build()},
 		address: address, replica: opened, machine: machine, logger: logger,
-		census: upgrade.NewVersionTracker(), silenced: map[string]bool{},
+		reports: upgrade.NewVersionTracker(), silentRemovals: map[string]bool{},
 	}
 }
 
-// note takes in what the member at the address says of itself; nil is an earlier build.
-func (k *versionKeeper) note(address string, said *upgrade.VersionReport) {
+// recordReport records the version report of the member at the address; nil comes from an earlier build.
+func (k *versionKeeper) recordReport(address string, report *upgrade.VersionReport) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if said == nil {
-		said = &upgrade.VersionReport{}
+	if report == nil {
+		report = &upgrade.VersionReport{}
 	}
-	k.census.Record(clock.Now(), address, *said)
+	k.reports.Record(clock.Now(), address, *report)
 }
 
-// noteCommand remembers, before the command is carried out, whom the leader takes out for silence
-// and who leaves. The record does not tell them apart before ReturnVersion is in use.
-func (k *versionKeeper) noteCommand(command directory.Command) {
+// recordCommand records, before a command is executed, which backends it removes for silence and which
+// leave. The machine does not distinguish them before ReturnVersion is in use.
+func (k *versionKeeper) recordCommand(command directory.Command) {
 	status := k.replica.Status()
 	if !status.Leading || k.inUse.Load() >= directory.ReturnVersion {
 		return
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if status.Term != k.silencedTerm {
-		k.silenced, k.silencedTerm = map[string]bool{}, status.Term
+	if status.Term != k.silentRemovalsTerm {
+		k.silentRemovals, k.silentRemovalsTerm = map[string]bool{}, status.Term
 	}
-	k.noteRemoval(command.RemoveBackend)
+	k.recordRemoval(command.RemoveBackend)
 	for _, change := range command.Batch {
-		k.noteRemoval(change.RemoveBackend)
+		k.recordRemoval(change.RemoveBackend)
 	}
 }
 
-func (k *versionKeeper) noteRemoval(removal *directory.RemoveBackend) {
+func (k *versionKeeper) recordRemoval(removal *directory.RemoveBackend) {
 	switch {
 	case removal == nil:
 	case removal.Name == "":
-		k.silenced[removal.ID] = true
+		k.silentRemovals[removal.ID] = true
 	default:
-		for id := range k.silenced {
+		for id := range k.silentRemovals {
 			if directory.IncarnationFromID(id).Name == removal.Name {
-				delete(k.silenced, id)
+				delete(k.silentRemovals, id)
 			}
 		}
 	}
 }
 
-// follow takes in which version is in use, and has only those let in that know it.
-func (k *versionKeeper) follow() {
+// updateInUse reads the version in use, and requires new members to know it.
+func (k *versionKeeper) updateInUse() {
 	inUse := uint64(0)
 	k.replica.Do(func() { inUse = k.machine.VersionInUse() })
 	if k.inUse.Swap(inUse) != inUse {
@@ -105,83 +106,82 @@
 
 // review raises the version, on the leader, if all members know it.
 func (k *versionKeeper) review(ctx context.Context) {
-	k.note(k.address, &k.own)
+	k.recordReport(k.address, &k.own)
 	members := k.replica.Status().Members
 	k.logBuilds(members)
 	if k.inUse.Load() >= k.own.Knows {
-		k.logMissing(k.tooEarly(members))
+		k.logUnconfirmed(k.outdatedMembers(members))
 		return
 	}
-	if missing := k.missingOf(members); len(missing) > 0 {
-		k.logMissing(missing)
+	if unconfirmed := k.unconfirmedMembers(members); len(unconfirmed) > 0 {
+		k.logUnconfirmed(unconfirmed)
 		return
 	}
-	_, err := k.replica.ExecuteVersioned(ctx, k.own.Knows, k.raise)
+	_, err := k.replica.ExecuteVersioned(ctx, k.own.Knows, k.raiseCommand)
 	if err != nil {
 		event.LeaderUpdateFailed.On(k.logger).Err(err).Send()
 		return
 	}
-	k.follow()
+	k.updateInUse()
 }
 
-// raise returns the command that raises the version, and whether the members know it. It is called
+// raiseCommand returns the command that raises the version, and whether the members know it. It is called
 // in the replica's loop.
-func (k *versionKeeper) raise(members []consensus.Member) ([]byte, bool) {
-	if len(k.missingOf(members)) > 0 {
+func (k *versionKeeper) raiseCommand(members []consensus.Member) ([]byte, bool) {
+	if len(k.unconfirmedMembers(members)) > 0 {
 		return nil, false
 	}
-	raise := directory.RaiseVersion{Version: k.own.Knows, Silenced: k.silencedIn(k.replica.Status().Term)}
+	raise := directory.RaiseVersion{Version: k.own.Knows, Silenced: k.silentRemovalsIn(k.replica.Status().Term)}
 	return directory.Command{RaiseVersion: &raise}.Encode(), true
 }
 
-func (k *versionKeeper) silencedIn(term uint64) []string {
+func (k *versionKeeper) silentRemovalsIn(term uint64) []string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if term != k.silencedTerm {
+	if term != k.silentRemovalsTerm {
 		return nil
 	}
 	var ids []string
-	for id := range k.silenced {
+	for id := range k.silentRemovals {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-func (k *versionKeeper) missingOf(members []consensus.Member) []string {
+func (k *versionKeeper) unconfirmedMembers(members []consensus.Member) []string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.census.Unconfirmed(clock.Now(), members, k.own.Knows)
+	return k.reports.Unconfirmed(clock.Now(), members, k.own.Knows)
 }
 
-func (k *versionKeeper) tooEarly(members []consensus.Member) []string {
+func (k *versionKeeper) outdatedMembers(members []consensus.Member) []string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.census.Outdated(clock.Now(), members, k.inUse.Load())
+	return k.reports.Outdated(clock.Now(), members, k.inUse.Load())
 }
 
-// logMissing tells of the members that do not know the version, or have not said so for the life of a
-// statement.
-func (k *versionKeeper) logMissing(missing []string) {
+// logUnconfirmed logs members that have not confirmed the version for upgrade.ReportTTL.
+func (k *versionKeeper) logUnconfirmed(unconfirmed []string) {
 	now := clock.Now()
-	if !slices.Equal(missing, k.missing) {
-		k.missing, k.missingSince, k.missingTold = missing, now, false
+	if !slices.Equal(unconfirmed, k.unconfirmed) {
+		k.unconfirmed, k.unconfirmedSince, k.unconfirmedLogged = unconfirmed, now, false
 	}
-	if len(missing) == 0 || k.missingTold || now.Sub(k.missingSince) < upgrade.ReportTTL {
+	if len(unconfirmed) == 0 || k.unconfirmedLogged || now.Sub(k.unconfirmedSince) < upgrade.ReportTTL {
 		return
 	}
-	k.missingTold = true
+	k.unconfirmedLogged = true
 	kind := event.CommandVersionPending
 	if k.inUse.Load() >= k.own.Knows {
 		kind = event.MemberOutdated
 	}
-	kind.On(k.logger).Uint("in_use", k.inUse.Load()).Uint("known", k.own.Knows).Str("members", strings.Join(missing, " ")).Send()
+	kind.On(k.logger).Uint("in_use", k.inUse.Load()).Uint("known", k.own.Knows).Str("members", strings.Join(unconfirmed, " ")).Send()
 }
 
-// logBuilds tells which builds the members are of, when that changes.
+// logBuilds logs the builds of the members when they change.
 func (k *versionKeeper) logBuilds(members []consensus.Member) {
 	k.mutex.Lock()
-	builds := k.census.Builds(clock.Now(), members)
+	builds := k.reports.Builds(clock.Now(), members)
 	k.mutex.Unlock()
 	if slices.Equal(builds, k.builds) {
 		return
--- a/server/watch.go
+++ b/server/watch.go
@@ -20,15 +20,14 @@
 )
 
 const (
-	// watchBackoff is the pause before the next replica is asked, and watchRest that after all
-	// of them have failed: hundreds of watchers must not keep a directory busy that has no
-	// leader, and a change that it then takes is still in force within half a second.
-	watchBackoff = 50 * time.Millisecond
-	watchRest    = 200 * time.Millisecond
+	// watchBackoff is the pause before the next replica is asked, and watchRoundBackoff that after all
+	// replicas have failed, which limits the load on a directory without a leader.
+	watchBackoff      = 50 * time.Millisecond
+	watchRoundBackoff = 200 * time.Millisecond
 )
 
-// alarm is a timer that can be put off. A time.Timer is one.
-type alarm interface {
+// resettableTimer is the part of time.Timer that a Watcher uses.
+type resettableTimer interface {
 	Stop() bool
 	Reset(wait time.Duration) bool
 }
@@ -38,40 +37,40 @@
 	logger *zerolog.Logger
 	client *http.Client
 	seeds  *Seeds
-	// zone is this process's, and start spreads processes over the replicas of it.
-	zone  string
-	start int
+	// zone is this process's zone, and rotation spreads processes over its replicas.
+	zone     string
+	rotation int
 	// scope returns the part of the backends that this process follows now.
 	scope func() directory.Scope
 	// after calls the function once the time has passed.
-	after func(wait time.Duration, function func()) alarm
+	after func(wait time.Duration, function func()) resettableTimer
 
 	catalog  atomic.Pointer[directory.Catalog]
 	syncedAt atomic.Int64
 	mutex    sync.Mutex
 	changed  chan struct{}
-	// leader is the address of the replica that led last, and unanswered that of the last one
-	// that did not answer a call.
-	leader, unanswered string
-
-	// age tells whether the copy may be acted on, and followed what the lines of its watch prove;
-	// followed belongs to Run.
-	age      copyAge
-	followed watchProof
-	// asked is the question that is under way, or nil. The counters are of those that have ended.
-	asked                      *question
-	questions, questionsInVain atomic.Uint64
-	// outOfTouch is set once it was logged that no replica answers, until one does.
-	outOfTouch atomic.Bool
+	// leader is the address of the last known leader, and unresponsive that of the last replica that did
+	// not answer a call.
+	leader, unresponsive string
+
+	// age tells whether the copy is fresh enough to act on, and proof tracks what the keepalives of the
+	// current watch prove about it; proof is used only by Run.
+	age   copyAge
+	proof watchProof
+	// inFlight is the running query, or nil. The counters count finished queries.
+	inFlight               *question
+	queries, failedQueries atomic.Uint64
+	// isDisconnected is set once it was logged that no replica answers, until one does.
+	isDisconnected atomic.Bool
 }
 
-// NewWatcher returns a watcher that asks the seeds first, and later the members
-// that it has learnt of, those of its own zone first.
-func NewWatcher(seeds *Seeds, zone string, start int, logger *zerolog.Logger) *Watcher {
+// NewWatcher returns a watcher that asks the seeds first, and then the members that it learns of, those
+// of its own zone first.
+func NewWatcher(seeds *Seeds, zone string, rotation int, logger *zerolog.Logger) *Watcher {
 	w := &Watcher{
-		logger: logger, client: replica.NewInternalClient(), seeds: seeds, zone: zone, start: start, changed: make(chan struct{}),
+		logger: logger, client: replica.NewInternalClient(), seeds: seeds, zone: zone, rotation: rotation, changed: make(chan struct{}),
 		scope: func() directory.Scope { return directory.ScopeAll },
-		after: func(wait time.Duration, function func()) alarm { return time.AfterFunc(wait, function) },
+		after: func(wait time.Duration, function func()) resettableTimer { return time.AfterFunc(wait, function) },
 	}
 	w.catalog.Store(directory.NewCatalog())
 	return w
@@ -90,83 +89,80 @@
 // Run follows the directory until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	failures := 0
-	awayFrom := clock.Now()
+	awaySince := clock.Now()
 	for position := 0; ctx.Err() == nil; {
 		addresses := w.addresses()
 		address := addresses[position%len(addresses)]
-		err := w.poll(ctx, address, firstLinePatience(failures/len(addresses)))
+		err := w.poll(ctx, address, firstByteTimeout(failures/len(addresses)))
 		if err == nil {
 			if failures >= len(addresses) {
 				event.DirectoryReachable.On(w.logger).Str("replica", address).Uint("revision", w.Catalog().Revision).Send()
 			}
 			failures = 0
-			if position != 0 && clock.Since(awayFrom) > watchHomeward {
-				position, awayFrom = 0, clock.Now()
+			if position != 0 && clock.Since(awaySince) > preferredReplicaRetryInterval {
+				position, awaySince = 0, clock.Now()
 			}
 			continue
 		}
-		w.followed.end()
+		w.proof.end()
 		position++
 		failures++
-		awayFrom = clock.Now()
-		w.noteFailure(ctx, failures, len(addresses), err)
+		awaySince = clock.Now()
+		w.backOff(ctx, failures, len(addresses), err)
 	}
 }
 
-// watchHomeward is how long a watcher stays with a replica that is not its first choice, before it
-// tries that again: one of its own zone costs no bytes between zones, and the load of a replica
-// that was away comes back to it.
-const watchHomeward = 15 * time.Second
+// preferredReplicaRetryInterval is how long a watcher stays with another replica before it tries its
+// preferred one again, which avoids traffic between zones and evens out the load.
+const preferredReplicaRetryInterval = 15 * time.Second
 
-// noteFailure pauses before the next replica is asked. When all have failed,
-// the settings may name others by now.
-func (w *Watcher) noteFailure(ctx context.Context, failures, addresses int, err error) {
+// backOff pauses before the next replica is asked. After all have failed it reloads the seeds.
+func (w *Watcher) backOff(ctx context.Context, failures, addresses int, err error) {
 	if failures == addresses && ctx.Err() == nil {
 		event.DirectoryUnreachable.On(w.logger).Uint("revision", w.Catalog().Revision).Err(err).Send()
 	}
-	pause := watchBackoff
+	backoff := watchBackoff
 	if failures%addresses == 0 {
 		w.seeds.Refresh()
-		pause = watchRest
+		backoff = watchRoundBackoff
 	}
-	w.sleep(ctx, pause)
+	w.sleep(ctx, backoff)
 }
 
-// firstLinePatience returns how long a replica's first line may take after so many rounds in
-// vain.
-func firstLinePatience(rounds int) time.Duration {
-	patience := watchFirstLine
+// firstByteTimeout returns how long a replica's first byte may take after that many failed rounds.
+func firstByteTimeout(rounds int) time.Duration {
+	timeout := minFirstByteTimeout
 	for range rounds {
-		patience = min(2*patience, watchPatience)
+		timeout = min(2*timeout, maxFirstByteTimeout)
 	}
-	return patience
+	return timeout
 }
 
-// sleep waits for the time, or until the context ends.
-func (w *Watcher) sleep(ctx context.Context, pause time.Duration) {
-	over := make(chan struct{})
-	timer := w.after(pause, func() { close(over) })
+// sleep waits for the duration, or until the context ends.
+func (w *Watcher) sleep(ctx context.Context, duration time.Duration) {
+	elapsed := make(chan struct{})
+	timer := w.after(duration, func() { close(elapsed) })
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-over:
+	case <-elapsed:
 	}
 }
 
-// addresses returns the replicas known, the members of the own zone first, then the other members
-// and the seeds. Each process begins at another place of each part.
+// addresses returns the known replicas: the members of this zone, the other members and the seeds. Each
+// part is rotated.
 func (w *Watcher) addresses() []string {
 	catalog := w.Catalog()
-	var near, far []string
+	var sameZone, otherZones []string
 	for _, member := range catalog.Replicas {
 		if catalog.Zones[member.Address].Zone == w.zone {
-			near = append(near, member.Address)
+			sameZone = append(sameZone, member.Address)
 		} else {
-			far = append(far, member.Address)
+			otherZones = append(otherZones, member.Address)
 		}
 	}
-	addresses := append(rotated(near, w.start), rotated(far, w.start)...)
-	for _, seed := range rotated(w.seeds.Addresses(), w.start) {
+	addresses := append(rotated(sameZone, w.rotation), rotated(otherZones, w.rotation)...)
+	for _, seed := range rotated(w.seeds.Addresses(), w.rotation) {
 		if !slices.Contains(addresses, seed) {
 			addresses = append(addresses, seed)
 		}
@@ -174,45 +170,44 @@
 	return addresses
 }
 
-// rotated returns the list as it is from a place on, and then its beginning.
-func rotated(list []string, start int) []string {
+// rotated returns the list, rotated to begin at the offset.
+func rotated(list []string, offset int) []string {
 	if len(list) == 0 {
 		return nil
 	}
-	place := start % len(list)
-	return append(slices.Clone(list[place:]), list[:place]...)
+	position := offset % len(list)
+	return append(slices.Clone(list[position:]), list[:position]...)
 }
 
-// poll asks one replica for what is newer than the copy. A replica that says nothing for too
-// long is left: it, or the way to it, has gone dark.
-func (w *Watcher) poll(ctx context.Context, address string, patience time.Duration) error {
+// poll asks one replica for changes. It gives up on a replica that sends nothing for too long.
+func (w *Watcher) poll(ctx context.Context, address string, timeout time.Duration) error {
 	limited, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := w.after(patience, func() { cancel(replica.ErrUnavailable.New("%s is silent", address)) })
-	defer silence.Stop()
+	idleTimer := w.after(timeout, func() { cancel(replica.ErrUnavailable.New("%s sent nothing in time", address)) })
+	defer idleTimer.Stop()
 	scope := w.scope()
-	err := w.pollWithin(limited, address, scope, func() {
-		silence.Reset(watchSilence)
+	err := w.pollOnce(limited, address, scope, func() {
+		idleTimer.Reset(watchIdleTimeout)
 		if w.scope() != scope {
-			cancel(errOtherScope)
+			cancel(errScopeChanged)
 		}
 	})
-	if errors.Is(context.Cause(limited), errOtherScope) {
+	if errors.Is(context.Cause(limited), errScopeChanged) {
 		return nil
 	}
 	if err != nil && limited.Err() != nil && ctx.Err() == nil {
-		// Others of the connections that are kept may be as silent.
+		// Other idle connections may be dead too.
 		w.client.CloseIdleConnections()
 		return context.Cause(limited)
 	}
 	return err
 }
 
-// errOtherScope ends a watch of which this process wants another part by now: it asks again.
-var errOtherScope = errors.New("the watcher follows another part")
+// errScopeChanged ends a watch whose scope has changed; the watcher asks again.
+var errScopeChanged = errors.New("the scope of the watcher has changed")
 
-// pollWithin calls the function with whatever comes.
-func (w *Watcher) pollWithin(ctx context.Context, address string, scope directory.Scope, noteHeard func()) error {
+// pollOnce sends one watch request, and calls onData whenever data arrives.
+func (w *Watcher) pollOnce(ctx context.Context, address string, scope directory.Scope, onData func()) error {
 	catalog := w.Catalog()
 	url := fmt.Sprintf("http://%s%s?since=%d&%s=%s&%s=%s&%s=%s", address, directoryWatchPath, catalog.Revision,
 		watchMembersParameter, membersDigest(catalog.Replicas), watchScopeParameter, scope, watchHeldParameter, catalog.Held)
@@ -220,8 +215,8 @@
 	if err != nil {
 		return err
 	}
-	asked := nowMillis()
-	w.followed.begin(asked, address)
+	requestedAt := nowMillis()
+	w.proof.begin(requestedAt, address)
 	response, err := w.client.Do(request)
 	if err != nil {
 		return err
@@ -230,14 +225,14 @@
 	if response.StatusCode != http.StatusOK {
 		return replica.ErrUnavailable.New("%s answered %d", address, response.StatusCode)
 	}
-	noteHeard()
-	w.followed.noteHeard(nowMillis())
+	onData()
+	w.proof.noteHeard(nowMillis())
 	body, err := readWatch(response.Body, func() {
-		noteHeard()
+		onData()
 		w.syncedAt.Store(nowMillis())
-	}, w.noteLine)
+	}, w.recordKeepalive)
 	if errors.Is(err, io.EOF) {
-		return replica.ErrUnavailable.New("%s holds no watch", address)
+		return replica.ErrUnavailable.New("%s rejected the watch", address)
 	}
 	if err != nil {
 		return err
@@ -246,33 +241,33 @@
 	if err := decodeInternal(body, &delta); err != nil {
 		return err
 	}
-	if w.take(catalog, delta) {
-		w.noteAnswer(catalog, asked, saysProved(response))
+	if w.apply(catalog, delta) {
+		w.recordProof(catalog, requestedAt, isMarkedFresh(response))
 	}
 	return nil
 }
 
-// noteAnswer notes what the answer to a watch proves that was asked for then.
-func (w *Watcher) noteAnswer(before *directory.Catalog, asked int64, proved bool) {
+// recordProof records what the answer to a watch proves about the age of the copy.
+func (w *Watcher) recordProof(before *directory.Catalog, requestedAt int64, isFresh bool) {
 	switch {
 	case before.Revision == 0:
-		// A process that knows nothing is told all that was acknowledged when it asked.
-		w.age.noteProven(asked)
-	case proved:
-		w.age.noteProven(asked - lineProof.Milliseconds())
+		// The first answer holds everything that was acknowledged before the request.
+		w.age.noteProven(requestedAt)
+	case isFresh:
+		w.age.noteProven(requestedAt - lineProof.Milliseconds())
 	}
 }
 
-// noteLine takes in a line of the watch.
-func (w *Watcher) noteLine() {
-	if at, proves := w.followed.noteLine(nowMillis()); proves {
-		w.age.noteProven(at)
+// recordKeepalive records a keepalive of the watch.
+func (w *Watcher) recordKeepalive() {
+	if provenAt, proves := w.proof.noteLine(nowMillis()); proves {
+		w.age.noteProven(provenAt)
 	}
 }
 
-// take makes the delta from a copy the newest copy. It tells whether that was the newest until
-// then: another answer may have come meanwhile, and the directory is asked again.
-func (w *Watcher) take(catalog *directory.Catalog, delta directory.Delta) bool {
+// apply applies a delta to the copy that it is based on. It returns false if the watcher has another copy
+// by now.
+func (w *Watcher) apply(catalog *directory.Catalog, delta directory.Delta) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.syncedAt.Store(nowMillis())
@@ -296,27 +291,26 @@
 	return true
 }
 
-// callTimeout bounds the call of one replica.
+// callTimeout bounds the call to one replica.
 const callTimeout = time.Second
 
-// call has the directory's leader carry out the call, trying each replica: one that does not lead
-// passes it on. An attempt takes at most half of the time that is left, so that a replica that
-// has gone dark leaves some for the next.
+// call executes the call on the directory's leader, through any replica. An attempt takes at most half of
+// the remaining time, so that an unresponsive replica leaves some for the next.
 func (w *Watcher) call(ctx context.Context, call directoryCall) (directoryAnswer, error) {
 	var answer directoryAnswer
 	err := error(replica.ErrUnavailable.New("no replica of the directory is known"))
 	for _, address := range w.callAddresses() {
 		answer, err = w.callWithin(ctx, attemptTimeout(ctx), address, call)
 		if err == nil {
-			w.noteAnswered(answer.Leader)
+			w.recordResponse(answer.Leader)
 			return answer, nil
 		}
-		w.noteUnanswered(address)
+		w.recordNoResponse(address)
 	}
 	return answer, err
 }
 
-// attemptTimeout returns how long one replica is waited for.
+// attemptTimeout returns the timeout of a call to one replica.
 func attemptTimeout(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -331,14 +325,14 @@
 	return callDirectory(limited, w.client, address, call)
 }
 
-// callAddresses returns the replicas in the order in which they are called: the last leader first,
-// and last the one that has failed most recently.
+// callAddresses returns the replicas in the order in which they are called: the last known leader first,
+// and the last unresponsive one last.
 func (w *Watcher) callAddresses() []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	addresses := w.addresses()
-	if position := slices.Index(addresses, w.unanswered); position >= 0 {
-		addresses = append(slices.Delete(addresses, position, position+1), w.unanswered)
+	if position := slices.Index(addresses, w.unresponsive); position >= 0 {
+		addresses = append(slices.Delete(addresses, position, position+1), w.unresponsive)
 	}
 	if position := slices.Index(addresses, w.leader); position > 0 {
 		addresses[0], addresses[position] = addresses[position], addresses[0]
@@ -346,19 +340,19 @@
 	return addresses
 }
 
-func (w *Watcher) noteAnswered(leader string) {
+func (w *Watcher) recordResponse(leader string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.leader = leader
-	if w.unanswered == leader {
-		w.unanswered = ""
+	if w.unresponsive == leader {
+		w.unresponsive = ""
 	}
 }
 
-func (w *Watcher) noteUnanswered(address string) {
+func (w *Watcher) recordNoResponse(address string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.unanswered = address
+	w.unresponsive = address
 	if w.leader == address {
 		w.leader = ""
 	}
--- a/server/watch_call_test.go
+++ b/server/watch_call_test.go
@@ -14,27 +14,26 @@
 	"github.com/dillchute/dillchute/config"
 )
 
-// TestCallsGetPastAReplicaThatStandsStill: the first replica of the list takes connections and
-// answers nothing, as a machine that stands still does. Callers that give a call no longer than one
-// replica may take come through to the next replica all the same, if not at once then with the next
-// calls.
-func TestCallsGetPastAReplicaThatStandsStill(t *testing.T) {
-	still, err := net.Listen("tcp", "127.0.0.1:0")
+// TestCallsSkipUnresponsiveReplica checks that calls with a timeout no longer than that of one attempt
+// reach the next replica, at the latest in later calls, if the first one accepts connections and never
+// answers.
+func TestCallsSkipUnresponsiveReplica(t *testing.T) {
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { still.Close() })
+	t.Cleanup(func() { unresponsive.Close() })
 	live := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
 		writeCBOR(response, directoryAnswer{Leader: "live"})
 	}))
 	t.Cleanup(live.Close)
 	logger := zerolog.Nop()
-	settings := config.Process{Peers: []string{still.Addr().String(), live.Listener.Addr().String()}}
+	settings := config.Process{Peers: []string{unresponsive.Addr().String(), live.Listener.Addr().String()}}
 	settings.PeerPort = 0
 	seeds := NewSeeds(settings, func() (config.Process, error) { return settings, nil }, &logger)
 	watcher := NewWatcher(seeds, "z", 0, &logger)
 	require.Equal(t, settings.Peers, watcher.addresses())
-	const patience = 300 * time.Millisecond
+	const timeout = 300 * time.Millisecond
 	for range 2 * len(settings.Peers) {
-		limited, cancel := context.WithTimeout(context.Background(), patience)
+		limited, cancel := context.WithTimeout(context.Background(), timeout)
 		_, err = watcher.call(limited, directoryCall{Newest: true})
 		cancel()
 		if err == nil {
--- a/server/watch_lines.go
+++ b/server/watch_lines.go
@@ -14,105 +14,103 @@
 )
 
 const (
-	// watchMembersParameter is set by watchers that want lines, to the digest of the replicas
-	// that they know.
+	// watchMembersParameter is the digest of the members that the watcher knows. Only watchers that
+	// accept keepalives set it.
 	watchMembersParameter = "members"
-	// watchScopeParameter and watchHeldParameter are those of directory.Watch.
+	// watchScopeParameter and watchHeldParameter are the fields of directory.Watch.
 	watchScopeParameter = "scope"
 	watchHeldParameter  = "held"
-	// watchLine says that a watch is held. No answer begins with it: that is a map or packed.
-	watchLine byte = 0
-	// watchLineInterval is the time between two lines, and watchSilence how long a watcher that
-	// has had a line waits for the next one before it leaves the replica: two lines and some
-	// slack for processes that are short of processor time.
-	watchLineInterval = 300 * time.Millisecond
-	watchSilence      = 700 * time.Millisecond
-	// watchFirstLine is how long the first line may take, with a new connection. A watcher whose
-	// replica goes dark, and the next one, too, has left both within 1.1 s. It grows with each
-	// round of all replicas in vain, up to watchPatience, so that slow ones are reached, too.
-	watchFirstLine = 300 * time.Millisecond
-	watchPatience  = 2500 * time.Millisecond
-	// watchHold is how long a watch with lines is held while nothing changes. A longer one saves
-	// bytes between zones; the lines carry the news that nothing is new.
-	watchHold = 10 * time.Second
+	// watchKeepalive is sent while a watch is open. No answer begins with this byte.
+	watchKeepalive byte = 0
+	// keepaliveInterval is the time between two keepalives, and watchIdleTimeout how long a watcher waits
+	// for the next one: two keepalives, and some slack for busy machines.
+	keepaliveInterval = 300 * time.Millisecond
+	watchIdleTimeout  = 700 * time.Millisecond
+	// minFirstByteTimeout bounds the wait for the first keepalive, with a new connection. The timeout
+	// doubles with each failed round of all replicas, up to maxFirstByteTimeout, so that slow replicas
+	// are reached too.
+	minFirstByteTimeout = 300 * time.Millisecond
+	maxFirstByteTimeout = 2500 * time.Millisecond
+	// keepaliveWatchTimeout bounds a watch with keepalives. A long one saves traffic between zones.
+	keepaliveWatchTimeout = 10 * time.Second
 )
 
-// watchAnswer is the answer to a watch. A watcher that asks for it gets a line at once and again
-// and again while the watch is held, so that it notices soon when its replica goes dark.
+// watchAnswer is the answer to a watch. Watchers that accept keepalives get one at once and then
+// regularly, so that they soon notice a replica that has failed.
 type watchAnswer struct {
 	response http.ResponseWriter
-	// members is the digest of the replicas that the watcher knows, or "" if it wants no lines.
+	// members is the digest of the members that the watcher knows, or "" if it accepts no keepalives.
 	members string
-	// begun is set once a line was sent, after which the status is given.
-	begun bool
-	// isProved tells whether the replica is known to hold everything; nil where it never is.
-	isProved func() bool
+	// started is set once a keepalive was sent, after which the status cannot change.
+	started bool
+	// isFresh reports whether the replica is known to hold everything acknowledged; nil means no.
+	isFresh func() bool
 }
 
-// watchProvedField is set in the head of an answer, or after it, by a replica that is known to have
-// held everything a short time before.
-const watchProvedField = "Directory-Proved"
+// watchFreshHeader is a header or trailer in answers of a replica that was known to hold everything
+// acknowledged a short time before.
+const watchFreshHeader = "Directory-Proved"
 
-// hold says that the watch is held. It returns false if the watcher cannot be told.
-func (a *watchAnswer) hold() bool {
+// sendKeepalive sends a keepalive if the watcher accepts them. It returns false if that fails.
+func (a *watchAnswer) sendKeepalive() bool {
 	if a.members == "" {
 		return true
 	}
-	a.begun = true
-	if _, err := a.response.Write([]byte{watchLine}); err != nil {
+	a.started = true
+	if _, err := a.response.Write([]byte{watchKeepalive}); err != nil {
 		return false
 	}
 	return http.NewResponseController(a.response).Flush() == nil
 }
 
-// refuse sends the watcher to another replica. After a line an answer without content says so.
-func (a *watchAnswer) refuse(reason string) {
-	if !a.begun {
+// reject sends the watcher to another replica. After a keepalive, an empty answer does so.
+func (a *watchAnswer) reject(reason string) {
+	if !a.started {
 		http.Error(a.response, reason, http.StatusServiceUnavailable)
 	}
 }
 
-// give answers with what has changed.
-func (a *watchAnswer) give(delta directory.Delta) { a.giveEncoded(encodeInternal(delta)) }
+// send answers with a delta.
+func (a *watchAnswer) send(delta directory.Delta) { a.sendEncoded(encodeInternal(delta)) }
 
-// giveEncoded answers with an encoded delta. A watcher that is gone asks again.
-func (a *watchAnswer) giveEncoded(body []byte) {
-	if !a.begun {
+// sendEncoded answers with an encoded delta. If that fails, the watcher asks again.
+func (a *watchAnswer) sendEncoded(body []byte) {
+	if !a.started {
 		a.response.Header().Set("Content-Type", "application/cbor")
 		a.response.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	a.sayProved()
+	a.markFresh()
 	_, _ = a.response.Write(body)
 }
 
-// sayProved tells the watcher if the replica is known to hold everything.
-func (a *watchAnswer) sayProved() {
-	if a.isProved == nil || !a.isProved() {
+// markFresh sets watchFreshHeader if the replica is known to hold everything acknowledged.
+func (a *watchAnswer) markFresh() {
+	if a.isFresh == nil || !a.isFresh() {
 		return
 	}
-	field := watchProvedField
-	if a.begun {
-		field = http.TrailerPrefix + field
+	header := watchFreshHeader
+	if a.started {
+		header = http.TrailerPrefix + header
 	}
-	a.response.Header().Set(field, "1")
+	a.response.Header().Set(header, "1")
 }
 
-// saysProved tells whether an answer that was read to its end says so.
-func saysProved(answer *http.Response) bool {
-	return answer.Header.Get(watchProvedField) != "" || answer.Trailer.Get(watchProvedField) != ""
+// isMarkedFresh reports whether an answer that was read to its end has watchFreshHeader.
+func isMarkedFresh(answer *http.Response) bool {
+	return answer.Header.Get(watchFreshHeader) != "" || answer.Trailer.Get(watchFreshHeader) != ""
 }
 
-// readWatch returns the content of an answer to a watch, without the lines before it. It calls
-// the functions whenever something has come, and for each line.
-func readWatch(answer io.Reader, noteHeard, noteLine func()) ([]byte, error) {
-	buffered := bufio.NewReader(heardReader{reader: io.LimitReader(answer, maxInternalBytes), noteHeard: noteHeard})
+// readWatch returns the content of an answer to a watch, without keepalives. It calls onData whenever
+// data arrives, and onKeepalive for each keepalive.
+func readWatch(answer io.Reader, onData, onKeepalive func()) ([]byte, error) {
+	buffered := bufio.NewReader(notifyingReader{reader: io.LimitReader(answer, maxInternalBytes), onData: onData})
 	for {
 		first, err := buffered.ReadByte()
 		if err != nil {
 			return nil, err
 		}
-		if first == watchLine {
-			noteLine()
+		if first == watchKeepalive {
+			onKeepalive()
 			continue
 		}
 		if err := buffered.UnreadByte(); err != nil {
@@ -122,22 +120,22 @@
 	}
 }
 
-// heardReader calls a function whenever something was read.
-type heardReader struct {
-	reader    io.Reader
-	noteHeard func()
+// notifyingReader calls onData whenever data was read.
+type notifyingReader struct {
+	reader io.Reader
+	onData func()
 }
 
-func (r heardReader) Read(into []byte) (int, error) {
-	count, err := r.reader.Read(into)
+func (r notifyingReader) Read(buffer []byte) (int, error) {
+	count, err := r.reader.Read(buffer)
 	if count > 0 {
-		r.noteHeard()
+		r.onData()
 	}
 	return count, err
 }
 
-// membersDigest returns a short name of members, by which a replica tells whether a watcher knows
-// the newest ones.
+// membersDigest returns a digest of members, by which a replica checks whether a watcher knows the
+// current ones.
 func membersDigest(members []consensus.Member) string {
 	hash := fnv.New64a()
 	for _, member := range members {
--- a/server/watch_test.go
+++ b/server/watch_test.go
@@ -20,7 +20,7 @@
 	"github.com/dillchute/dillchute/directory"
 )
 
-// newTestWatcher returns a watcher whose settings name the seeds.
+// newTestWatcher returns a watcher with the seeds.
 func newTestWatcher(t *testing.T, seeds ...string) *Watcher {
 	logger := zerolog.Nop()
 	process := config.DefaultGateway().Process
@@ -37,17 +37,17 @@
 	return members
 }
 
-// TestMembersAreReplacedOneByOne: a watcher learns of members that have taken the places of
-// others, also where their number and the revision stay the same.
-func TestMembersAreReplacedOneByOne(t *testing.T) {
+// TestWatcherLearnsReplacedMembers checks that a watcher learns of replaced members although their number
+// and the revision are the same.
+func TestWatcherLearnsReplacedMembers(t *testing.T) {
 	w := newTestWatcher(t, "10.0.0.9:70")
-	w.take(w.Catalog(), directory.Delta{Revision: 5, Full: true, Version: 2, Replicas: membersAt("10.0.0.1:70", "10.0.0.2:70")})
-	w.take(w.Catalog(), directory.Delta{Revision: 5, Replicas: membersAt("10.0.0.1:70", "10.0.0.3:70")})
+	w.apply(w.Catalog(), directory.Delta{Revision: 5, Full: true, Version: 2, Replicas: membersAt("10.0.0.1:70", "10.0.0.2:70")})
+	w.apply(w.Catalog(), directory.Delta{Revision: 5, Replicas: membersAt("10.0.0.1:70", "10.0.0.3:70")})
 	require.Equal(t, []string{"10.0.0.1:70", "10.0.0.3:70", "10.0.0.9:70"}, w.addresses())
-	require.Equal(t, uint64(2), w.Catalog().Version, "the configuration stays")
+	require.Equal(t, uint64(2), w.Catalog().Version, "the configuration is kept")
 
 	before := w.Changed()
-	w.take(w.Catalog(), directory.Delta{Revision: 5, Replicas: membersAt("10.0.0.1:70", "10.0.0.3:70")})
+	w.apply(w.Catalog(), directory.Delta{Revision: 5, Replicas: membersAt("10.0.0.1:70", "10.0.0.3:70")})
 	select {
 	case <-before:
 		t.Fatal("nothing has changed")
@@ -55,94 +55,94 @@
 	}
 }
 
-// manualTimers are alarms that go off when the test says so.
-type manualTimers struct {
+// manualClock has timers that expire when the test says so.
+type manualClock struct {
 	mutex  sync.Mutex
 	armed  *sync.Cond
 	now    time.Duration
-	alarms []*manualAlarm
+	timers []*manualTimer
 }
 
-type manualAlarm struct {
-	timers   *manualTimers
+type manualTimer struct {
+	clock    *manualClock
 	due      time.Duration
 	function func()
 }
 
-func newManualTimers() *manualTimers {
-	m := &manualTimers{}
-	m.armed = sync.NewCond(&m.mutex)
-	return m
+func newManualClock() *manualClock {
+	c := &manualClock{}
+	c.armed = sync.NewCond(&c.mutex)
+	return c
 }
 
-func (m *manualTimers) after(wait time.Duration, function func()) alarm {
-	one := &manualAlarm{timers: m, function: function}
-	one.Reset(wait)
-	return one
+func (c *manualClock) after(wait time.Duration, function func()) resettableTimer {
+	timer := &manualTimer{clock: c, function: function}
+	timer.Reset(wait)
+	return timer
 }
 
-// Stop disarms the alarm.
-func (a *manualAlarm) Stop() bool {
-	a.timers.mutex.Lock()
-	defer a.timers.mutex.Unlock()
-	return a.disarm()
+// Stop stops the timer.
+func (t *manualTimer) Stop() bool {
+	t.clock.mutex.Lock()
+	defer t.clock.mutex.Unlock()
+	return t.disarm()
 }
 
-func (a *manualAlarm) disarm() bool {
-	before := len(a.timers.alarms)
-	a.timers.alarms = slices.DeleteFunc(a.timers.alarms, func(one *manualAlarm) bool { return one == a })
-	return len(a.timers.alarms) < before
+func (t *manualTimer) disarm() bool {
+	before := len(t.clock.timers)
+	t.clock.timers = slices.DeleteFunc(t.clock.timers, func(timer *manualTimer) bool { return timer == t })
+	return len(t.clock.timers) < before
 }
 
-// Reset arms the alarm anew.
-func (a *manualAlarm) Reset(wait time.Duration) bool {
-	a.timers.mutex.Lock()
-	defer a.timers.mutex.Unlock()
-	armed := a.disarm()
-	a.due = a.timers.now + wait
-	a.timers.alarms = append(a.timers.alarms, a)
-	a.timers.armed.Broadcast()
+// Reset starts the timer again.
+func (t *manualTimer) Reset(wait time.Duration) bool {
+	t.clock.mutex.Lock()
+	defer t.clock.mutex.Unlock()
+	armed := t.disarm()
+	t.due = t.clock.now + wait
+	t.clock.timers = append(t.clock.timers, t)
+	t.clock.armed.Broadcast()
 	return armed
 }
 
-// pass waits until an alarm is armed for exactly the time from now, and lets that time pass.
-func (m *manualTimers) pass(wait time.Duration) {
-	m.mutex.Lock()
-	var next *manualAlarm
+// fire waits until a timer is set for exactly the time from now, and advances the clock to expire it.
+func (c *manualClock) fire(wait time.Duration) {
+	c.mutex.Lock()
+	var next *manualTimer
 	for next == nil {
-		for _, one := range m.alarms {
-			if one.due == m.now+wait {
-				next = one
+		for _, timer := range c.timers {
+			if timer.due == c.now+wait {
+				next = timer
 			}
 		}
 		if next == nil {
-			m.armed.Wait()
+			c.armed.Wait()
 		}
 	}
 	next.disarm()
-	m.now = next.due
-	m.mutex.Unlock()
+	c.now = next.due
+	c.mutex.Unlock()
 	next.function()
 }
 
-// awaitAlarm waits until an alarm is armed for exactly the time from now.
-func (m *manualTimers) awaitAlarm(wait time.Duration) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	for !slices.ContainsFunc(m.alarms, func(one *manualAlarm) bool { return one.due == m.now+wait }) {
-		m.armed.Wait()
+// awaitTimer waits until a timer is set for exactly the time from now.
+func (c *manualClock) awaitTimer(wait time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for !slices.ContainsFunc(c.timers, func(timer *manualTimer) bool { return timer.due == c.now+wait }) {
+		c.armed.Wait()
 	}
 }
 
-// advance lets time pass in which no alarm goes off.
-func (m *manualTimers) advance(wait time.Duration) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.now += wait
+// advance advances the clock without expiring a timer.
+func (c *manualClock) advance(wait time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.now += wait
 }
 
-// darkReplica accepts connections and never answers. The channel tells of each connection.
-func darkReplica(t *testing.T) (string, <-chan struct{}) {
+// startUnresponsiveReplica accepts connections and never answers. The channel reports each connection.
+func startUnresponsiveReplica(t *testing.T) (string, <-chan struct{}) {
 	listener := listenLoopback(t)
 	accepted := make(chan struct{}, 100)
 	var connections []net.Conn
@@ -168,8 +168,8 @@
 	return listener.Addr().String(), accepted
 }
 
-// servedReplica answers watches by the function.
-func servedReplica(t *testing.T, serve func(answer *watchAnswer, request *http.Request)) string {
+// startWatchServer answers watches with the function.
+func startWatchServer(t *testing.T, serve func(answer *watchAnswer, request *http.Request)) string {
 	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		serve(&watchAnswer{response: response, members: request.URL.Query().Get(watchMembersParameter)}, request)
 	}))
@@ -190,121 +190,119 @@
 	})
 }
 
-// TestTwoReplicasGoDark: a watcher whose replica falls silent under a watch, and for which the
-// next one is dark, too, has the newest configuration within 1.2 s, about half of the least time
-// that users allow.
-func TestTwoReplicasGoDark(t *testing.T) {
-	held, over := make(chan struct{}, 1), make(chan struct{})
-	defer close(over)
-	silent := servedReplica(t, func(answer *watchAnswer, _ *http.Request) {
-		answer.hold()
-		held <- struct{}{}
-		<-over
+// TestWatcherSkipsTwoUnresponsiveReplicas checks that a watcher gets the newest configuration within
+// 1200 ms if its replica falls silent during a watch and the next one never answers.
+func TestWatcherSkipsTwoUnresponsiveReplicas(t *testing.T) {
+	watching, done := make(chan struct{}, 1), make(chan struct{})
+	defer close(done)
+	silent := startWatchServer(t, func(answer *watchAnswer, _ *http.Request) {
+		answer.sendKeepalive()
+		watching <- struct{}{}
+		<-done
 	})
-	dark, reached := darkReplica(t)
-	live := servedReplica(t, func(answer *watchAnswer, request *http.Request) {
+	unresponsive, reached := startUnresponsiveReplica(t)
+	live := startWatchServer(t, func(answer *watchAnswer, request *http.Request) {
 		if request.URL.Query().Get("since") == "0" {
-			answer.give(directory.Delta{Revision: 7, Full: true, Version: 3})
+			answer.send(directory.Delta{Revision: 7, Full: true, Version: 3})
 			return
 		}
-		<-over
+		<-done
 	})
-	w := newTestWatcher(t, silent, dark, live)
-	timers := newManualTimers()
-	w.after = timers.after
+	w := newTestWatcher(t, silent, unresponsive, live)
+	clock := newManualClock()
+	w.after = clock.after
 	changed := w.Changed()
 	runWatcher(t, w)
-	<-held
-	timers.pass(watchSilence)
-	timers.pass(watchBackoff)
+	<-watching
+	clock.fire(watchIdleTimeout)
+	clock.fire(watchBackoff)
 	<-reached
-	timers.pass(watchFirstLine)
-	timers.pass(watchBackoff)
+	clock.fire(minFirstByteTimeout)
+	clock.fire(watchBackoff)
 	<-changed
 	require.Equal(t, uint64(3), w.Catalog().Version)
-	require.LessOrEqual(t, timers.now, 1200*time.Millisecond)
-	require.Empty(t, reached, "it was asked once")
+	require.LessOrEqual(t, clock.now, 1200*time.Millisecond)
+	require.Empty(t, reached, "the unresponsive replica is asked once")
 }
 
-// TestLinesKeepAWatch: a watch goes on as long as lines come.
-func TestLinesKeepAWatch(t *testing.T) {
-	var asked atomic.Int64
-	lines, over := make(chan struct{}), make(chan struct{})
-	defer close(over)
-	address := servedReplica(t, func(answer *watchAnswer, request *http.Request) {
-		asked.Add(1)
-		for range lines {
-			answer.hold()
+// TestKeepalivesExtendWatch checks that a watch stays open as long as keepalives arrive.
+func TestKeepalivesExtendWatch(t *testing.T) {
+	var requests atomic.Int64
+	keepalives, done := make(chan struct{}), make(chan struct{})
+	defer close(done)
+	address := startWatchServer(t, func(answer *watchAnswer, request *http.Request) {
+		requests.Add(1)
+		for range keepalives {
+			answer.sendKeepalive()
 		}
 		if request.URL.Query().Get("since") == "0" {
-			answer.give(directory.Delta{Revision: 7, Full: true, Version: 3})
+			answer.send(directory.Delta{Revision: 7, Full: true, Version: 3})
 			return
 		}
-		<-over
+		<-done
 	})
 	w := newTestWatcher(t, address)
-	timers := newManualTimers()
-	w.after = timers.after
+	clock := newManualClock()
+	w.after = clock.after
 	changed := w.Changed()
 	runWatcher(t, w)
 	for range 10 {
-		lines <- struct{}{}
-		timers.awaitAlarm(watchSilence)
-		timers.advance(watchSilence - 1)
+		keepalives <- struct{}{}
+		clock.awaitTimer(watchIdleTimeout)
+		clock.advance(watchIdleTimeout - 1)
 	}
-	require.Equal(t, int64(1), asked.Load())
-	close(lines)
+	require.Equal(t, int64(1), requests.Load())
+	close(keepalives)
 	<-changed
 	require.Equal(t, uint64(3), w.Catalog().Version)
 }
 
-// TestWatcherRests: a watcher that no replica serves pauses longer after each round, and gives
+// TestWatcherBacksOff checks that a watcher pauses longer after each round without an answer, and gives
 // slow replicas more time.
-func TestWatcherRests(t *testing.T) {
-	first, reachedFirst := darkReplica(t)
-	second, reachedSecond := darkReplica(t)
+func TestWatcherBacksOff(t *testing.T) {
+	first, reachedFirst := startUnresponsiveReplica(t)
+	second, reachedSecond := startUnresponsiveReplica(t)
 	w := newTestWatcher(t, first, second)
-	timers := newManualTimers()
-	w.after = timers.after
+	clock := newManualClock()
+	w.after = clock.after
 	runWatcher(t, w)
-	patience := watchFirstLine
+	timeout := minFirstByteTimeout
 	for range 5 {
 		<-reachedFirst
-		timers.pass(patience)
-		timers.pass(watchBackoff)
+		clock.fire(timeout)
+		clock.fire(watchBackoff)
 		<-reachedSecond
-		timers.pass(patience)
-		timers.pass(watchRest)
-		patience = min(2*patience, watchPatience)
+		clock.fire(timeout)
+		clock.fire(watchRoundBackoff)
+		timeout = min(2*timeout, maxFirstByteTimeout)
 	}
 }
 
-// TestCallByAReplicaThatDoesNotLead: a process that knows only a replica that does not lead
-// reaches the leader, and goes to it directly from then on.
-func TestCallByAReplicaThatDoesNotLead(t *testing.T) {
-	address, leader, revision := followedReplica(t)
+// TestCallThroughFollower checks that a process that knows only a follower reaches the leader, and calls
+// it directly from then on.
+func TestCallThroughFollower(t *testing.T) {
+	address, leader, revision := startReplicaWithLeader(t)
 	w := newTestWatcher(t, address)
 	answered := func() bool {
 		answer, err := w.call(t.Context(), directoryCall{Newest: true})
 		return err == nil && answer.Revision == revision
 	}
-	require.Eventually(t, answered, watchSoon, watchInterval)
+	require.Eventually(t, answered, eventuallyTimeout, eventuallyInterval)
 	require.Equal(t, leader.address, w.leader)
 }
 
-// TestCallIsPassedOnOnce: a replica that is taken for the leader and does not lead refuses what
-// was passed on to it.
-func TestCallIsPassedOnOnce(t *testing.T) {
-	address, _, _ := followedReplica(t)
+// TestCallIsForwardedOnce checks that a follower rejects a call that was forwarded to it.
+func TestCallIsForwardedOnce(t *testing.T) {
+	address, _, _ := startReplicaWithLeader(t)
 	w := newTestWatcher(t, address)
 	_, err := w.call(t.Context(), directoryCall{Newest: true, Passed: true})
 	require.Error(t, err)
 }
 
-// TestCallLeavesASilentLeader: a call whose replica accepts connections and says nothing has time
-// left for the next one, and the next calls do not begin with it.
-func TestCallLeavesASilentLeader(t *testing.T) {
-	dark, reached := darkReplica(t)
+// TestCallSkipsUnresponsiveLeader checks that a call has time left for the next replica if the first one
+// does not answer, and that later calls begin with another one.
+func TestCallSkipsUnresponsiveLeader(t *testing.T) {
+	unresponsive, reached := startUnresponsiveReplica(t)
 	live := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		var call directoryCall
 		if readCBOR(response, request, &call) {
@@ -313,8 +311,8 @@
 	}))
 	t.Cleanup(live.Close)
 	address := strings.TrimPrefix(live.URL, "http://")
-	w := newTestWatcher(t, dark, address)
-	w.leader = dark
+	w := newTestWatcher(t, unresponsive, address)
+	w.leader = unresponsive
 	for range 3 {
 		limited, cancel := context.WithTimeout(t.Context(), crashTimeout)
 		answer, err := w.call(limited, directoryCall{Newest: true})
@@ -326,35 +324,34 @@
 	require.Equal(t, address, w.leader)
 }
 
-// TestSeedsAreTurnedOver: a watcher whose known replicas are all gone asks those that its settings
-// name by then.
-func TestSeedsAreTurnedOver(t *testing.T) {
-	gone := listenLoopback(t)
-	require.NoError(t, gone.Close())
-	over := make(chan struct{})
-	defer close(over)
-	live := servedReplica(t, func(answer *watchAnswer, request *http.Request) {
+// TestWatcherReloadsSeeds checks that a watcher reloads its seeds if all known replicas have failed.
+func TestWatcherReloadsSeeds(t *testing.T) {
+	stopped := listenLoopback(t)
+	require.NoError(t, stopped.Close())
+	done := make(chan struct{})
+	defer close(done)
+	live := startWatchServer(t, func(answer *watchAnswer, request *http.Request) {
 		if request.URL.Query().Get("since") == "5" {
-			answer.give(directory.Delta{Revision: 7, Version: 3})
+			answer.send(directory.Delta{Revision: 7, Version: 3})
 			return
 		}
-		<-over
+		<-done
 	})
-	w := newTestWatcher(t, gone.Addr().String())
+	w := newTestWatcher(t, stopped.Addr().String())
 	w.seeds.load = func() (config.Process, error) { return config.Process{Peers: []string{live}}, nil }
-	w.take(w.Catalog(), directory.Delta{Revision: 5, Full: true, Version: 2, Replicas: membersAt(gone.Addr().String())})
+	w.apply(w.Catalog(), directory.Delta{Revision: 5, Full: true, Version: 2, Replicas: membersAt(stopped.Addr().String())})
 	changed := w.Changed()
 	runWatcher(t, w)
 	<-changed
 	require.Equal(t, uint64(3), w.Catalog().Version)
 	answer, err := w.call(t.Context(), directoryCall{Newest: true})
-	require.Error(t, err, "%v: it serves watches only", answer)
+	require.Error(t, err, "%v: the server handles only watches", answer)
 	require.Contains(t, w.callAddresses(), live)
 }
 
-// TestWatcherAsksItsOwnZoneFirst: replicas of the own zone come first, spread over the processes,
-// then those of other zones and the seeds, each once.
-func TestWatcherAsksItsOwnZoneFirst(t *testing.T) {
+// TestWatcherPrefersOwnZone checks that the replicas of the own zone come first, spread over the
+// processes, and then those of other zones and the seeds, each once.
+func TestWatcherPrefersOwnZone(t *testing.T) {
 	logger := zerolog.Nop()
 	process := config.DefaultGateway().Process
 	process.Peers = []string{"seed:1", "near:1"}
@@ -366,15 +363,15 @@
 			delta.Zones = append(delta.Zones, directory.ReplicaZone{Address: address, Zone: zone})
 		}
 	}
-	begins := map[string]bool{}
+	firstAddresses := map[string]bool{}
 	for start := range 6 {
 		w := NewWatcher(seeds, "near", start, &logger)
-		w.take(w.Catalog(), delta)
+		w.apply(w.Catalog(), delta)
 		addresses := w.addresses()
 		require.ElementsMatch(t, []string{"near:1", "near:2"}, addresses[:2])
 		require.ElementsMatch(t, []string{"far:1", "far:2", "unknown:1"}, addresses[2:5])
 		require.Equal(t, []string{"seed:1"}, addresses[5:])
-		begins[addresses[0]] = true
+		firstAddresses[addresses[0]] = true
 	}
-	require.Len(t, begins, 2)
+	require.Len(t, firstAddresses, 2)
 }
