--- a/server/executor.go
+++ b/server/executor.go
@@ -91,7 +91,7 @@
 	t.restoreHistory()
 	go t.watchChanges(stop)
 	// An empty call makes the loop flush once the leadership is confirmed.
-	go t.freshness.confirm(leaderContext, opened, func() { t.loop.Submit(func() {}) })
+	go t.freshness.confirmLeadership(leaderContext, opened, func() { t.loop.Submit(func() {}) })
 	t.loop.Run(leaderContext, executorTickInterval, t.tick, t.flush)
 	x.openRunners.Store(0)
 	x.planCounts.Store(nil)
--- a/server/ledger_client_test.go
+++ b/server/ledger_client_test.go
@@ -69,7 +69,7 @@
 	logger := zerolog.Nop()
 	seeds := NewSeeds(config.Process{}, func() (config.Process, error) { return config.Process{}, nil }, &logger)
 	watcher := NewWatcher(seeds, "z", 0, &logger)
-	watcher.take(watcher.Catalog(), machine.DeltaSince(0))
+	watcher.apply(watcher.Catalog(), machine.DeltaSince(0))
 	return newLedgerClient(watcher, "local", &logger), local, remote
 }
 
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -105,7 +105,7 @@
 			stop()
 			return
 		}
-		t.freshness.noteChange(nowMillis())
+		t.freshness.recordChange(nowMillis())
 		t.loop.Submit(t.syncState)
 		select {
 		case <-t.context.Done():
@@ -151,7 +151,7 @@
 
 // syncState applies changes of the directory and the ledger.
 func (t *leadership) syncState() {
-	t.freshness.noteTaken()
+	t.freshness.recordApplied()
 	if catalog := t.watcher.Catalog(); catalog != t.catalog {
 		isFirst := t.catalog == nil
 		t.catalog = catalog
