--- a/server/directory_call.go
+++ b/server/directory_call.go
@@ -207,11 +207,11 @@
 }
 
 // recordZone stores a replica's zone if it has changed.
-func (d *Directory) recordZone(ctx context.Context, at directory.ReplicaZone) error {
-	if at.Address == "" || d.view.Load().Zones[at.Address] == at {
+func (d *Directory) recordZone(ctx context.Context, replicaZone directory.ReplicaZone) error {
+	if replicaZone.Address == "" || d.view.Load().Zones[replicaZone.Address] == replicaZone {
 		return nil
 	}
-	_, err := d.execute(ctx, directory.Command{PutZone: &at})
+	_, err := d.execute(ctx, directory.Command{PutZone: &replicaZone})
 	return err
 }
 
--- a/server/watch_test.go
+++ b/server/watch_test.go
@@ -50,7 +50,7 @@
 	w.apply(w.Catalog(), directory.Delta{Revision: 5, Replicas: membersAt("10.0.0.1:70", "10.0.0.3:70")})
 	select {
 	case <-before:
-		t.Fatal("nothing has changed")
+		t.Fatal("notified although nothing has changed")
 	default:
 	}
 }
@@ -364,8 +364,8 @@
 		}
 	}
 	firstAddresses := map[string]bool{}
-	for start := range 6 {
-		w := NewWatcher(seeds, "near", start, &logger)
+	for rotation := range 6 {
+		w := NewWatcher(seeds, "near", rotation, &logger)
 		w.apply(w.Catalog(), delta)
 		addresses := w.addresses()
 		require.ElementsMatch(t, []string{"near:1", "near:2"}, addresses[:2])
