--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -31,8 +31,8 @@
 
 const benchPool = "pool"
 
-// startControls runs a group of replicas with files of their own.
-func startControls(b *testing.B, count int, platform string) []string {
+// startControlGroup starts a group of control replicas, each with its own data folder.
+func startControlGroup(b *testing.B, count int, platform string) []string {
 	var membership consensus.Membership
 	var listeners []net.Listener
 	var addresses []string
@@ -53,12 +53,12 @@
 		logger := zerolog.Nop()
 		replica, err := NewControl(settings, nil, &logger)
 		require.NoError(b, err)
-		runUntilEnd(b, func(ctx context.Context) { _ = replica.Run(ctx, listener) })
+		runInBackground(b, func(ctx context.Context) { _ = replica.Run(ctx, listener) })
 	}
 	return addresses
 }
 
-func runUntilEnd(b *testing.B, run func(ctx context.Context)) {
+func runInBackground(b *testing.B, run func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -71,7 +71,7 @@
 	})
 }
 
-func declare(b *testing.B, controls *client.Client) {
+func applyBenchPool(b *testing.B, controls *client.Client) {
 	_, err := controls.Apply(context.Background(), &dillchutev1.ApplyRequest{ChangeId: "bench", Pools: []*dillchutev1.PoolSpec{
 		declaration.ToProto(state.PoolSpec{
 			Name: benchPool, Model: "m", EngineGroup: "g", Policy: state.ContinueRunning, LivePriority: 7, MaxQueuedRequests: 1 << 16,
@@ -81,11 +81,10 @@
 	require.NoError(b, err)
 }
 
-// BenchmarkCommits measures durable commits of three replicas over loopback,
-// asked for by many callers at once.
+// BenchmarkCommits measures durable commits by three replicas over loopback with many concurrent callers.
 func BenchmarkCommits(b *testing.B) {
-	addresses := startControls(b, 3, "")
-	declare(b, client.New(addresses))
+	addresses := startControlGroup(b, 3, "")
+	applyBenchPool(b, client.New(addresses))
 	var step atomic.Uint64
 	b.SetParallelism(8)
 	b.ResetTimer()
@@ -118,7 +117,7 @@
 	}
 }
 
-// instantEngine answers every request at once with one token.
+// instantEngine answers every request immediately with one token.
 func instantEngine() http.Handler {
 	var mutex sync.Mutex
 	report := protocol.EngineReport{Engine: "e1", Model: "m"}
@@ -146,8 +145,7 @@
 	return mux
 }
 
-// startNode runs a node with one engine and returns the callers' address and
-// the engine's.
+// startNode starts a node with one engine and returns the addresses for callers and of the engine.
 func startNode(b *testing.B) (callerAddress, engineAddress string) {
 	engine := httptest.NewServer(instantEngine())
 	b.Cleanup(engine.Close)
@@ -156,9 +154,9 @@
 		_ = json.NewEncoder(response).Encode([]platformEngine{{ID: "e1", Zone: "z", Region: "r", Group: "g", Address: engineAddress, Slots: 4096}})
 	}))
 	b.Cleanup(platform.Close)
-	addresses := startControls(b, 1, platform.URL)
+	addresses := startControlGroup(b, 1, platform.URL)
 	controls := client.New(addresses)
-	declare(b, controls)
+	applyBenchPool(b, controls)
 	_, err := controls.PublishWeights(context.Background(), &dillchutev1.PublishWeightsRequest{Model: "m", Version: 1})
 	require.NoError(b, err)
 	internal, err := net.Listen("tcp", "127.0.0.1:0")
@@ -170,8 +168,8 @@
 	settings.Address, settings.CallerAddress = internal.Addr().String(), callers.Addr().String()
 	settings.DrainTimeout = time.Second
 	logger := zerolog.Nop()
-	running := NewNode(settings, &logger)
-	runUntilEnd(b, func(ctx context.Context) { _ = running.Run(ctx, internal, callers) })
+	node := NewNode(settings, &logger)
+	runInBackground(b, func(ctx context.Context) { _ = node.Run(ctx, internal, callers) })
 	return callers.Addr().String(), engineAddress
 }
 
@@ -190,8 +188,8 @@
 	engineBody = `{"attempt":"a","prompt":"p","max_tokens":1}`
 )
 
-// BenchmarkLiveLatency compares a request through a node with the same one
-// sent to the engine, one after the other.
+// BenchmarkLiveLatency compares sequential requests through a node with the same requests sent directly to
+// the engine.
 func BenchmarkLiveLatency(b *testing.B) {
 	callers, engine := startNode(b)
 	require.Eventually(b, func() bool {
@@ -218,8 +216,7 @@
 	}
 }
 
-// BenchmarkLiveRequests measures how many requests a second one node serves
-// with callers and engine on the same machine.
+// BenchmarkLiveRequests measures the throughput of one node with callers and engine on the same machine.
 func BenchmarkLiveRequests(b *testing.B) {
 	callers, _ := startNode(b)
 	url := "http://" + callers + "/v1/completions"
--- a/server/clock.go
+++ b/server/clock.go
@@ -2,7 +2,6 @@
 
 import "github.com/dillchute/dillchute/clock"
 
-// nowMillis returns the time that decisions are made by, in milliseconds since 1970 as it was
-// at the start of the process: a step of the time of day does not move it, and suspensions of
-// the machine count.
+// nowMillis returns the time of package clock in milliseconds since 1970. It counts suspensions of the
+// machine and ignores wall clock steps since the start of the process.
 func nowMillis() int64 { return clock.Now().UnixMilli() }
--- a/server/control.go
+++ b/server/control.go
@@ -1,6 +1,6 @@
-// Package server runs the cores of package control and package node in
-// processes: it gives them time, storage, the transport and their HTTP
-// interfaces.
+// Package server implements the processes of dillchute: gateways, replicas of the directory and the ledger,
+// control replicas and nodes. It connects the packages that hold their logic to clocks, storage, the
+// transport and HTTP.
 package server
 
 import (
@@ -29,13 +29,13 @@
 	heartbeatTicks  = 2
 	maxAppendBytes  = 4 << 20
 	reconcileMillis = 200
-	// platformInterval is the time between reads of the platform's list.
+	// platformInterval is the time between reads of the platform's engine list.
 	platformInterval = time.Second
 	platformTimeout  = 2 * time.Second
 	joinInterval     = time.Second
 	shutdownTimeout  = 5 * time.Second
-	// transferWait is how long a planned stop waits for another leader.
-	transferWait = 2 * time.Second
+	// transferTimeout is how long a graceful shutdown waits for the transfer of leadership.
+	transferTimeout = 2 * time.Second
 )
 
 // Control runs one control replica.
@@ -47,18 +47,18 @@
 	loop      *eventloop.Loop
 	transport *transport.Transport
 	start     time.Time
-	// join lists the members to ask for admission.
+	// join holds the addresses of members to ask for admission to the group.
 	join []string
 
-	nextID  uint64
-	waiting map[uint64]chan control.Reply
-	led     bool
-	// gained is signalled when this replica begins to lead.
-	gained chan struct{}
-	status atomic.Pointer[controlStatus]
+	nextID         uint64
+	pendingReplies map[uint64]chan control.Reply
+	isLeader       bool
+	// leadershipGained is signalled when this replica becomes leader.
+	leadershipGained chan struct{}
+	status           atomic.Pointer[controlStatus]
 }
 
-// controlStatus is what metrics and health checks read without the loop.
+// controlStatus is the status that metrics and health checks read outside the event loop.
 type controlStatus struct {
 	leading, ready      bool
 	term, commit        uint64
@@ -69,8 +69,8 @@
 	counters            map[string]state.Counters
 }
 
-// NewControl opens the replica's data folder. With join it asks those members
-// to be taken in as a learner.
+// NewControl opens the replica's data folder. If join is not empty, the replica asks those members to admit
+// it as a learner.
 func NewControl(settings config.Control, join []string, logger *zerolog.Logger) (*Control, error) {
 	store, contents, err := storage.Open(settings.DataFolder, settings.Cluster)
 	if err != nil {
@@ -92,14 +92,14 @@
 	}
 	c := &Control{
 		settings: settings, logger: logger, store: store, core: core, loop: eventloop.New(),
-		start: clock.Now(), join: join, gained: make(chan struct{}, 1), waiting: map[uint64]chan control.Reply{},
+		start: clock.Now(), join: join, leadershipGained: make(chan struct{}, 1), pendingReplies: map[uint64]chan control.Reply{},
 	}
 	c.status.Store(&controlStatus{})
 	c.transport = transport.New(logger, c.receive)
 	return c, nil
 }
 
-// listGrace is how long a new leader waits for the platform's list.
+// listGrace returns how long a new leader waits for the platform's engine list.
 func listGrace(settings config.Control) time.Duration {
 	if settings.PlatformURL == "" {
 		return 0
@@ -115,8 +115,8 @@
 	c.loop.Submit(func() { c.core.Receive(c.clock(), message) })
 }
 
-// Run serves on the listener until the context ends, then hands leadership
-// over and stops. It returns an error if storage or the listener fails.
+// Run serves on the listener until the context ends, then transfers leadership and stops. It returns an
+// error if storage fails.
 func (c *Control) Run(ctx context.Context, listener net.Listener) error {
 	defer c.store.Close()
 	defer c.transport.Close()
@@ -131,42 +131,42 @@
 		select {
 		case <-ctx.Done():
 			event.ControlStopping.On(c.logger).Send()
-			c.handOver()
+			c.transferLeadership()
 		case <-serverFailed:
 		}
 		stopLoop()
 	}()
 	err := c.loop.Run(loopContext, c.settings.Tick, c.tick, c.flush)
-	// Peers' streams never end by themselves, so there is nothing to wait for.
+	// A graceful shutdown would never end, because peers keep their streams open.
 	httpServer.Close()
 	return err
 }
 
 func (c *Control) tick() {
 	c.core.Tick(c.clock())
-	c.noteLeadership()
+	c.updateLeadership()
 	c.updateStatus()
 }
 
-func (c *Control) noteLeadership() {
-	leads := c.core.Raft().Role() == consensus.Leader
-	if leads == c.led {
+func (c *Control) updateLeadership() {
+	isLeader := c.core.Raft().Role() == consensus.Leader
+	if isLeader == c.isLeader {
 		return
 	}
-	c.led = leads
+	c.isLeader = isLeader
 	kind := event.LeadershipLost
-	if leads {
+	if isLeader {
 		kind = event.LeadershipGained
 		select {
-		case c.gained <- struct{}{}:
+		case c.leadershipGained <- struct{}{}:
 		default:
 		}
 	}
 	kind.On(c.logger).Uint("term", c.core.Raft().Term()).Send()
 }
 
-// flush persists, applies and sends what the calls of a batch have produced.
-// One sync serves all entries of the batch.
+// flush persists and applies the entries produced by a batch of calls, then sends messages and replies. All
+// entries of the batch share one sync.
 func (c *Control) flush() error {
 	for c.core.HasReady() {
 		ready := c.core.Ready()
@@ -190,24 +190,24 @@
 		c.transport.Send(outgoing.Address, outgoing.Message)
 	}
 	for _, reply := range c.core.TakeReplies() {
-		if waiting, ok := c.waiting[reply.ID]; ok {
-			delete(c.waiting, reply.ID)
-			waiting <- reply
+		if pending, ok := c.pendingReplies[reply.ID]; ok {
+			delete(c.pendingReplies, reply.ID)
+			pending <- reply
 		}
 	}
 	return nil
 }
 
-// ask runs the function, which starts a request under the ID, in the loop and
-// waits for the reply. It returns false if the context or the loop ends first.
-func (c *Control) ask(ctx context.Context, start func(id uint64)) (control.Reply, bool) {
+// call runs the function, which starts a request with the ID, in the loop and waits for the reply. It
+// returns false if the context or the loop ends first.
+func (c *Control) call(ctx context.Context, request func(id uint64)) (control.Reply, bool) {
 	answered := make(chan control.Reply, 1)
 	var id uint64
 	queued := c.loop.Submit(func() {
 		c.nextID++
 		id = c.nextID
-		c.waiting[id] = answered
-		start(id)
+		c.pendingReplies[id] = answered
+		request(id)
 	})
 	if !queued {
 		return control.Reply{}, false
@@ -218,26 +218,26 @@
 	case <-c.loop.Done():
 		return control.Reply{}, false
 	case <-ctx.Done():
-		c.loop.Submit(func() { delete(c.waiting, id) })
+		c.loop.Submit(func() { delete(c.pendingReplies, id) })
 		return control.Reply{}, false
 	}
 }
 
-// handOver gives leadership to another voter before a planned stop.
-func (c *Control) handOver() {
-	deadline := time.Now().Add(transferWait)
+// transferLeadership transfers leadership to another voter before a graceful shutdown.
+func (c *Control) transferLeadership() {
+	deadline := time.Now().Add(transferTimeout)
 	for time.Now().Before(deadline) {
-		led, ok := eventloop.Call(c.loop, func() bool {
+		stillLeader, ok := eventloop.Call(c.loop, func() bool {
 			return c.core.Raft().Role() == consensus.Leader && c.core.TransferLeadership(consensus.None)
 		})
-		if !ok || !led {
+		if !ok || !stillLeader {
 			return
 		}
 		time.Sleep(c.settings.Tick)
 	}
 }
 
-// platformEngine is an engine in the platform's list.
+// platformEngine is an engine in the platform's engine list.
 type platformEngine struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -258,8 +258,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.gained:
-			// An earlier leader may have missed what the list says by now.
+		case <-c.leadershipGained:
+			// The previous leader may not have seen the latest list.
 			c.readPlatform(ctx)
 		case <-ticker.C:
 			if c.status.Load().leading {
@@ -272,13 +272,13 @@
 func (c *Control) readPlatform(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	var listed []platformEngine
-	if err := getJSON(limited, c.settings.PlatformURL+"/v1/engines", &listed); err != nil {
+	var list []platformEngine
+	if err := getJSON(limited, c.settings.PlatformURL+"/v1/engines", &list); err != nil {
 		event.PlatformUnreachable.On(c.logger).Err(err).Send()
 		return
 	}
-	engines := make([]state.Engine, 0, len(listed))
-	for _, engine := range listed {
+	engines := make([]state.Engine, 0, len(list))
+	for _, engine := range list {
 		engines = append(engines, state.Engine{
 			ID: engine.ID, Zone: engine.Zone, Region: engine.Region, Group: engine.Group,
 			Address: engine.Address, Slots: engine.Slots, Listed: engine.Leaving,
@@ -287,14 +287,14 @@
 	c.loop.Submit(func() { c.core.ListEngines(c.clock(), engines) })
 }
 
-// askToJoin asks the members until this replica is one of them.
+// askToJoin asks the members in turn until this replica is a member.
 func (c *Control) askToJoin(ctx context.Context) {
 	for round := 0; len(c.join) > 0; round++ {
-		member, ok := eventloop.Call(c.loop, func() bool {
-			_, is := c.core.Raft().Membership().Member(c.core.Raft().ID())
-			return is
+		isMember, ok := eventloop.Call(c.loop, func() bool {
+			_, found := c.core.Raft().Membership().Member(c.core.Raft().ID())
+			return found
 		})
-		if !ok || member {
+		if !ok || isMember {
 			return
 		}
 		address := c.join[round%len(c.join)]
@@ -314,7 +314,7 @@
 func (c *Control) updateStatus() {
 	raft, machine := c.core.Raft(), c.core.Machine()
 	status := &controlStatus{
-		leading: c.led, ready: c.core.LeaderAddress() != "",
+		leading: c.isLeader, ready: c.core.LeaderAddress() != "",
 		term: raft.Term(), commit: raft.Commit(), logEntries: raft.LogSize(),
 		nodes: len(machine.Catalog.Nodes), engines: len(machine.Catalog.Engines), revision: machine.Revision,
 		pending: map[string]int{}, unfinished: map[string]int{}, counters: map[string]state.Counters{},
--- a/server/demand.go
+++ b/server/demand.go
@@ -12,43 +12,42 @@
 )
 
 const (
-	// demandInterval is the time between two reports of the demand: a small part of the time that a
-	// backend takes to boot.
+	// demandInterval is the time between demand reports: a small part of a backend's boot time.
 	demandInterval = 500 * time.Millisecond
-	// demandTimeout bounds a report; what is lost is made up for by the next one.
+	// demandTimeout limits one report. The next report replaces a lost one.
 	demandTimeout = time.Second
 )
 
-// tellDemand tells the directory what the open steps need, if there are services that may be scaled.
-func (t *tenure) tellDemand() {
-	if t.catalog == nil || clock.Since(t.demandAt) < demandInterval || !t.scales() || t.fresh.isStale(nowMillis()) {
+// reportDemand reports the demand of the open steps to the directory if any service is scalable.
+func (t *tenure) reportDemand() {
+	if t.catalog == nil || clock.Since(t.demandAt) < demandInterval || !t.hasScalableService() || t.fresh.isStale(nowMillis()) {
 		return
 	}
 	t.demandAt = clock.Now()
 	go t.sendDemand(t.demands())
 }
 
-// demands returns what the open steps need of each service that may be scaled.
+// demands returns the demand of the open steps for each scalable service.
 func (t *tenure) demands() []capacity.Demand {
-	told := map[string]bool{}
-	demands := slices.DeleteFunc(t.scheduler.Demand(nowMillis(), t.neededFrom), func(demand capacity.Demand) bool {
+	reported := map[string]bool{}
+	demands := slices.DeleteFunc(t.scheduler.Demand(nowMillis(), t.servicesNeededBy), func(demand capacity.Demand) bool {
 		return t.catalog.Services[demand.Service].Scale == nil
 	})
 	for _, demand := range demands {
-		told[demand.Service] = true
+		reported[demand.Service] = true
 	}
 	for name, service := range t.catalog.Services {
-		if service.Scale != nil && !told[name] {
-			// That nothing is needed is news, too.
+		if service.Scale != nil && !reported[name] {
+			// Report zero demand, so that the service can be scaled down.
 			demands = append(demands, capacity.Demand{Service: name})
 		}
 	}
 	return demands
 }
 
-// neededFrom tells the services that the task needs. It changes nothing: no trial is asked for by a
-// sample that is only counted.
-func (t *tenure) neededFrom(task *scheduler.Task) ([]string, bool) {
+// servicesNeededBy returns the services that the task needs. It has no side effects: in particular it
+// requests no trial for a quarantined sample.
+func (t *tenure) servicesNeededBy(task *scheduler.Task) ([]string, bool) {
 	if task.State == scheduler.Waiting && !t.guard.IsIdle() && t.guard.CheckSubject(task.Subject()).Quarantined {
 		return nil, false
 	}
@@ -63,8 +62,8 @@
 	}
 }
 
-// scales tells whether a service may be scaled.
-func (t *tenure) scales() bool {
+// hasScalableService reports whether the catalog contains a scalable service.
+func (t *tenure) hasScalableService() bool {
 	for _, service := range t.catalog.Services {
 		if service.Scale != nil {
 			return true
--- a/server/directory.go
+++ b/server/directory.go
@@ -87,13 +87,13 @@
 	view       atomic.Pointer[directory.Catalog]
 	heartbeats *heartbeats
 	// registrations are heartbeats that change something, on their way to the leader.
-	registrations *gather[Heartbeat]
+	registrations *batcher[Heartbeat]
 	feed          *feed
-	usage         *usageKeeper
-	duties        *dutyKeeper
+	usage         *usageAggregator
+	duties        *dutyCoordinator
 	versions      *versionKeeper
 	returning     *returning
-	scale         *scaleKeeper
+	scale         *scaleController
 	standstill    standstill
 	spoiled       spoiledLog
 	// suspects belongs to the review.
@@ -128,16 +128,16 @@
 		settings: settings, logger: logger, machine: machine, replica: opened,
 		client: replica.NewInternalClient(), evidence: newEvidence(), metrics: newDirectoryMetrics(), heartbeats: newHeartbeats(), feed: newFeed(),
 	}
-	d.duties = &dutyKeeper{settings: settings, replica: opened, machine: machine, acts: duty.NewTracker(), wait: time.Sleep}
-	d.usage = &usageKeeper{
+	d.duties = &dutyCoordinator{settings: settings, replica: opened, machine: machine, actions: duty.NewTracker(), sleep: time.Sleep}
+	d.usage = &usageAggregator{
 		settings: settings, replica: opened, machine: machine, client: client, clock: usage.NewClock(settings.ToleratedLosses + 1), duties: d.duties,
 		metrics: d.metrics, logger: logger,
 	}
 	d.versions = newVersionKeeper(settings.InternalAddress, opened, machine, logger)
 	d.returning = newReturning()
-	d.scale = &scaleKeeper{settings: settings, duties: d.duties, client: client, metrics: d.metrics, logger: logger}
-	d.scale.begin()
-	d.registrations = &gather[Heartbeat]{carry: d.registerAll}
+	d.scale = &scaleController{settings: settings, duties: d.duties, client: client, metrics: d.metrics, logger: logger}
+	d.scale.reset()
+	d.registrations = &batcher[Heartbeat]{process: d.registerAll}
 	d.view.Store(directory.NewCatalog())
 	return d, nil
 }
--- a/server/directory_call.go
+++ b/server/directory_call.go
@@ -152,7 +152,7 @@
 	answer := directoryAnswer{Leader: d.settings.InternalAddress}
 	began := time.Now()
 	err := d.carryOut(ctx, call, &answer)
-	d.metrics.calls.WithLabelValues(outcomeOf(err)).Observe(time.Since(began).Seconds())
+	d.metrics.calls.WithLabelValues(outcomeLabel(err)).Observe(time.Since(began).Seconds())
 	return answer, err
 }
 
@@ -163,15 +163,15 @@
 	case call.Heartbeats != nil:
 		err = d.handleHeartbeats(ctx, call.Heartbeats)
 	case call.Clock != nil:
-		d.usage.noteClock(call.Clock.Machine, call.Clock.Millis)
+		d.usage.recordClock(call.Clock.Machine, call.Clock.Millis)
 		d.versions.note(call.Clock.At.Address, call.Says)
 		err = d.noteZone(ctx, call.Clock.At)
 	case call.Usage != nil:
-		answer.Usage, err = d.usage.take(ctx, call.Usage)
+		answer.Usage, err = d.usage.handleCall(ctx, call.Usage)
 	case call.Quarantine != nil:
 		err = d.handleQuarantine(ctx, call.Quarantine, answer)
 	case call.Demands != nil:
-		d.scale.hear(call.Demands)
+		d.scale.recordDemands(call.Demands)
 	case call.Leave != "":
 		event.BackendDeregistered.On(d.logger).Str("backend", call.Leave).Int("born", call.LeaveBorn).Send()
 		_, err = d.execute(ctx, directory.Command{RemoveBackend: &directory.RemoveBackend{
--- a/server/directory_review.go
+++ b/server/directory_review.go
@@ -32,7 +32,7 @@
 	every(ctx, reviewInterval, func() {
 		serving := d.replica.Status().Serving
 		d.beginServing(serving)
-		d.duties.noteActs()
+		d.duties.observeActions()
 		d.versions.follow()
 		if !serving {
 			d.tellHeard(ctx)
@@ -53,7 +53,7 @@
 	if err := d.noteZone(ctx, d.ownZone()); err != nil {
 		event.LeaderUpdateFailed.On(d.logger).Err(err).Send()
 	}
-	d.usage.noteClock(d.settings.Name, time.Now().UnixMilli())
+	d.usage.recordClock(d.settings.Name, time.Now().UnixMilli())
 	d.usage.review(ctx, d.view.Load().HasTenants())
 	d.scale.review(d.view.Load())
 }
@@ -66,7 +66,7 @@
 		d.heartbeats.reset()
 		d.standstill.begin()
 		d.suspects = suspectClock{}
-		d.scale.begin()
+		d.scale.reset()
 		d.firstStore, d.newestStore = time.Time{}, time.Time{}
 	}
 	d.serving = serving
--- a/server/drain_test.go
+++ b/server/drain_test.go
@@ -9,25 +9,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestNothingIsTakenAfterTheLastRequest: a planned stop waits for what runs, and a request that
-// comes later on an open connection is refused and reaches nobody.
-func TestNothingIsTakenAfterTheLastRequest(t *testing.T) {
+// TestRequestsAfterDrainAreRefused checks that a graceful shutdown waits for running requests, and that later
+// ones on an open connection are refused without reaching a backend.
+func TestRequestsAfterDrainAreRefused(t *testing.T) {
 	gateway := newTestGateway(time.Now())
 	entered, release := make(chan struct{}), make(chan struct{})
-	passed := 0
+	handled := 0
 	handler := gateway.closeConnections(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
-		passed++
+		handled++
 		close(entered)
 		<-release
 		response.WriteHeader(http.StatusOK)
 	}))
-	ask := func() *httptest.ResponseRecorder {
-		recorded := httptest.NewRecorder()
-		handler.ServeHTTP(recorded, httptest.NewRequest(http.MethodPost, "/x", nil))
-		return recorded
+	send := func() *httptest.ResponseRecorder {
+		recorder := httptest.NewRecorder()
+		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/x", nil))
+		return recorder
 	}
 	first := make(chan *httptest.ResponseRecorder, 1)
-	go func() { first <- ask() }()
+	go func() { first <- send() }()
 	<-entered
 	require.Equal(t, int64(1), gateway.InFlight())
 	gateway.Stop(time.Minute)
@@ -40,9 +40,9 @@
 	close(release)
 	require.Equal(t, http.StatusOK, (<-first).Code)
 	<-drained
-	late := ask()
+	late := send()
 	require.Equal(t, http.StatusServiceUnavailable, late.Code)
 	require.Equal(t, "close", late.Header().Get("Connection"))
-	require.Equal(t, 1, passed)
+	require.Equal(t, 1, handled)
 	require.Zero(t, gateway.InFlight())
 }
--- a/server/duty_keeper.go
+++ b/server/duty_keeper.go
@@ -11,97 +11,97 @@
 	"github.com/dillchute/dillchute/replica"
 )
 
-// dutySendTimeout bounds one call. It is shorter than a lease by more than duty.MaxStartDelay, so that
-// a successor's wait covers it.
+// dutySendTimeout limits one call. Together with duty.MaxStartDelay it is shorter than a lease, so that
+// the next holder acts only after the call has ended.
 const dutySendTimeout = 800 * time.Millisecond
 
-// DutyOutcome is what became of a call that one process at a time makes.
+// DutyOutcome is the outcome of a duty call, which only one process at a time may make.
 type DutyOutcome uint8
 
-// The outcomes.
+// Outcomes of duty calls.
 const (
-	// DutyTaken: the call is taken, now or before.
+	// DutyTaken means that the call was accepted, now or earlier.
 	DutyTaken DutyOutcome = iota + 1
-	// DutyBusy: it was not taken, and may be sent again later.
+	// DutyBusy means that the call was not accepted and may be retried later.
 	DutyBusy
-	// DutyUnanswered: it may have been taken.
+	// DutyUnanswered means that the call may have been accepted.
 	DutyUnanswered
-	// DutyRefused: it will never be taken.
+	// DutyRefused means that the call will never be accepted.
 	DutyRefused
-	// DutyExhausted: what it asks for is not to be had now.
+	// DutyExhausted means that the requested capacity is currently unavailable.
 	DutyExhausted
 )
 
-// String returns the outcome's name in metrics.
+// String returns the outcome's label in metrics.
 func (o DutyOutcome) String() string {
 	return [...]string{"unknown", "taken", "busy", "unanswered", "refused", "exhausted"}[o]
 }
 
-// DutySend says who calls, and until when.
+// DutySend identifies the sender of a duty call and limits when it may be sent.
 type DutySend struct {
-	// Holder is the process that calls, and Fence rises with each change of it.
+	// Holder is the calling process. Fence increases with each change of the holder.
 	Holder string
 	Fence  uint64
-	// SendBy is until when the call may be written, by package clock.
+	// SendBy is the latest time, by package clock, to write the request.
 	SendBy time.Time
 }
 
-// DutyClient carries the calls out of the system that one process at a time makes.
+// DutyClient sends duty calls to external systems.
 type DutyClient interface {
 	SendUsage(ctx context.Context, send UsageSend) DutyOutcome
 	SendScale(ctx context.Context, send ScaleSend) DutyOutcome
 }
 
-// dutyKeeper lets the directory's leader act for subjects, one process at a time each.
-type dutyKeeper struct {
+// dutyCoordinator ensures that at most one process at a time acts on a subject.
+type dutyCoordinator struct {
 	settings config.Directory
 	replica  *replica.Replica
 	machine  *directory.Machine
-	acts     *duty.Tracker
-	pace     duty.Pacer
-	// wait sleeps; tests replace it.
-	wait func(time.Duration)
+	actions  *duty.Tracker
+	pacer    duty.Pacer
+	// sleep is replaced in tests.
+	sleep func(time.Duration)
 }
 
-// noteActs has every replica learn when others have acted.
-func (k *dutyKeeper) noteActs() {
-	k.replica.Do(func() { k.acts.Observe(nowMillis(), k.machine.Actions()) })
+// observeActions updates the tracker with the recorded actions. Every replica calls it.
+func (d *dutyCoordinator) observeActions() {
+	d.replica.Do(func() { d.actions.Observe(nowMillis(), d.machine.Actions()) })
 }
 
-// mayAct tells whether this replica leads and nobody else may be acting for the subject.
-func (k *dutyKeeper) mayAct(subject string) bool {
-	if !k.replica.Status().Serving {
+// mayAct reports whether this replica is the leader and no other process may still act on the subject.
+func (d *dutyCoordinator) mayAct(subject string) bool {
+	if !d.replica.Status().Serving {
 		return false
 	}
-	k.noteActs()
-	return nowMillis() >= k.acts.FreeAt(subject, k.settings.Name, k.settings.DutyLease)
+	d.observeActions()
+	return nowMillis() >= d.actions.FreeAt(subject, d.settings.Name, d.settings.DutyLease)
 }
 
-// maySend tells whether a call may be sent that was recorded in the term, that long after it was begun.
-func maySend(status *replica.Status, term uint64, since time.Duration) bool {
-	return status.Serving && status.Term == term && since <= duty.MaxStartDelay
+// maySend reports whether a call recorded in the term may still be sent after the elapsed time.
+func maySend(status *replica.Status, term uint64, elapsed time.Duration) bool {
+	return status.Serving && status.Term == term && elapsed <= duty.MaxStartDelay
 }
 
-// act records that this process is about to act for the subject, carries out the further commands, and
-// then calls send. Each is an entry of its own, since earlier builds know no batches. What took too
-// long is not sent: another process may act by then.
-func (k *dutyKeeper) act(subject string, further []directory.Command, send func(ctx context.Context, send DutySend) DutyOutcome) (DutyOutcome, error) {
-	k.wait(k.pace.Reserve(nowMillis(), k.settings.MinDutyInterval()))
-	term := k.replica.Status().Term
-	if !k.mayAct(subject) {
+// act records that this process is about to act on the subject, executes the commands and then calls
+// send. Each command is a separate log entry because earlier builds do not support batches. If recording
+// takes too long nothing is sent, because another process may act by then.
+func (d *dutyCoordinator) act(subject string, commands []directory.Command, send func(ctx context.Context, send DutySend) DutyOutcome) (DutyOutcome, error) {
+	d.sleep(d.pacer.Reserve(nowMillis(), d.settings.MinDutyInterval()))
+	term := d.replica.Status().Term
+	if !d.mayAct(subject) {
 		return DutyBusy, nil
 	}
-	began := clock.Now()
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(duty.MaxStartDelay+dutySendTimeout))
+	start := clock.Now()
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(duty.MaxStartDelay+dutySendTimeout))
 	defer cancel()
-	record := directory.Command{Act: &duty.Action{Subject: subject, Holder: k.settings.Name, At: nowMillis()}}
-	for _, command := range append([]directory.Command{record}, further...) {
-		if _, err := k.replica.Execute(ctx, command.Encode()); err != nil {
+	recordAction := directory.Command{Act: &duty.Action{Subject: subject, Holder: d.settings.Name, At: nowMillis()}}
+	for _, command := range append([]directory.Command{recordAction}, commands...) {
+		if _, err := d.replica.Execute(ctx, command.Encode()); err != nil {
 			return DutyBusy, err
 		}
 	}
-	if !maySend(k.replica.Status(), term, clock.Since(began)) {
+	if !maySend(d.replica.Status(), term, clock.Since(start)) {
 		return DutyBusy, nil
 	}
-	return send(ctx, DutySend{Holder: k.settings.Name, Fence: term, SendBy: began.Add(duty.MaxStartDelay)}), nil
+	return send(ctx, DutySend{Holder: d.settings.Name, Fence: term, SendBy: start.Add(duty.MaxStartDelay)}), nil
 }
--- a/server/duty_keeper_test.go
+++ b/server/duty_keeper_test.go
@@ -13,23 +13,24 @@
 	"github.com/dillchute/dillchute/replica"
 )
 
-// TestCallsAreSentInTheTermOfTheirRecord: another process may have acted before a later term of the
-// same leader.
-func TestCallsAreSentInTheTermOfTheirRecord(t *testing.T) {
+// TestMaySendOnlyInRecordedTerm checks that a call is not sent in a later term than the one it was recorded
+// in: another process may have acted in between.
+func TestMaySendOnlyInRecordedTerm(t *testing.T) {
 	serving := &replica.Status{Serving: true, Term: 7}
 	require.True(t, maySend(serving, 7, 0))
 	require.True(t, maySend(serving, 7, duty.MaxStartDelay))
-	require.False(t, maySend(serving, 6, 0), "it led, lost the lead and leads again")
+	require.False(t, maySend(serving, 6, 0), "leadership was lost and regained")
 	require.False(t, maySend(serving, 7, duty.MaxStartDelay+1))
 	require.False(t, maySend(&replica.Status{Term: 7}, 7, 0))
 }
 
-// TestCallsKeepTheRate: each waits for its turn before it is recorded, whatever it is about.
-func TestCallsKeepTheRate(t *testing.T) {
-	d, _ := loneDirectory(t, &orderTaker{}, func(settings *config.Directory) { settings.DutyRate = 0.001 })
+// TestDutyCallsAreRateLimited checks that calls for all subjects share one rate limit and wait before they
+// are recorded.
+func TestDutyCallsAreRateLimited(t *testing.T) {
+	d, _ := startSingleReplica(t, &fakeDutyClient{}, func(settings *config.Directory) { settings.DutyRate = 0.001 })
 	var waits []time.Duration
 	var recorded []int
-	d.duties.wait = func(wait time.Duration) {
+	d.duties.sleep = func(wait time.Duration) {
 		waits = append(waits, wait)
 		d.replica.Do(func() { recorded = append(recorded, len(d.machine.Actions())) })
 	}
@@ -45,16 +46,16 @@
 	require.Equal(t, []int{0, 1, 2}, recorded)
 }
 
-// TestRecordsAreCommandsOfTheirOwn: builds that know no batches learn of the act all the same, and of
-// the order after it.
-func TestRecordsAreCommandsOfTheirOwn(t *testing.T) {
-	d, _ := loneDirectory(t, &orderTaker{}, nil)
+// TestActionsAreSeparateCommands checks that an action and its order are separate log entries, which builds
+// without support for batches can read.
+func TestActionsAreSeparateCommands(t *testing.T) {
+	d, _ := startSingleReplica(t, &fakeDutyClient{}, nil)
 	before := d.Status().Commit
-	order := orderOf(3)
+	order := newOrder(3)
 	_, err := d.duties.act("one", []directory.Command{{Order: &order}}, func(context.Context, DutySend) DutyOutcome {
 		return DutyTaken
 	})
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, d.Status().Commit, before+2)
-	require.Len(t, keptOrders(d), 1)
+	require.Len(t, recordedOrders(d), 1)
 }
--- a/server/every.go
+++ b/server/every.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// every calls the function at each interval until the context ends. A call that lasts longer than
-// the interval is followed by the next one at once.
+// every calls the function at each interval until the context ends. If a call takes longer than the
+// interval, the next one follows immediately.
 func every(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/server/gateway.go
+++ b/server/gateway.go
@@ -46,7 +46,7 @@
 	forwarder *forward.Forwarder
 	ledger    *ledgerClient
 	metrics   gatewayMetrics
-	usage     *usageTeller
+	usage     *usageReporter
 	guard     *quarantine.Guard
 	limits    *gatewayLimits
 
@@ -54,7 +54,7 @@
 	startedAt time.Time
 	// plan is set once a planned stop has begun, and closed once nothing more is taken. work
 	// ends when what still runs has to; endWork ends it.
-	plan     atomic.Pointer[stopPlan]
+	plan     atomic.Pointer[shutdownPlan]
 	closed   atomic.Bool
 	work     context.Context
 	endWork  context.CancelFunc
@@ -74,7 +74,7 @@
 		work: work, endWork: endWork,
 		settings: settings, logger: logger, watcher: watcher, guard: guard,
 		forwarder: forward.New(newCurrentClient(backends, watcher), settings.Zone, guard), ledger: newLedgerClient(watcher, settings.Zone, logger),
-		metrics: newGatewayMetrics(), usage: newUsageTeller(settings.Name, watcher), startedAt: time.Now(),
+		metrics: newGatewayMetrics(), usage: newUsageReporter(settings.Name, watcher), startedAt: time.Now(),
 		limits: newGatewayLimits(logger),
 	}
 	gateway.forwarder.SetLimiter(gateway.limits.limiter)
@@ -162,9 +162,9 @@
 func (g *Gateway) Forward(ctx context.Context, catalog *directory.Catalog, route routing.Route, request *forward.Request) forward.Result {
 	started := clock.Now()
 	limitDeadline(request, route, started)
-	result := refuseStopping()
-	if g.take(request) {
-		limited, cancel := g.untilWorkEnds(ctx)
+	result := stoppingResult()
+	if g.accept(request) {
+		limited, cancel := g.withWorkDeadline(ctx)
 		defer cancel()
 		if result = g.refuseOutOfTouch(limited, route); result.Reason == "" {
 			result = g.forwarder.Do(limited, g.newest(catalog), route, request)
@@ -178,9 +178,9 @@
 func (g *Gateway) Stream(ctx context.Context, catalog *directory.Catalog, route routing.Route, request *forward.Request, sink forward.Sink) forward.Result {
 	started := clock.Now()
 	limitDeadline(request, route, started)
-	result := refuseStopping()
-	if g.take(request) {
-		limited, cancel := g.untilWorkEnds(ctx)
+	result := stoppingResult()
+	if g.accept(request) {
+		limited, cancel := g.withWorkDeadline(ctx)
 		defer cancel()
 		if result = g.refuseOutOfTouch(limited, route); result.Reason == "" {
 			result = g.forwarder.Stream(limited, g.newest(catalog), route, request, sink)
@@ -202,8 +202,8 @@
 // did not bring the answer.
 func (g *Gateway) noteRequest(catalog *directory.Catalog, route routing.Route, request *forward.Request, result forward.Result, started time.Time) {
 	took := clock.Since(started)
-	g.metrics.noteRequest(result, took)
-	g.usage.note(request.Tenant, result)
+	g.metrics.recordRequest(result, took)
+	g.usage.record(request.Tenant, result)
 	for _, attempt := range result.History {
 		if result.Response != nil && attempt.Backend == result.Backend {
 			continue
@@ -269,7 +269,7 @@
 // callLedger makes a call for which the ledger does not wait. It tells whether a leader may have
 // carried it out.
 func (g *Gateway) callLedger(ctx context.Context, call ledgerCall) (answer ledgerAnswer, reached bool, err error) {
-	limited, cancel, wait, err := g.ledgerTime(ctx, 0)
+	limited, cancel, wait, err := g.ledgerCallContext(ctx, 0)
 	if err != nil {
 		return answer, false, err
 	}
@@ -285,7 +285,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	limited, cancel, wait, err := g.ledgerTime(ctx, wait)
+	limited, cancel, wait, err := g.ledgerCallContext(ctx, wait)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/server/gather.go
+++ b/server/gather.go
@@ -7,76 +7,74 @@
 )
 
 const (
-	// gatherLines is how many batches may be under way: one that waits for an answer in vain
-	// does not hold the next one up.
-	gatherLines = 4
-	// gatherMost bounds a batch, so that one entry of the log stays below a few hundred
-	// kilobytes.
-	gatherMost = 512
-	// gatherTimeout bounds a batch's way, a little longer than callers wait.
-	gatherTimeout = time.Second
+	// maxConcurrentBatches allows more than one batch at a time, so that a batch which runs into its
+	// timeout does not block the next one.
+	maxConcurrentBatches = 4
+	// maxBatchSize keeps a batch's log entry below a few hundred kilobytes.
+	maxBatchSize = 512
+	// batchTimeout limits the processing of one batch. It is slightly longer than callers wait.
+	batchTimeout = time.Second
 )
 
-// gather carries things on in batches: whatever comes while batches are under way goes with the
-// next one. Nothing waits while none is, so that one alone is as quick as without; a thousand at a
-// time cost some ten calls and entries of the log. It may be used concurrently.
-type gather[T any] struct {
-	carry func(ctx context.Context, batch []T) error
+// batcher processes values in batches, to reduce the number of calls and log entries. A value is processed
+// immediately if a worker is available; otherwise it joins the next batch. It may be used concurrently.
+type batcher[T any] struct {
+	process func(ctx context.Context, batch []T) error
 
-	mutex    sync.Mutex
-	waiting  []enlisted[T]
-	underWay int
+	mutex   sync.Mutex
+	waiting []batchItem[T]
+	workers int
 }
 
-// enlisted is one thing that waits for its batch's outcome.
-type enlisted[T any] struct {
-	thing T
+// batchItem is a value whose caller waits for the outcome of its batch.
+type batchItem[T any] struct {
+	value T
 	done  chan error
 }
 
-// do carries the thing on and returns its batch's outcome. It returns early if the context ends.
-func (g *gather[T]) do(ctx context.Context, thing T) error {
-	one := enlisted[T]{thing: thing, done: make(chan error, 1)}
-	g.mutex.Lock()
-	g.waiting = append(g.waiting, one)
-	if g.underWay < gatherLines {
-		g.underWay++
-		go g.carryOn()
+// do processes the value and returns the outcome of its batch. It returns early if the context ends.
+func (b *batcher[T]) do(ctx context.Context, value T) error {
+	item := batchItem[T]{value: value, done: make(chan error, 1)}
+	b.mutex.Lock()
+	b.waiting = append(b.waiting, item)
+	if b.workers < maxConcurrentBatches {
+		b.workers++
+		go b.processBatches()
 	}
-	g.mutex.Unlock()
+	b.mutex.Unlock()
 	select {
-	case err := <-one.done:
+	case err := <-item.done:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// carryOn carries batches on until nothing waits.
-func (g *gather[T]) carryOn() {
-	for batch := g.take(); len(batch) > 0; batch = g.take() {
-		things := make([]T, 0, len(batch))
-		for _, one := range batch {
-			things = append(things, one.thing)
+// processBatches processes batches until no values are waiting.
+func (b *batcher[T]) processBatches() {
+	for batch := b.nextBatch(); len(batch) > 0; batch = b.nextBatch() {
+		values := make([]T, 0, len(batch))
+		for _, item := range batch {
+			values = append(values, item.value)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), gatherTimeout)
-		err := g.carry(ctx, things)
+		ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
+		err := b.process(ctx, values)
 		cancel()
-		for _, one := range batch {
-			one.done <- err
+		for _, item := range batch {
+			item.done <- err
 		}
 	}
 }
 
-// take returns the next batch, and counts the line as ended if there is none.
-func (g *gather[T]) take() []enlisted[T] {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	batch := g.waiting[:min(len(g.waiting), gatherMost)]
-	g.waiting = g.waiting[len(batch):]
+// nextBatch returns the next batch. If it is empty, the calling worker must end.
+func (b *batcher[T]) nextBatch() []batchItem[T] {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	batch := b.waiting[:min(len(b.waiting), maxBatchSize)]
+	b.waiting = b.waiting[len(batch):]
 	if len(batch) == 0 {
-		g.waiting = nil
-		g.underWay--
+		b.waiting = nil
+		b.workers--
 	}
 	return batch
 }
--- a/server/gather_test.go
+++ b/server/gather_test.go
@@ -10,65 +10,65 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGatherCarriesInBatches: thousands of things that come at once go in few batches, each once
-// and with its batch's outcome.
-func TestGatherCarriesInBatches(t *testing.T) {
-	const things = 4000
-	var batches, taken, failed, inFailed atomic.Int64
+// TestBatcherProcessesInBatches checks that thousands of concurrent values are processed in few batches, each
+// exactly once, and that each caller gets the outcome of its batch.
+func TestBatcherProcessesInBatches(t *testing.T) {
+	const items = 4000
+	var batches, received, failed, sizeOfFailed atomic.Int64
 	var mutex sync.Mutex
-	carried := map[int]int{}
+	processed := map[int]int{}
 	release := make(chan struct{})
-	errFailed := errors.New("not carried")
-	g := &gather[int]{carry: func(_ context.Context, batch []int) error {
-		taken.Add(int64(len(batch)))
+	errFailed := errors.New("batch failed")
+	b := &batcher[int]{process: func(_ context.Context, batch []int) error {
+		received.Add(int64(len(batch)))
 		<-release
 		number := batches.Add(1)
-		require.LessOrEqual(t, len(batch), gatherMost)
+		require.LessOrEqual(t, len(batch), maxBatchSize)
 		mutex.Lock()
 		defer mutex.Unlock()
-		for _, one := range batch {
-			carried[one]++
+		for _, value := range batch {
+			processed[value]++
 		}
 		if number == 2 {
-			inFailed.Store(int64(len(batch)))
+			sizeOfFailed.Store(int64(len(batch)))
 			return errFailed
 		}
 		return nil
 	}}
-	var wait sync.WaitGroup
-	for number := range things {
-		wait.Go(func() {
-			if g.do(t.Context(), number) != nil {
+	var callers sync.WaitGroup
+	for number := range items {
+		callers.Go(func() {
+			if b.do(t.Context(), number) != nil {
 				failed.Add(1)
 			}
 		})
 	}
-	waiting := func() bool {
-		g.mutex.Lock()
-		defer g.mutex.Unlock()
-		return len(g.waiting)+int(taken.Load()) == things
+	allQueued := func() bool {
+		b.mutex.Lock()
+		defer b.mutex.Unlock()
+		return len(b.waiting)+int(received.Load()) == items
 	}
-	require.Eventually(t, waiting, watchSoon, watchInterval)
+	require.Eventually(t, allQueued, watchSoon, watchInterval)
 	close(release)
-	wait.Wait()
-	require.Len(t, carried, things)
-	for number, times := range carried {
+	callers.Wait()
+	require.Len(t, processed, items)
+	for number, times := range processed {
 		require.Equal(t, 1, times, number)
 	}
-	require.LessOrEqual(t, batches.Load(), int64(things/gatherMost+2*gatherLines))
-	require.Equal(t, inFailed.Load(), failed.Load())
-	require.NoError(t, g.do(t.Context(), things), "the lines begin anew")
+	require.LessOrEqual(t, batches.Load(), int64(items/maxBatchSize+2*maxConcurrentBatches))
+	require.Equal(t, sizeOfFailed.Load(), failed.Load())
+	require.NoError(t, b.do(t.Context(), items), "a new worker starts after all have ended")
 }
 
-// TestGatherLeavesWhoeverHasLeft: a caller whose time is over is not kept by its batch.
-func TestGatherLeavesWhoeverHasLeft(t *testing.T) {
+// TestBatcherHonorsContext checks that do returns when its context ends, although the batch is still running.
+func TestBatcherHonorsContext(t *testing.T) {
 	release := make(chan struct{})
-	g := &gather[int]{carry: func(context.Context, []int) error {
+	b := &batcher[int]{process: func(context.Context, []int) error {
 		<-release
 		return nil
 	}}
-	ended, end := context.WithCancel(t.Context())
-	end()
-	require.ErrorIs(t, g.do(ended, 1), context.Canceled)
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	require.ErrorIs(t, b.do(ctx, 1), context.Canceled)
 	close(release)
 }
--- a/server/metrics.go
+++ b/server/metrics.go
@@ -8,36 +8,36 @@
 	"github.com/dillchute/dillchute/transport"
 )
 
-// collector makes metrics from a status that is read at each scrape.
+// collector emits metrics from a status that is read at each scrape.
 type collector func(emit chan<- prometheus.Metric)
 
-// Describe implements prometheus.Collector; the metrics are not fixed in advance.
+// Describe implements prometheus.Collector. It sends nothing, which makes the collector unchecked.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
 func (c collector) Collect(emit chan<- prometheus.Metric) { c(emit) }
 
 func gauge(emit chan<- prometheus.Metric, name, help string, value float64, labels ...string) {
-	send(emit, prometheus.GaugeValue, name, help, value, labels)
+	emitMetric(emit, prometheus.GaugeValue, name, help, value, labels)
 }
 
 func counter(emit chan<- prometheus.Metric, name, help string, value uint64, labels ...string) {
-	send(emit, prometheus.CounterValue, name, help, float64(value), labels)
+	emitMetric(emit, prometheus.CounterValue, name, help, float64(value), labels)
 }
 
-// send emits a metric; labels alternate between names and values.
-func send(emit chan<- prometheus.Metric, kind prometheus.ValueType, name, help string, value float64, labels []string) {
-	fixed := prometheus.Labels{}
+// emitMetric emits a metric. The labels alternate between names and values.
+func emitMetric(emit chan<- prometheus.Metric, kind prometheus.ValueType, name, help string, value float64, labels []string) {
+	constLabels := prometheus.Labels{}
 	for position := 0; position+1 < len(labels); position += 2 {
-		fixed[labels[position]] = labels[position+1]
+		constLabels[labels[position]] = labels[position+1]
 	}
-	description := prometheus.NewDesc("dillchute_"+name, help, nil, fixed)
+	description := prometheus.NewDesc("dillchute_"+name, help, nil, constLabels)
 	emit <- prometheus.MustNewConstMetric(description, kind, value)
 }
 
-func newRegistry(collect collector, further ...prometheus.Collector) *prometheus.Registry {
+func newRegistry(collect collector, extra ...prometheus.Collector) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(further...)
+	registry.MustRegister(extra...)
 	registry.MustRegister(collect, collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return registry
@@ -51,7 +51,7 @@
 	counter(emit, "message_bytes_received_total", "Bytes of messages read from peers.", counts.BytesReceived.Load())
 }
 
-func oneIf(condition bool) float64 {
+func boolToFloat(condition bool) float64 {
 	if condition {
 		return 1
 	}
@@ -61,7 +61,7 @@
 func (c *Control) registry() *prometheus.Registry {
 	return newRegistry(func(emit chan<- prometheus.Metric) {
 		status := c.status.Load()
-		gauge(emit, "control_leading", "Whether this replica leads.", oneIf(status.leading))
+		gauge(emit, "control_leading", "Whether this replica leads.", boolToFloat(status.leading))
 		gauge(emit, "control_term", "The replica's consensus term.", float64(status.term))
 		gauge(emit, "control_commit_index", "The last committed log index.", float64(status.commit))
 		gauge(emit, "control_log_entries", "Log entries since the newest snapshot.", float64(status.logEntries))
@@ -70,12 +70,12 @@
 		gauge(emit, "control_engines", "Known engines.", float64(status.engines))
 		for pool, pending := range status.pending {
 			counters := status.counters[pool]
-			gauge(emit, "pool_samples_pending", "Samples that wait for a node.", float64(pending), "pool", pool)
-			gauge(emit, "pool_samples_unacknowledged", "Samples not acknowledged yet.", float64(status.unfinished[pool]), "pool", pool)
+			gauge(emit, "pool_samples_pending", "Samples waiting for a node.", float64(pending), "pool", pool)
+			gauge(emit, "pool_samples_unacknowledged", "Samples that are not acknowledged yet.", float64(status.unfinished[pool]), "pool", pool)
 			counter(emit, "pool_samples_submitted_total", "Samples submitted.", counters.Submitted, "pool", pool)
 			counter(emit, "pool_samples_acknowledged_total", "Samples acknowledged by the trainer.", counters.Acknowledged, "pool", pool)
-			counter(emit, "pool_stale_reruns_total", "Results run again for their age.", counters.StaleReruns, "pool", pool)
-			counter(emit, "pool_discarded_total", "Results discarded as later than the first.", counters.Discarded, "pool", pool)
+			counter(emit, "pool_stale_reruns_total", "Results run again because they were stale.", counters.StaleReruns, "pool", pool)
+			counter(emit, "pool_discarded_total", "Duplicate results discarded.", counters.Discarded, "pool", pool)
 		}
 		collectTransport(emit, &c.transport.Counts)
 	})
@@ -84,25 +84,25 @@
 func (n *Node) registry() *prometheus.Registry {
 	return newRegistry(func(emit chan<- prometheus.Metric) {
 		status := n.status.Load()
-		gauge(emit, "node_leased", "Whether the node holds a lease.", oneIf(status.leased))
+		gauge(emit, "node_leased", "Whether the node holds a lease.", boolToFloat(status.leased))
 		gauge(emit, "node_revision", "The catalog revision the node acts on.", float64(status.revision))
-		gauge(emit, "node_in_flight", "Requests the node has not ended.", float64(status.inFlight))
+		gauge(emit, "node_in_flight", "Requests in flight on the node.", float64(status.inFlight))
 		collectNodeCounters(emit, status.counters)
 		collectTransport(emit, &n.transport.Counts)
 	})
 }
 
 func collectNodeCounters(emit chan<- prometheus.Metric, counters node.Counters) {
-	const outcomes, outcomesHelp = "node_requests_total", "Live requests ended, by outcome."
+	const outcomes, outcomesHelp = "node_requests_total", "Finished live requests, by outcome."
 	counter(emit, outcomes, outcomesHelp, counters.Answered, "outcome", "answered")
 	counter(emit, outcomes, outcomesHelp, counters.NotRun, "outcome", "not_run")
 	counter(emit, outcomes, outcomesHelp, counters.Unknown, "outcome", "unknown")
 	counter(emit, "node_samples_completed_total", "Samples completed.", counters.SamplesCompleted)
-	counter(emit, "node_samples_returned_total", "Samples given back to control.", counters.SamplesReturned)
+	counter(emit, "node_samples_returned_total", "Samples returned to control.", counters.SamplesReturned)
 	counter(emit, "node_tokens_generated_total", "Tokens received from engines.", counters.TokensGenerated)
-	counter(emit, "node_tokens_wasted_total", "Tokens thrown away.", counters.TokensWasted)
+	counter(emit, "node_tokens_wasted_total", "Generated tokens that were discarded.", counters.TokensWasted)
 	counter(emit, "node_retries_total", "Attempts after the first.", counters.Retries)
-	counter(emit, "node_chunks_dropped_total", "Chunks that matched no live attempt.", counters.DroppedChunks)
-	counter(emit, "node_swaps_total", "Weight swaps done.", counters.Swaps)
-	counter(emit, "node_swap_failures_total", "Weight swaps that failed.", counters.SwapFailures)
+	counter(emit, "node_chunks_dropped_total", "Chunks that matched no open attempt.", counters.DroppedChunks)
+	counter(emit, "node_swaps_total", "Completed weight swaps.", counters.Swaps)
+	counter(emit, "node_swap_failures_total", "Failed weight swaps.", counters.SwapFailures)
 }
--- a/server/node.go
+++ b/server/node.go
@@ -23,8 +23,8 @@
 
 const (
 	nodeTick = 50 * time.Millisecond
-	// incarnationUnit and incarnationMask make a node's incarnation a 31-bit
-	// number that differs between starts at least a unit apart.
+	// incarnationUnit and incarnationMask derive a 31-bit incarnation from the start time. It differs
+	// between starts that are at least one unit apart.
 	incarnationUnit = 100 * time.Millisecond
 	incarnationMask = 1<<31 - 1
 	scoreTimeout    = 5 * time.Second
@@ -81,9 +81,8 @@
 
 func (n *Node) now() int64 { return clock.Since(n.start).Milliseconds() }
 
-// Run serves processes of dillchute on one listener and callers on the other
-// until the context ends. Then it takes no new work, lets what runs end within
-// the drain timeout, and stops.
+// Run serves other processes on one listener and callers on the other until the context ends. Then it
+// accepts no new work, waits for running work up to the drain timeout, and stops.
 func (n *Node) Run(ctx context.Context, internal, callers net.Listener) error {
 	defer n.transport.Close()
 	defer n.stop()
@@ -104,7 +103,7 @@
 	}()
 	err := n.loop.Run(loopContext, nodeTick, n.tick, n.flush)
 	stopHTTP(callerServer)
-	// Peers' streams never end by themselves, so there is nothing to wait for.
+	// A graceful shutdown would never end, because peers keep their streams open.
 	internalServer.Close()
 	event.NodeStopped.On(n.logger).Str("node", n.settings.ID).Send()
 	return err
@@ -136,8 +135,8 @@
 		go n.score(score)
 	}
 	for _, callerEvent := range n.core.TakeCallerEvents() {
-		if box := n.callers[callerEvent.Request]; box != nil {
-			box.Put(callerEvent)
+		if mailbox := n.callers[callerEvent.Request]; mailbox != nil {
+			mailbox.Put(callerEvent)
 			if callerEvent.Outcome != 0 {
 				delete(n.callers, callerEvent.Request)
 			}
@@ -146,7 +145,8 @@
 	return nil
 }
 
-// drain waits until the node has ended its work, and tells control.
+// drain waits until the node's work has ended or the drain timeout has passed. If the work has ended, it
+// notifies control.
 func (n *Node) drain() {
 	event.NodeDraining.On(n.logger).Str("node", n.settings.ID).Send()
 	n.loop.Submit(func() { n.core.Drain(n.now()) })
@@ -167,8 +167,7 @@
 
 func (n *Node) leave() {
 	n.loop.Submit(func() { n.core.Leave(n.now()) })
-	// The goodbye is a courtesy: without it the lease runs out. The pause lets
-	// the transport write it.
+	// The message is optional: without it the lease expires. The pause gives the transport time to write it.
 	time.Sleep(drainPoll)
 }
 
@@ -179,20 +178,20 @@
 	return router
 }
 
-// scoreReply is what a scoring service answers.
+// scoreReply is the response of a scoring service.
 type scoreReply struct {
 	Reward float64 `json:"reward"`
 }
 
-// scoreBody is what a scoring service is asked.
+// scoreBody is the request body for a scoring service.
 type scoreBody struct {
 	Pool   string   `json:"pool"`
 	Prompt string   `json:"prompt"`
 	Tokens []uint32 `json:"tokens"`
 }
 
-// score asks the scoring service until it answers or the node stops. Scoring
-// is a pure function of the result, so that repeating it does no harm.
+// score calls the scoring service until it answers or the node stops. Scoring is a pure function of the
+// result, so retries are safe.
 func (n *Node) score(score node.ScoreRequest) {
 	body, err := json.Marshal(scoreBody{Pool: score.Pool, Prompt: score.Prompt, Tokens: score.Tokens})
 	if err != nil {
--- a/server/process.go
+++ b/server/process.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	// callerIdleTimeout is how long a caller's connection may rest.
+	// callerIdleTimeout is how long a caller's connection may be idle.
 	callerIdleTimeout = 60 * time.Second
-	// memoryShare is the part of a limit that the collector keeps to, and
-	// collectPercent how much the heap may grow between collections.
-	memoryShare    = 0.8
-	collectPercent = 40
-	mebibyte       = 1 << 20
+	// memoryLimitFraction is the fraction of the process's memory limit that is set as Go's memory
+	// limit, and gcPercent is the value for debug.SetGCPercent.
+	memoryLimitFraction = 0.8
+	gcPercent           = 40
+	mebibyte            = 1 << 20
 )
 
-// limitMemory has the collector keep the process small, and under its limit.
+// limitMemory configures the garbage collector for a small heap within the memory limit.
 func limitMemory(settings config.Process) {
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(gcPercent)
 	if settings.MemoryLimit > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryLimit) * mebibyte))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryLimit) * mebibyte))
 	}
 }
 
-// checkClock says so if suspensions of the machine can only be guessed.
+// checkClock logs a warning if the machine has no clock that counts suspensions.
 func checkClock(logger *zerolog.Logger) {
 	if !clock.HasBootTime() {
 		event.BootClockUnavailable.On(logger).Send()
@@ -45,52 +45,50 @@
 	return &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: callerIdleTimeout}
 }
 
-// Listeners are the open addresses of a process. Metrics may be nil.
+// Listeners holds the open listeners of a process. Metrics may be nil.
 type Listeners struct {
-	// Internal is where other processes of dillchute call.
+	// Internal serves other processes of dillchute.
 	Internal net.Listener
-	// Outer is where callers, or operators and backends, call.
-	Outer net.Listener
-	// Ready is where the entry asks whether the process is ready.
+	// External serves callers, or operators and backends.
+	External net.Listener
+	// Ready serves the load balancer's readiness checks.
 	Ready   net.Listener
 	Metrics net.Listener
 }
 
-// Listen opens the addresses that are not empty.
+// Listen opens a listener for each address that is not empty.
 func Listen(internal, outer, ready, metrics string) (Listeners, error) {
 	var opened Listeners
-	for _, one := range []struct {
+	for _, target := range []struct {
 		address string
 		into    *net.Listener
-	}{{internal, &opened.Internal}, {outer, &opened.Outer}, {ready, &opened.Ready}, {metrics, &opened.Metrics}} {
-		if one.address == "" {
+	}{{internal, &opened.Internal}, {outer, &opened.External}, {ready, &opened.Ready}, {metrics, &opened.Metrics}} {
+		if target.address == "" {
 			continue
 		}
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", target.address)
 		if err != nil {
 			return opened, err
 		}
-		*one.into = listener
+		*target.into = listener
 	}
 	return opened, nil
 }
 
-// serveMetrics serves metrics and profiles, if there is a listener for them, and what else the
-// functions add.
-func serveMetrics(listener net.Listener, logger *zerolog.Logger, collect collector, further []prometheus.Collector, add ...func(router *mux.Router)) {
+// serveMetrics serves metrics, profiles and the added routes. It does nothing if the listener is nil.
+func serveMetrics(listener net.Listener, logger *zerolog.Logger, collect collector, extra []prometheus.Collector, addRoutes ...func(router *mux.Router)) {
 	if listener == nil {
 		return
 	}
 	router := mux.NewRouter()
-	addOperational(router, func() bool { return true }, newRegistry(collect, further...), true)
-	for _, one := range add {
-		one(router)
+	addOperational(router, func() bool { return true }, newRegistry(collect, extra...), true)
+	for _, addRoute := range addRoutes {
+		addRoute(router)
 	}
 	serveHTTP(newCallerServer(router), listener, logger)
 }
 
-// RunGateway serves callers and the entry until the context ends, and then ends
-// what runs.
+// RunGateway serves callers and readiness checks until the context ends, and then shuts down gracefully.
 func RunGateway(ctx context.Context, settings config.Gateway, gateway *Gateway, listeners Listeners, callers, ready http.Handler, logger *zerolog.Logger) error {
 	limitMemory(settings.Process)
 	checkClock(logger)
@@ -102,42 +100,42 @@
 	serveHTTP(readyServer, listeners.Ready, logger)
 	defer readyServer.Close()
 	callerServer := newCallerServer(gateway.closeConnections(callers))
-	serveHTTP(callerServer, listeners.Outer, logger)
+	serveHTTP(callerServer, listeners.External, logger)
 	event.GatewayStarted.On(logger).Str("name", settings.Name).Str("address", settings.CallerAddress).Send()
 	<-ctx.Done()
 	event.GatewayStopping.On(logger).Int("in_flight", gateway.InFlight()).Send()
-	err := gateway.end(callerServer, settings.Grace)
+	err := gateway.shutDown(callerServer, settings.Grace)
 	event.GatewayStopped.On(logger).Int("in_flight", gateway.InFlight()).Send()
 	return err
 }
 
-// callTime is what calls of operators and backends that a replica has taken have to end when it
-// stops: they are answered, one way or the other, within the second that their senders wait.
-const callTime = time.Second
+// controlShutdownTimeout is how long a stopping replica waits for open calls of operators and backends.
+// Their clients wait no longer than that.
+const controlShutdownTimeout = time.Second
 
-// RunDirectory serves operators and backends until the context ends. Calls that it has taken by
-// then end before the replica does, which they need.
-func RunDirectory(ctx context.Context, settings config.Directory, served *Directory, listeners Listeners, control http.Handler, logger *zerolog.Logger) error {
+// RunDirectory serves operators and backends until the context ends. The replica stops only after the
+// calls in progress, which depend on it.
+func RunDirectory(ctx context.Context, settings config.Directory, directory *Directory, listeners Listeners, control http.Handler, logger *zerolog.Logger) error {
 	limitMemory(settings.Process)
 	checkClock(logger)
-	serveMetrics(listeners.Metrics, logger, served.collect, served.metrics.collectors(), served.scale.addStatus)
+	serveMetrics(listeners.Metrics, logger, directory.collect, directory.metrics.collectors(), directory.scale.addStatusRoute)
 	controlServer := newCallerServer(control)
-	serveHTTP(controlServer, listeners.Outer, logger)
+	serveHTTP(controlServer, listeners.External, logger)
 	defer controlServer.Close()
 	replicaContext, stop := context.WithCancel(context.Background())
 	defer stop()
 	context.AfterFunc(ctx, func() {
 		defer stop()
-		// What is left then is cut, of which its sender learns no more than by an answer that is late.
-		_ = shutDown(controlServer, callTime)
+		// Calls still open after the timeout are aborted. Their clients have timed out by then.
+		_ = shutDownServer(controlServer, controlShutdownTimeout)
 	})
-	return served.Run(replicaContext, listeners.Internal)
+	return directory.Run(replicaContext, listeners.Internal)
 }
 
 // RunLedger serves gateways and other stores until the context ends.
-func RunLedger(ctx context.Context, settings config.Ledger, served *Ledger, listeners Listeners, logger *zerolog.Logger) error {
+func RunLedger(ctx context.Context, settings config.Ledger, ledger *Ledger, listeners Listeners, logger *zerolog.Logger) error {
 	limitMemory(settings.Process)
 	checkClock(logger)
-	serveMetrics(listeners.Metrics, logger, served.collect, served.metrics.collectors())
-	return served.Run(ctx, listeners.Internal)
+	serveMetrics(listeners.Metrics, logger, ledger.collect, ledger.metrics.collectors())
+	return ledger.Run(ctx, listeners.Internal)
 }
--- a/server/record.go
+++ b/server/record.go
@@ -78,7 +78,7 @@
 		limited, cancel := context.WithTimeout(t.context, recordTimeout)
 		_, err := t.replica.Execute(limited, ledger.Command{Record: record}.Encode())
 		cancel()
-		t.metrics.records.WithLabelValues(outcomeOf(err)).Observe(time.Since(began).Seconds())
+		t.metrics.records.WithLabelValues(outcomeLabel(err)).Observe(time.Since(began).Seconds())
 		line := event.ResultsRecorded.On(t.logger).Str("step", step).Uint("results", uint64(len(record.Results)))
 		if err != nil {
 			line.Err(err)
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -11,8 +11,7 @@
 	"github.com/dillchute/dillchute/replica"
 )
 
-// latencyBuckets are in seconds, for calls and requests of a few milliseconds up
-// to their time limits.
+// latencyBuckets are histogram buckets in seconds, for calls and requests.
 var latencyBuckets = []float64{.002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 10}
 
 func newCounter(name, help string, labels ...string) *prometheus.CounterVec {
@@ -25,8 +24,8 @@
 	}, labels)
 }
 
-// gatewayMetrics count what a gateway does. Labels take few values, whatever the
-// configuration holds.
+// gatewayMetrics holds a gateway's counters and histograms. The number of label values does not depend on
+// the configuration.
 type gatewayMetrics struct {
 	requests, attempts, steps *prometheus.CounterVec
 	latency                   *prometheus.HistogramVec
@@ -34,10 +33,10 @@
 
 func newGatewayMetrics() gatewayMetrics {
 	return gatewayMetrics{
-		requests: newCounter("gateway_requests_total", "Requests passed to backends, by outcome.", "outcome"),
-		attempts: newCounter("gateway_attempts_total", "Backends that requests were sent to."),
-		steps:    newCounter("gateway_steps_total", "Steps handed to the ledger, by outcome.", "outcome"),
-		latency:  newHistogram("gateway_request_seconds", "Time to a request's end, by outcome.", "outcome"),
+		requests: newCounter("gateway_requests_total", "Forwarded requests, by outcome.", "outcome"),
+		attempts: newCounter("gateway_attempts_total", "Attempts to send requests to backends."),
+		steps:    newCounter("gateway_steps_total", "Steps submitted to the ledger, by outcome.", "outcome"),
+		latency:  newHistogram("gateway_request_seconds", "Duration of requests, by outcome.", "outcome"),
 	}
 }
 
@@ -45,21 +44,21 @@
 	return []prometheus.Collector{m.requests, m.attempts, m.steps, m.latency}
 }
 
-// noteRequest counts a request that has ended.
-func (m gatewayMetrics) noteRequest(result forward.Result, took time.Duration) {
+// recordRequest records a finished request.
+func (m gatewayMetrics) recordRequest(result forward.Result, latency time.Duration) {
 	outcome := string(result.Reason)
 	if result.Response != nil {
 		outcome = fmt.Sprintf("answered_%dxx", result.Response.Status/statusClass)
 	}
 	m.requests.WithLabelValues(outcome).Inc()
 	m.attempts.WithLabelValues().Add(float64(result.Attempts))
-	m.latency.WithLabelValues(outcome).Observe(took.Seconds())
+	m.latency.WithLabelValues(outcome).Observe(latency.Seconds())
 }
 
-// statusClass is the number of statuses in a class such as 2xx.
+// statusClass is the number of status codes in a class such as 2xx.
 const statusClass = 100
 
-// ledgerMetrics count what a store's executor does.
+// ledgerMetrics holds the counters and histograms of a store's executor.
 type ledgerMetrics struct {
 	runs, events, samples, orders, checkpoints *prometheus.CounterVec
 	loads, records, run, steps                 *prometheus.HistogramVec
@@ -67,15 +66,15 @@
 
 func newLedgerMetrics() ledgerMetrics {
 	return ledgerMetrics{
-		runs:        newCounter("ledger_runs_total", "Runs of samples on engines, by their end (see event 6005).", "end"),
-		events:      newCounter("ledger_run_events_total", "Events of runs that this leader has taken in."),
+		runs:        newCounter("ledger_runs_total", "Finished runs of samples on engines, by end (see event 6005).", "end"),
+		events:      newCounter("ledger_run_events_total", "Run events processed by this leader."),
 		samples:     newCounter("ledger_samples_total", "Samples with a result, by state.", "state"),
 		orders:      newCounter("ledger_orders_total", "Orders to engines, by answer (see event 6008).", "answer"),
-		checkpoints: newCounter("ledger_checkpoints_total", "Texts of runs under way that were kept."),
-		loads:       newHistogram("ledger_load_seconds", "Time from an order to the end of its load, by outcome.", "outcome"),
+		checkpoints: newCounter("ledger_checkpoints_total", "Stored checkpoints of running samples."),
+		loads:       newHistogram("ledger_load_seconds", "Time from a load order to the end of the load, by outcome.", "outcome"),
 		records:     newHistogram("ledger_record_seconds", "Time to commit results, by outcome.", "outcome"),
-		run:         newHistogram("ledger_run_seconds", "Time of a run on an engine."),
-		steps:       newHistogram("ledger_step_seconds", "Time from taking a step in to the whole groups that its trainer waits for."),
+		run:         newHistogram("ledger_run_seconds", "Duration of a run on an engine."),
+		steps:       newHistogram("ledger_step_seconds", "Time from accepting a step to the number of complete groups that its trainer waits for."),
 	}
 }
 
@@ -83,27 +82,27 @@
 	return []prometheus.Collector{m.runs, m.events, m.samples, m.orders, m.checkpoints, m.loads, m.records, m.run, m.steps}
 }
 
-// directoryMetrics count what a replica of the directory is asked.
+// directoryMetrics holds the counters and histograms of a directory replica.
 type directoryMetrics struct {
-	calls                  *prometheus.HistogramVec
-	usage, orders, spoiled *prometheus.CounterVec
+	calls                                   *prometheus.HistogramVec
+	usageReports, orders, invalidHeartbeats *prometheus.CounterVec
 }
 
 func newDirectoryMetrics() directoryMetrics {
 	return directoryMetrics{
-		calls:   newHistogram("directory_call_seconds", "Calls carried out as leader, by outcome.", "outcome"),
-		usage:   newCounter("directory_usage_reports_total", "Reports of usage that were sent, by outcome.", "outcome"),
-		orders:  newCounter("directory_orders_total", "Orders of backends that were sent, by outcome.", "outcome"),
-		spoiled: newCounter("directory_spoiled_heartbeats_total", "Heartbeats that could not be used, by reason.", "reason"),
+		calls:             newHistogram("directory_call_seconds", "Duration of calls processed as leader, by outcome.", "outcome"),
+		usageReports:      newCounter("directory_usage_reports_total", "Usage reports sent, by outcome.", "outcome"),
+		orders:            newCounter("directory_orders_total", "Orders of backends sent, by outcome.", "outcome"),
+		invalidHeartbeats: newCounter("directory_spoiled_heartbeats_total", "Invalid heartbeats, by reason.", "reason"),
 	}
 }
 
 func (m directoryMetrics) collectors() []prometheus.Collector {
-	return []prometheus.Collector{m.calls, m.usage, m.orders, m.spoiled}
+	return []prometheus.Collector{m.calls, m.usageReports, m.orders, m.invalidHeartbeats}
 }
 
-// outcomeOf labels a call that ended with the error, or with none.
-func outcomeOf(err error) string {
+// outcomeLabel returns the outcome label of a call that returned the error.
+func outcomeLabel(err error) string {
 	if err != nil {
 		return "failed"
 	}
@@ -111,36 +110,36 @@
 }
 
 func collectReplica(emit chan<- prometheus.Metric, status *replica.Status) {
-	gauge(emit, "replica_leading", "Whether this replica leads.", oneIf(status.Leading))
-	gauge(emit, "replica_serving", "Whether this replica leads and has applied all that is committed.", oneIf(status.Serving))
-	gauge(emit, "replica_leader_known", "Whether a leader is known.", oneIf(status.LeaderKnown))
+	gauge(emit, "replica_leading", "Whether this replica leads.", boolToFloat(status.Leading))
+	gauge(emit, "replica_serving", "Whether this replica leads and has applied all committed entries.", boolToFloat(status.Serving))
+	gauge(emit, "replica_leader_known", "Whether a leader is known.", boolToFloat(status.LeaderKnown))
 	gauge(emit, "replica_term", "The replica's consensus term.", float64(status.Term))
 	gauge(emit, "replica_commit_index", "The last committed log index.", float64(status.Commit))
 	gauge(emit, "replica_log_entries", "Log entries since the newest snapshot.", float64(status.LogSize))
 	gauge(emit, "replica_members", "Members of the group.", float64(len(status.Members)))
 	gauge(emit, "replica_voters", "Members of the group with a vote.", float64(status.Voters()))
 	gauge(emit, "replica_silent_voters", "On a leader, voters that have not replied for an election timeout.", float64(status.SilentVoters))
-	gauge(emit, "replica_missing_voters", "On a leader, voters that the group lacks or that are silent for long.", float64(status.MissingVoters))
+	gauge(emit, "replica_missing_voters", "On a leader, voters that the group lacks or that have been silent for a long time.", float64(status.MissingVoters))
 }
 
 func (d *Directory) collect(emit chan<- prometheus.Metric) {
 	collectReplica(emit, d.replica.Status())
 	collectTransport(emit, d.replica.Counts())
 	d.scale.collect(emit)
-	gauge(emit, "directory_watches", "Watches that are held.", float64(d.evidence.watches()))
-	gauge(emit, "directory_backends", "Backends that are registered.", float64(d.view.Load().BackendCount()))
+	gauge(emit, "directory_watches", "Open watches.", float64(d.evidence.watches()))
+	gauge(emit, "directory_backends", "Registered backends.", float64(d.view.Load().BackendCount()))
 	d.replica.Do(func() {
-		gauge(emit, "directory_version_in_use", "Version of the directory's commands that is in use.", float64(d.machine.VersionInUse()))
-		gauge(emit, "directory_usage_untold", "Windows of usage that are fixed and were not taken yet.", float64(len(d.machine.Usage().Untold)))
-		suspects, held := 0, 0
+		gauge(emit, "directory_version_in_use", "Command version that the directory uses.", float64(d.machine.VersionInUse()))
+		gauge(emit, "directory_usage_untold", "Fixed usage windows whose report was not accepted yet.", float64(len(d.machine.Usage().Untold)))
+		suspects, quarantined := 0, 0
 		d.machine.Suspects(func(suspect quarantine.Suspect, _ uint64) {
 			suspects++
 			if suspect.IsQuarantined() {
-				held++
+				quarantined++
 			}
 		})
-		gauge(emit, "directory_suspects", "Requests under which a backend has ended and that none has answered since.", float64(suspects))
-		gauge(emit, "directory_requests_held", "Requests that are held back since they crash backends.", float64(held))
+		gauge(emit, "directory_suspects", "Requests that crashed a backend and that no backend has answered since.", float64(suspects))
+		gauge(emit, "directory_requests_held", "Requests that are quarantined because they crash backends.", float64(quarantined))
 	})
 }
 
@@ -150,28 +149,28 @@
 		collectReplica(emit, status)
 		collectTransport(emit, l.replica.Counts())
 	}
-	gauge(emit, "ledger_runners_open", "On a leader, stores that can hold streams of runs for it.", float64(l.executor.runnersOpen.Load()))
+	gauge(emit, "ledger_runners_open", "On a leader, stores that can hold run streams for it.", float64(l.executor.runnersOpen.Load()))
 	l.executor.collectPlan(emit)
 	gauge(emit, "runner_runs", "Runs whose streams this store holds for the leader.", float64(l.runs.ActiveRuns()))
 }
 
 func (g *Gateway) collect(emit chan<- prometheus.Metric) {
 	g.watcher.collect(emit)
-	gauge(emit, "gateway_ready", "Whether the gateway takes new connections.", oneIf(g.Ready()))
-	gauge(emit, "gateway_in_flight", "Requests that have not ended.", float64(g.InFlight()))
+	gauge(emit, "gateway_ready", "Whether the gateway accepts new connections.", boolToFloat(g.Ready()))
+	gauge(emit, "gateway_in_flight", "Requests in flight.", float64(g.InFlight()))
 	g.limits.collect(emit)
 	late, dropped := g.usage.meter.Lost()
-	gauge(emit, "gateway_usage_late", "Requests that were counted too late for their window of usage.", float64(late))
-	gauge(emit, "gateway_usage_dropped", "Requests that were not counted for lack of room.", float64(dropped))
+	gauge(emit, "gateway_usage_late", "Requests that were counted too late for their usage window.", float64(late))
+	gauge(emit, "gateway_usage_dropped", "Requests that were not counted because the meter was full.", float64(dropped))
 }
 
 func (w *Watcher) collect(emit chan<- prometheus.Metric) {
 	catalog := w.Catalog()
-	gauge(emit, "configuration_version", "The configuration that this process follows.", float64(catalog.Version))
-	gauge(emit, "directory_revision", "The directory's revision that this process knows.", float64(catalog.Revision))
-	gauge(emit, "directory_age_seconds", "Time since the directory last answered.", w.ageSeconds())
-	gauge(emit, "copy_age_seconds", "Time since this process's copy of the directory is known to have held everything.", w.copyAgeSeconds())
-	const name, help = "copy_questions_total", "Questions what a copy that grows old misses, by outcome."
+	gauge(emit, "configuration_version", "Version of the configuration that this process uses.", float64(catalog.Version))
+	gauge(emit, "directory_revision", "Revision of this process's copy of the directory.", float64(catalog.Revision))
+	gauge(emit, "directory_age_seconds", "Time since the last answer of the directory.", w.ageSeconds())
+	gauge(emit, "copy_age_seconds", "Time since this process's copy of the directory was last known to be complete.", w.copyAgeSeconds())
+	const name, help = "copy_questions_total", "Requests for missing changes to an aging copy of the directory, by outcome."
 	counter(emit, name, help, w.questions.Load(), "outcome", "answered")
 	counter(emit, name, help, w.questionsInVain.Load(), "outcome", "unanswered")
 }
--- a/server/rpc.go
+++ b/server/rpc.go
@@ -19,10 +19,10 @@
 	"github.com/dillchute/dillchute/transport"
 )
 
-// LeaderHeader names the leader's address in a refusal by another replica.
+// LeaderHeader is the header in which a replica that is not the leader returns the leader's address.
 const LeaderHeader = "Dillchute-Leader"
 
-// The bounds of what a call may ask for.
+// Limits of request fields.
 const (
 	maxBodyBytes     = 64 << 20
 	maxStepSamples   = 65536
@@ -46,18 +46,18 @@
 	return router
 }
 
-func invalid(format string, arguments ...any) error {
+func invalidArgument(format string, arguments ...any) error {
 	return connect.NewError(connect.CodeInvalidArgument, fmt.Errorf(format, arguments...))
 }
 
-// request asks the core and turns a reply without an outcome into an error. All
-// calls carry identities or are idempotent, so that callers may resend them.
+// request calls the core and returns an error if the call was not completed. All calls carry identities or
+// are idempotent, so callers may retry them.
 func (c *Control) request(ctx context.Context, start func(id uint64)) (control.Reply, error) {
-	reply, ok := c.ask(ctx, start)
+	reply, ok := c.call(ctx, start)
 	if ok && reply.Outcome == protocol.ProposeDone {
 		return reply, nil
 	}
-	err := connect.NewError(connect.CodeUnavailable, fmt.Errorf("this replica cannot decide the call"))
+	err := connect.NewError(connect.CodeUnavailable, fmt.Errorf("this replica cannot complete the call"))
 	err.Meta().Set(LeaderHeader, reply.Leader)
 	return reply, err
 }
@@ -79,10 +79,10 @@
 func (o operations) Apply(ctx context.Context, request *connect.Request[dillchutev1.ApplyRequest]) (*connect.Response[dillchutev1.ApplyResponse], error) {
 	message := request.Msg
 	if message.ChangeId == "" || len(message.ChangeId) > maxIdentityBytes {
-		return nil, invalid("change_id: must be 1 to %d bytes", maxIdentityBytes)
+		return nil, invalidArgument("change_id: must be 1 to %d bytes", maxIdentityBytes)
 	}
 	if len(message.Pools) > maxDeclaredPools {
-		return nil, invalid("pools: must be at most %d", maxDeclaredPools)
+		return nil, invalidArgument("pools: must be at most %d", maxDeclaredPools)
 	}
 	command := &state.Apply{
 		ChangeID: message.ChangeId, Base: message.BaseRevision, SourceCommit: message.SourceCommit, Author: message.Author,
@@ -225,7 +225,7 @@
 	}
 	var id uint64
 	if _, err := fmt.Sscan(request.Msg.Replica, &id); err != nil || id == 0 {
-		return nil, invalid("replica: must be a positive number")
+		return nil, invalidArgument("replica: must be a positive number")
 	}
 	accepted := make(chan bool, 1)
 	queued := o.loop.Submit(func() { accepted <- o.changeMembership(request.Msg, consensus.ReplicaID(id)) })
@@ -234,7 +234,7 @@
 	}
 	response := &dillchutev1.ChangeMembershipResponse{Accepted: <-accepted}
 	if !response.Accepted {
-		response.Reason = "another change is under way, or the group would not be the better for it"
+		response.Reason = "another change is in progress, or the change would not improve the group"
 	}
 	return connect.NewResponse(response), nil
 }
@@ -266,21 +266,21 @@
 
 func submitFromProto(message *dillchutev1.SubmitStepRequest) (*state.SubmitStep, error) {
 	if message.Step == 0 {
-		return nil, invalid("step: must be at least 1")
+		return nil, invalidArgument("step: must be at least 1")
 	}
 	if len(message.Samples) == 0 || len(message.Samples) > maxStepSamples {
-		return nil, invalid("samples: must be 1 to %d", maxStepSamples)
+		return nil, invalidArgument("samples: must be 1 to %d", maxStepSamples)
 	}
 	command := &state.SubmitStep{Pool: message.Pool, Step: message.Step}
 	seen := make(map[uint32]bool, len(message.Samples))
 	for position, sample := range message.Samples {
 		switch {
 		case seen[sample.Index]:
-			return nil, invalid("samples[%d].index: %d is there twice", position, sample.Index)
+			return nil, invalidArgument("samples[%d].index: %d is a duplicate", position, sample.Index)
 		case sample.MaxTokens == 0 || sample.MaxTokens > maxSampleTokens:
-			return nil, invalid("samples[%d].max_tokens: must be 1 to %d", position, maxSampleTokens)
+			return nil, invalidArgument("samples[%d].max_tokens: must be 1 to %d", position, maxSampleTokens)
 		case len(sample.Prompt) > maxPromptBytes:
-			return nil, invalid("samples[%d].prompt: must be at most %d bytes", position, maxPromptBytes)
+			return nil, invalidArgument("samples[%d].prompt: must be at most %d bytes", position, maxPromptBytes)
 		}
 		seen[sample.Index] = true
 		command.Prompts = append(command.Prompts, state.Prompt{
@@ -310,7 +310,7 @@
 func (r rollouts) Fetch(ctx context.Context, request *connect.Request[dillchutev1.FetchRequest]) (*connect.Response[dillchutev1.FetchResponse], error) {
 	message := request.Msg
 	if message.MaxSamples == 0 || message.MaxSamples > maxFetchSamples {
-		return nil, invalid("max_samples: must be 1 to %d", maxFetchSamples)
+		return nil, invalidArgument("max_samples: must be 1 to %d", maxFetchSamples)
 	}
 	wait := min(int64(message.WaitMilliseconds), maxFetchWait.Milliseconds())
 	command := &state.Fetch{
@@ -346,7 +346,7 @@
 // PublishWeights implements the schema's PublishWeights.
 func (r rollouts) PublishWeights(ctx context.Context, request *connect.Request[dillchutev1.PublishWeightsRequest]) (*connect.Response[dillchutev1.PublishWeightsResponse], error) {
 	if request.Msg.Model == "" || request.Msg.Version == 0 {
-		return nil, invalid("model and version: must be set")
+		return nil, invalidArgument("model and version: must be set")
 	}
 	result, err := r.commit(ctx, state.Command{PublishVersion: &state.PublishVersion{
 		Model: request.Msg.Model, Version: request.Msg.Version,
--- a/server/scale_keeper.go
+++ b/server/scale_keeper.go
@@ -18,161 +18,160 @@
 )
 
 const (
-	// scaleSubject begins the names of the duty's subjects in the record of acts: one for each
-	// service and zone.
-	scaleSubject = "scale/"
-	// scaleRetry is the pause after orders that were not all taken.
-	scaleRetry = 250 * time.Millisecond
-	// answerTimeout bounds the record of an answer.
-	answerTimeout = time.Second
-	// roundLimit is how long after a plan its orders are begun; later ones are planned anew, by what
-	// was heard meanwhile.
-	roundLimit = time.Second
+	// scaleSubjectPrefix starts the duty subjects of scaling; there is one per service and zone.
+	scaleSubjectPrefix = "scale/"
+	// scaleRetryDelay is the delay after an order that was not accepted.
+	scaleRetryDelay = 250 * time.Millisecond
+	// recordAnswerTimeout limits the time to record an answer.
+	recordAnswerTimeout = time.Second
+	// maxRoundAge is how long after planning an order may be started. Later orders are planned again
+	// with newer demand.
+	maxRoundAge = time.Second
 )
 
-// ScaleSend is one order of backends on its way.
+// ScaleSend is one attempt to send an order of backends.
 type ScaleSend struct {
 	DutySend
 	Wish capacity.Wish
 }
 
-// scaleKeeper orders backends for the services that may be scaled, on the directory's leader.
-type scaleKeeper struct {
+// scaleController orders backends for scalable services on the directory's leader.
+type scaleController struct {
 	settings config.Directory
-	duties   *dutyKeeper
+	duties   *dutyCoordinator
 	client   DutyClient
 	metrics  directoryMetrics
 	logger   *zerolog.Logger
-	// sending is set while orders are under way: plans are made by what came of them.
+	// sending is set while orders are being sent. Planning waits for their outcome.
 	sending atomic.Bool
 
 	mutex sync.Mutex
-	// demands are those heard since the last review, by service.
+	// demands holds the demand received since the last review, by service.
 	demands map[string]capacity.Demand
-	// planners and plans are those of this leadership, by service.
+	// planners and plans are kept for the current leadership, by service.
 	planners map[string]*capacity.Planner
 	plans    map[string]capacity.Plan
 }
 
-// enabled tells whether backends are ordered at all.
-func (k *scaleKeeper) enabled() bool { return k.settings.IsScalingEnabled() && k.client != nil }
+// isEnabled reports whether scaling is configured.
+func (c *scaleController) isEnabled() bool { return c.settings.IsScalingEnabled() && c.client != nil }
 
-// begin forgets what an earlier leadership has seen.
-func (k *scaleKeeper) begin() {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.demands, k.planners, k.plans = map[string]capacity.Demand{}, map[string]*capacity.Planner{}, map[string]capacity.Plan{}
+// reset drops the state of an earlier leadership.
+func (c *scaleController) reset() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.demands, c.planners, c.plans = map[string]capacity.Demand{}, map[string]*capacity.Planner{}, map[string]capacity.Plan{}
 }
 
-// hear takes in what the ledger's leader needs, where backends are ordered.
-func (k *scaleKeeper) hear(demands []capacity.Demand) {
-	if !k.enabled() {
+// recordDemands stores the demand reported by the ledger's leader, if scaling is enabled.
+func (c *scaleController) recordDemands(demands []capacity.Demand) {
+	if !c.isEnabled() {
 		return
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	for _, demand := range demands {
-		k.demands[demand.Service] = demand
+		c.demands[demand.Service] = demand
 	}
 }
 
-// review plans anew, and gives the orders that are due, on the leader.
-func (k *scaleKeeper) review(catalog *directory.Catalog) {
-	if !k.enabled() {
+// review updates the plans and sends the due orders. It runs on the leader.
+func (c *scaleController) review(catalog *directory.Catalog) {
+	if !c.isEnabled() {
 		return
 	}
-	k.forget(catalog)
-	if k.sending.Load() {
-		k.listen(catalog)
+	c.removeUnscaled(catalog)
+	if c.sending.Load() {
+		c.recordPendingDemands(catalog)
 		return
 	}
-	round := scaleRound{term: k.duties.replica.Status().Term, planned: clock.Now()}
+	round := scaleRound{term: c.duties.replica.Status().Term, plannedAt: clock.Now()}
 	var orders []capacity.Order
 	for name, service := range catalog.Services {
 		if service.Scale != nil {
-			orders = append(orders, k.plan(catalog, name, service)...)
+			orders = append(orders, c.plan(catalog, name, service)...)
 		}
 	}
-	if len(orders) == 0 || k.settings.HoldOrders {
+	if len(orders) == 0 || c.settings.HoldOrders {
 		return
 	}
-	k.sending.Store(true)
+	c.sending.Store(true)
 	go func() {
-		defer k.sending.Store(false)
-		k.give(round, orders)
+		defer c.sending.Store(false)
+		c.sendOrders(round, orders)
 	}()
 }
 
-// scaleRound is when orders were planned, and in which term.
+// scaleRound holds when and in which term a set of orders was planned.
 type scaleRound struct {
-	term    uint64
-	planned time.Time
+	term      uint64
+	plannedAt time.Time
 }
 
-// isOver tells whether the round's other orders are not to be given any more.
-func (r scaleRound) isOver(term uint64) bool {
-	return term != r.term || clock.Since(r.planned) >= roundLimit
+// isExpired reports whether the round's remaining orders must no longer be sent.
+func (r scaleRound) isExpired(term uint64) bool {
+	return term != r.term || clock.Since(r.plannedAt) >= maxRoundAge
 }
 
-// forget drops what is known of services that cannot be scaled any more.
-func (k *scaleKeeper) forget(catalog *directory.Catalog) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	for name := range k.planners {
+// removeUnscaled drops the state of services that are no longer scalable.
+func (c *scaleController) removeUnscaled(catalog *directory.Catalog) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for name := range c.planners {
 		if catalog.Services[name].Scale == nil {
-			delete(k.planners, name)
-			delete(k.plans, name)
+			delete(c.planners, name)
+			delete(c.plans, name)
 		}
 	}
-	maps.DeleteFunc(k.demands, func(name string, _ capacity.Demand) bool { return catalog.Services[name].Scale == nil })
+	maps.DeleteFunc(c.demands, func(name string, _ capacity.Demand) bool { return catalog.Services[name].Scale == nil })
 }
 
-// listen has the planners take in what is needed while orders are under way.
-func (k *scaleKeeper) listen(catalog *directory.Catalog) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	for name, demand := range k.demands {
-		if planner := k.planners[name]; planner != nil {
+// recordPendingDemands passes new demand to the planners while orders are being sent.
+func (c *scaleController) recordPendingDemands(catalog *directory.Catalog) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for name, demand := range c.demands {
+		if planner := c.planners[name]; planner != nil {
 			planner.RecordDemand(nowMillis(), *catalog.Services[name].Scale, demand)
-			delete(k.demands, name)
+			delete(c.demands, name)
 		}
 	}
 }
 
-// plan makes the service's plan.
-func (k *scaleKeeper) plan(catalog *directory.Catalog, name string, service routing.Service) []capacity.Order {
-	fleet := fleetOf(catalog, service, k.settings.ToleratedZones > 0)
+// plan updates the service's plan and returns the due orders.
+func (c *scaleController) plan(catalog *directory.Catalog, name string, service routing.Service) []capacity.Order {
+	fleet := newFleet(catalog, service, c.settings.ToleratedZones > 0)
 	fleet.Orders = map[capacity.Pool]capacity.Order{}
-	k.duties.replica.Do(func() {
-		for _, order := range k.duties.machine.Orders(name) {
+	c.duties.replica.Do(func() {
+		for _, order := range c.duties.machine.Orders(name) {
 			fleet.Orders[order.Wish.Pool()] = order
 			fleet.AddZone(order.Wish.Zone)
 		}
 	})
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	fleet.Demand, fleet.HasNewDemand = k.demands[name], false
-	if _, heard := k.demands[name]; heard {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	fleet.Demand, fleet.HasNewDemand = c.demands[name], false
+	if _, exists := c.demands[name]; exists {
 		fleet.HasNewDemand = true
-		delete(k.demands, name)
+		delete(c.demands, name)
 	}
-	planner := k.planners[name]
+	planner := c.planners[name]
 	if planner == nil {
 		planner = capacity.NewPlanner()
-		k.planners[name] = planner
+		c.planners[name] = planner
 	}
 	plan := planner.Plan(nowMillis(), fleet)
-	if before := k.plans[name]; before.Reason != plan.Reason || len(plan.Orders) > 0 && !k.settings.HoldOrders {
-		event.CapacityPlanned.On(k.logger).Str("service", name).Str("reason", plan.Reason.String()).Uint("slots", uint64(plan.Slots)).
+	if previous := c.plans[name]; previous.Reason != plan.Reason || len(plan.Orders) > 0 && !c.settings.HoldOrders {
+		event.CapacityPlanned.On(c.logger).Str("service", name).Str("reason", plan.Reason.String()).Uint("slots", uint64(plan.Slots)).
 			Uint("engines", uint64(plan.Engines)).Uint("ready", uint64(plan.Ready())).Uint("orders", uint64(len(plan.Orders))).Send()
 	}
-	k.plans[name] = plan
+	c.plans[name] = plan
 	return plan.Orders
 }
 
-// fleetOf returns what the directory knows of the service.
-func fleetOf(catalog *directory.Catalog, service routing.Service, bearsZone bool) capacity.Fleet {
-	fleet := capacity.Fleet{Service: service.Name, Scale: *service.Scale, ToleratesZoneLoss: bearsZone}
+// newFleet returns the service's backends and zones as recorded in the catalog.
+func newFleet(catalog *directory.Catalog, service routing.Service, toleratesZoneLoss bool) capacity.Fleet {
+	fleet := capacity.Fleet{Service: service.Name, Scale: *service.Scale, ToleratesZoneLoss: toleratesZoneLoss}
 	for zone := range service.Scale.ZonePrices {
 		fleet.AddZone(zone)
 	}
@@ -186,49 +185,49 @@
 	return fleet
 }
 
-// give sends the orders one after the other. The first one that is not answered ends it, and so does
-// the round's end: the next review looks at what is due by then.
-func (k *scaleKeeper) give(round scaleRound, orders []capacity.Order) {
+// sendOrders sends the orders one by one. It stops at the first order without a definite answer and when
+// the round expires; the next review plans the remaining ones again.
+func (c *scaleController) sendOrders(round scaleRound, orders []capacity.Order) {
 	for _, order := range orders {
-		if round.isOver(k.duties.replica.Status().Term) {
+		if round.isExpired(c.duties.replica.Status().Term) {
 			return
 		}
-		outcome, err := k.send(order)
-		event.ScalingOrderFinished.On(k.logger).Str("service", order.Wish.Service).Str("pool", order.Wish.Pool().String()).
+		outcome, err := c.sendOrder(order)
+		event.ScalingOrderFinished.On(c.logger).Str("service", order.Wish.Service).Str("pool", order.Wish.Pool().String()).
 			Uint("count", uint64(order.Wish.Count)).Uint("before", uint64(order.Before)).Str("outcome", outcome.String()).Err(err).Send()
 		switch outcome {
 		case DutyTaken:
-			k.note(order, capacity.Taken)
+			c.recordAnswer(order, capacity.Taken)
 		case DutyExhausted:
-			k.note(order, capacity.Exhausted)
+			c.recordAnswer(order, capacity.Exhausted)
 		case DutyRefused:
-			k.note(order, capacity.Refused)
+			c.recordAnswer(order, capacity.Refused)
 		default:
-			time.Sleep(scaleRetry)
+			time.Sleep(scaleRetryDelay)
 			return
 		}
 	}
 }
 
-// send sends an order after it was recorded.
-func (k *scaleKeeper) send(order capacity.Order) (DutyOutcome, error) {
-	subject := scaleSubject + order.Wish.Service + "/" + order.Wish.Zone
-	if !k.duties.mayAct(subject) {
+// sendOrder records an order and then sends it.
+func (c *scaleController) sendOrder(order capacity.Order) (DutyOutcome, error) {
+	subject := scaleSubjectPrefix + order.Wish.Service + "/" + order.Wish.Zone
+	if !c.duties.mayAct(subject) {
 		return DutyBusy, nil
 	}
-	return k.duties.act(subject, []directory.Command{{Order: &order}}, func(ctx context.Context, send DutySend) DutyOutcome {
-		outcome := k.client.SendScale(ctx, ScaleSend{DutySend: send, Wish: order.Wish})
-		k.metrics.orders.WithLabelValues(outcome.String()).Inc()
+	return c.duties.act(subject, []directory.Command{{Order: &order}}, func(ctx context.Context, send DutySend) DutyOutcome {
+		outcome := c.client.SendScale(ctx, ScaleSend{DutySend: send, Wish: order.Wish})
+		c.metrics.orders.WithLabelValues(outcome.String()).Inc()
 		return outcome
 	})
 }
 
-// note records the answer to an order. If that fails the order is given again, in the same way.
-func (k *scaleKeeper) note(order capacity.Order, answer capacity.Answer) {
+// recordAnswer records the answer to an order. If that fails, the same order is sent again.
+func (c *scaleController) recordAnswer(order capacity.Order, answer capacity.Answer) {
 	order.Answer = answer
-	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), recordAnswerTimeout)
 	defer cancel()
-	if _, err := k.duties.replica.Execute(ctx, directory.Command{Order: &order}.Encode()); err != nil {
-		event.ScalingResultNotRecorded.On(k.logger).Str("service", order.Wish.Service).Str("pool", order.Wish.Pool().String()).Err(err).Send()
+	if _, err := c.duties.replica.Execute(ctx, directory.Command{Order: &order}.Encode()); err != nil {
+		event.ScalingResultNotRecorded.On(c.logger).Str("service", order.Wish.Service).Str("pool", order.Wish.Pool().String()).Err(err).Send()
 	}
 }
--- a/server/scale_keeper_test.go
+++ b/server/scale_keeper_test.go
@@ -18,35 +18,35 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// orderTaker is a stand-in of whoever takes orders of backends.
-type orderTaker struct {
+// fakeDutyClient records the orders of backends that it receives.
+type fakeDutyClient struct {
 	mutex sync.Mutex
 	sends []ScaleSend
-	// answer says what becomes of an order; without it, all are taken.
+	// answer returns the outcome of an order. If nil, all orders are accepted.
 	answer func(send ScaleSend) DutyOutcome
 }
 
-func (o *orderTaker) SendUsage(context.Context, UsageSend) DutyOutcome { return DutyTaken }
+func (f *fakeDutyClient) SendUsage(context.Context, UsageSend) DutyOutcome { return DutyTaken }
 
-func (o *orderTaker) SendScale(_ context.Context, send ScaleSend) DutyOutcome {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.sends = append(o.sends, send)
-	if o.answer == nil {
+func (f *fakeDutyClient) SendScale(_ context.Context, send ScaleSend) DutyOutcome {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.sends = append(f.sends, send)
+	if f.answer == nil {
 		return DutyTaken
 	}
-	return o.answer(send)
+	return f.answer(send)
 }
 
-func (o *orderTaker) taken() []ScaleSend {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return append([]ScaleSend(nil), o.sends...)
+func (f *fakeDutyClient) sent() []ScaleSend {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return append([]ScaleSend(nil), f.sends...)
 }
 
-// loneDirectory runs a directory of one replica that serves. Reviews of its own order nothing, since
-// it has no configuration.
-func loneDirectory(t *testing.T, client DutyClient, change func(settings *config.Directory)) (*Directory, context.CancelFunc) {
+// startSingleReplica starts a directory with one replica and waits until it serves. Its own reviews send no
+// orders because it has no configuration.
+func startSingleReplica(t *testing.T, client DutyClient, configure func(settings *config.Directory)) (*Directory, context.CancelFunc) {
 	logger := zerolog.Nop()
 	internal, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -57,49 +57,49 @@
 	settings.FirstStart, settings.ToleratedLosses = true, 0
 	settings.Peers = []string{settings.InternalAddress}
 	settings.DutyAddress, settings.Duties = "127.0.0.1:1", []string{config.DutyScale}
-	if change != nil {
-		change(&settings)
+	if configure != nil {
+		configure(&settings)
 	}
 	process := settings.Process
 	d, err := NewDirectory(settings, NewSeeds(process, func() (config.Process, error) { return process, nil }, &logger), client, &logger)
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		_ = d.Run(ctx, internal)
 	}()
 	t.Cleanup(func() {
 		stop()
-		<-ended
+		<-done
 	})
 	require.Eventually(t, func() bool { return d.Status().Serving }, time.Minute, time.Millisecond)
 	return d, func() {
 		stop()
-		<-ended
+		<-done
 	}
 }
 
-func orderOf(count int) capacity.Order {
+func newOrder(count int) capacity.Order {
 	return capacity.Order{Wish: capacity.Wish{Service: "s", Zone: "z", Count: count}, Before: 1, Number: 1}
 }
 
-// roundOf is a round that begins now.
-func roundOf(d *Directory) scaleRound {
-	return scaleRound{term: d.Status().Term, planned: clock.Now()}
+// newRound returns a round planned now in the current term.
+func newRound(d *Directory) scaleRound {
+	return scaleRound{term: d.Status().Term, plannedAt: clock.Now()}
 }
 
-// keptOrders returns what is kept of the service's orders.
-func keptOrders(d *Directory) (orders []capacity.Order) {
+// recordedOrders returns the recorded orders of the service.
+func recordedOrders(d *Directory) (orders []capacity.Order) {
 	d.replica.Do(func() { orders = d.machine.Orders("s") })
 	return orders
 }
 
-// TestOrderIsRecordedBeforeItIsSent: whoever holds the duty next finds it, whatever happens to this
-// process meanwhile, and finds its answer.
-func TestOrderIsRecordedBeforeItIsSent(t *testing.T) {
-	taker := &orderTaker{}
-	d, _ := loneDirectory(t, taker, nil)
+// TestOrderIsRecordedBeforeSending checks that an order and its answer are recorded, so that the next holder
+// of the duty can continue from them.
+func TestOrderIsRecordedBeforeSending(t *testing.T) {
+	client := &fakeDutyClient{}
+	d, _ := startSingleReplica(t, client, nil)
 	answers := map[DutyOutcome]capacity.Answer{
 		DutyTaken: capacity.Taken, DutyExhausted: capacity.Exhausted, DutyRefused: capacity.Refused,
 		DutyBusy: capacity.Open, DutyUnanswered: capacity.Open,
@@ -107,10 +107,10 @@
 	number := uint64(0)
 	for outcome, answer := range answers {
 		number++
-		order := orderOf(3)
+		order := newOrder(3)
 		order.Number = number
-		taker.answer = func(send ScaleSend) DutyOutcome {
-			require.Equal(t, []capacity.Order{order}, keptOrders(d))
+		client.answer = func(send ScaleSend) DutyOutcome {
+			require.Equal(t, []capacity.Order{order}, recordedOrders(d))
 			d.replica.Do(func() { require.Equal(t, "d", d.machine.Actions()["scale/s/z"].Holder) })
 			require.Equal(t, ScaleSend{DutySend: send.DutySend, Wish: order.Wish}, send)
 			require.Equal(t, d.Status().Term, send.Fence)
@@ -118,106 +118,106 @@
 			require.LessOrEqual(t, clock.Until(send.SendBy), duty.MaxStartDelay)
 			return outcome
 		}
-		d.scale.give(roundOf(d), []capacity.Order{order})
+		d.scale.sendOrders(newRound(d), []capacity.Order{order})
 		order.Answer = answer
-		require.Equal(t, []capacity.Order{order}, keptOrders(d), outcome.String())
+		require.Equal(t, []capacity.Order{order}, recordedOrders(d), outcome.String())
 	}
-	require.Len(t, taker.taken(), len(answers))
+	require.Len(t, client.sent(), len(answers))
 }
 
-// TestFirstUnansweredOrderEndsTheRound: those after it are looked at again by then.
-func TestFirstUnansweredOrderEndsTheRound(t *testing.T) {
-	taker := &orderTaker{answer: func(ScaleSend) DutyOutcome { return DutyUnanswered }}
-	d, _ := loneDirectory(t, taker, nil)
-	second := orderOf(4)
+// TestUnansweredOrderEndsRound checks that no order is sent after one without an answer.
+func TestUnansweredOrderEndsRound(t *testing.T) {
+	client := &fakeDutyClient{answer: func(ScaleSend) DutyOutcome { return DutyUnanswered }}
+	d, _ := startSingleReplica(t, client, nil)
+	second := newOrder(4)
 	second.Wish.Zone = "y"
-	d.scale.give(roundOf(d), []capacity.Order{orderOf(3), second})
-	require.Len(t, taker.taken(), 1)
-	require.Len(t, keptOrders(d), 1)
+	d.scale.sendOrders(newRound(d), []capacity.Order{newOrder(3), second})
+	require.Len(t, client.sent(), 1)
+	require.Len(t, recordedOrders(d), 1)
 }
 
-// TestRoundsEnd: orders that were planned long ago, or in another term, are planned anew.
-func TestRoundsEnd(t *testing.T) {
-	taker := &orderTaker{}
-	d, _ := loneDirectory(t, taker, nil)
+// TestExpiredRoundSendsNothing checks that orders planned too long ago or in another term are not sent.
+func TestExpiredRoundSendsNothing(t *testing.T) {
+	client := &fakeDutyClient{}
+	d, _ := startSingleReplica(t, client, nil)
 	term := d.Status().Term
-	d.scale.give(scaleRound{term: term, planned: clock.Now().Add(-roundLimit)}, []capacity.Order{orderOf(3)})
-	d.scale.give(scaleRound{term: term - 1, planned: clock.Now()}, []capacity.Order{orderOf(3)})
-	require.Empty(t, taker.taken())
-	require.Empty(t, keptOrders(d))
+	d.scale.sendOrders(scaleRound{term: term, plannedAt: clock.Now().Add(-maxRoundAge)}, []capacity.Order{newOrder(3)})
+	d.scale.sendOrders(scaleRound{term: term - 1, plannedAt: clock.Now()}, []capacity.Order{newOrder(3)})
+	require.Empty(t, client.sent())
+	require.Empty(t, recordedOrders(d))
 }
 
-// TestDemandIsHeardWhileOrdersAreSent: it is not put aside until they are answered, and what is told
-// of services that cannot be scaled is dropped.
-func TestDemandIsHeardWhileOrdersAreSent(t *testing.T) {
-	asked, release := make(chan struct{}, 100), make(chan struct{})
-	taker := &orderTaker{answer: func(ScaleSend) DutyOutcome {
-		asked <- struct{}{}
+// TestDemandIsRecordedWhileOrdersAreSent checks that new demand reaches the planners while orders are being
+// sent, and that demand of services without scaling is dropped.
+func TestDemandIsRecordedWhileOrdersAreSent(t *testing.T) {
+	started, release := make(chan struct{}, 100), make(chan struct{})
+	client := &fakeDutyClient{answer: func(ScaleSend) DutyOutcome {
+		started <- struct{}{}
 		<-release
 		return DutyTaken
 	}}
-	d, _ := loneDirectory(t, taker, nil)
+	d, _ := startSingleReplica(t, client, nil)
 	defer close(release)
-	scaledService(t, d)
-	heard := func() bool {
+	putScaledService(t, d)
+	demandsRecorded := func() bool {
 		d.scale.mutex.Lock()
 		defer d.scale.mutex.Unlock()
 		return len(d.scale.demands) == 0
 	}
 	require.Eventually(t, func() bool {
 		d.heartbeats.noteHeard(clock.Now(), []string{"e0", "e1"})
-		_, err := d.call(t.Context(), *muchWork())
+		_, err := d.call(t.Context(), *highDemand())
 		require.NoError(t, err)
-		return len(asked) > 0
+		return len(started) > 0
 	}, time.Minute, 20*time.Millisecond)
-	call := muchWork()
+	call := highDemand()
 	call.Demands = append(call.Demands, capacity.Demand{Service: "other", Waiting: 1})
 	_, err := d.call(t.Context(), *call)
 	require.NoError(t, err)
-	require.Eventually(t, heard, time.Minute, time.Millisecond)
+	require.Eventually(t, demandsRecorded, time.Minute, time.Millisecond)
 	require.True(t, d.scale.sending.Load())
 }
 
-// TestOrdersWaitForAnotherHolder: after another process has acted for a zone, its lease is waited
-// for there and not elsewhere.
-func TestOrdersWaitForAnotherHolder(t *testing.T) {
-	taker := &orderTaker{}
-	d, _ := loneDirectory(t, taker, func(settings *config.Directory) { settings.DutyLease = time.Hour })
-	act := &duty.Action{Subject: scaleSubject + "s/z", Holder: "other", At: 1}
-	_, err := d.execute(t.Context(), directory.Command{Act: act})
+// TestOrdersWaitForLeaseOfOtherHolder checks that an action of another holder blocks orders for its zone
+// until its lease has expired, and does not block other zones.
+func TestOrdersWaitForLeaseOfOtherHolder(t *testing.T) {
+	client := &fakeDutyClient{}
+	d, _ := startSingleReplica(t, client, func(settings *config.Directory) { settings.DutyLease = time.Hour })
+	action := &duty.Action{Subject: scaleSubjectPrefix + "s/z", Holder: "other", At: 1}
+	_, err := d.execute(t.Context(), directory.Command{Act: action})
 	require.NoError(t, err)
-	d.scale.give(roundOf(d), []capacity.Order{orderOf(3)})
-	require.Empty(t, taker.taken())
-	require.Empty(t, keptOrders(d))
-	elsewhere := orderOf(3)
-	elsewhere.Wish.Zone = "y"
-	d.scale.give(roundOf(d), []capacity.Order{elsewhere})
-	require.Len(t, taker.taken(), 1)
+	d.scale.sendOrders(newRound(d), []capacity.Order{newOrder(3)})
+	require.Empty(t, client.sent())
+	require.Empty(t, recordedOrders(d))
+	otherZone := newOrder(3)
+	otherZone.Wish.Zone = "y"
+	d.scale.sendOrders(newRound(d), []capacity.Order{otherZone})
+	require.Len(t, client.sent(), 1)
 }
 
-// TestNothingIsSentWithoutARecord: a process that has lost the group, or stood still since it
-// recorded, sends nothing.
-func TestNothingIsSentWithoutARecord(t *testing.T) {
-	source := &clock.Suspendable{}
-	defer clock.Use(source)()
-	taker := &orderTaker{}
-	d, stop := loneDirectory(t, taker, nil)
-	// The record is made, and its time is over by then.
-	subject := scaleSubject + "s/z"
+// TestNoOrderIsSentWithoutRecord checks that nothing is sent after the process lost its quorum, or if it
+// stalled after recording the action.
+func TestNoOrderIsSentWithoutRecord(t *testing.T) {
+	machine := &clock.Suspendable{}
+	defer clock.Use(machine)()
+	client := &fakeDutyClient{}
+	d, stop := startSingleReplica(t, client, nil)
+	// The action is recorded, but the suspension exceeds the time limit for sending.
+	subject := scaleSubjectPrefix + "s/z"
 	outcome, err := d.duties.act(subject, []directory.Command{{Order: &capacity.Order{}}}, func(_ context.Context, send DutySend) DutyOutcome {
-		source.Suspend(time.Minute)
-		require.Negative(t, clock.Until(send.SendBy), "which whoever writes the call goes by")
+		machine.Suspend(time.Minute)
+		require.Negative(t, clock.Until(send.SendBy), "SendBy must have passed after the suspension")
 		return DutyBusy
 	})
 	require.NoError(t, err)
 	require.Equal(t, DutyBusy, outcome)
 	stop()
-	d.scale.give(roundOf(d), []capacity.Order{orderOf(3)})
-	require.Empty(t, taker.taken())
+	d.scale.sendOrders(newRound(d), []capacity.Order{newOrder(3)})
+	require.Empty(t, client.sent())
 }
 
-// scaledService registers two engines of a service that may be scaled.
-func scaledService(t *testing.T, d *Directory) {
+// putScaledService registers a scalable service with two engines.
+func putScaledService(t *testing.T, d *Directory) {
 	service := routing.Service{Name: "s", Models: []string{"m"}, Scale: &routing.Scale{Least: 1, Most: 6, BootMillis: 1000}}
 	_, err := d.execute(t.Context(), directory.Command{PutConfiguration: &directory.PutConfiguration{
 		Configuration: routing.Configuration{Version: 1, Services: []routing.Service{service}},
@@ -230,23 +230,23 @@
 	require.Eventually(t, func() bool { return len(d.view.Load().Backends("s")) == 2 }, time.Minute, time.Millisecond)
 }
 
-// muchWork is what far more than two engines need.
-func muchWork() *directoryCall {
+// highDemand returns a call that reports far more demand than two engines can serve.
+func highDemand() *directoryCall {
 	return &directoryCall{Demands: []capacity.Demand{{
 		Service: "s", Running: 4, Waiting: 400, Work: []capacity.Work{{DueMillis: 7000, SlotMillis: 400000}},
 	}}}
 }
 
-// TestDemandBringsOrders: what the ledger's leader tells makes the directory's leader order, once.
-// Held orders are planned and not given.
-func TestDemandBringsOrders(t *testing.T) {
+// TestDemandCausesOneOrder checks that reported demand leads to exactly one order, and to none if HoldOrders
+// is set, although the order is planned.
+func TestDemandCausesOneOrder(t *testing.T) {
 	for _, hold := range []bool{false, true} {
-		taker := &orderTaker{}
-		d, _ := loneDirectory(t, taker, func(settings *config.Directory) { settings.HoldOrders = hold })
-		scaledService(t, d)
-		reason := func() capacity.Reason {
+		client := &fakeDutyClient{}
+		d, _ := startSingleReplica(t, client, func(settings *config.Directory) { settings.HoldOrders = hold })
+		putScaledService(t, d)
+		currentReason := func() capacity.Reason {
 			d.heartbeats.noteHeard(clock.Now(), []string{"e0", "e1"})
-			_, err := d.call(t.Context(), *muchWork())
+			_, err := d.call(t.Context(), *highDemand())
 			require.NoError(t, err)
 			d.scale.mutex.Lock()
 			defer d.scale.mutex.Unlock()
@@ -256,35 +256,35 @@
 			}
 			return capacity.Unknown
 		}
-		require.Eventually(t, func() bool { return reason() == capacity.Late }, time.Minute, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return currentReason() == capacity.Late }, time.Minute, 20*time.Millisecond)
 		if hold {
-			require.Empty(t, taker.taken())
+			require.Empty(t, client.sent())
 			continue
 		}
 		require.Eventually(t, func() bool {
-			orders := keptOrders(d)
+			orders := recordedOrders(d)
 			return len(orders) == 1 && orders[0].Answer == capacity.Taken
 		}, time.Minute, time.Millisecond)
-		require.Equal(t, capacity.Wish{Service: "s", Zone: "z", Count: 6}, taker.taken()[0].Wish)
-		require.Len(t, taker.taken(), 1)
+		require.Equal(t, capacity.Wish{Service: "s", Zone: "z", Count: 6}, client.sent()[0].Wish)
+		require.Len(t, client.sent(), 1)
 	}
 }
 
-// TestNoDutyNoOrders: where the duty is not named nothing is planned.
-func TestNoDutyNoOrders(t *testing.T) {
-	d, _ := loneDirectory(t, &orderTaker{}, func(settings *config.Directory) { settings.Duties = []string{config.DutyUsage} })
-	scaledService(t, d)
-	_, err := d.call(t.Context(), *muchWork())
+// TestScalingDisabledWithoutDuty checks that nothing is planned if the scaling duty is not configured.
+func TestScalingDisabledWithoutDuty(t *testing.T) {
+	d, _ := startSingleReplica(t, &fakeDutyClient{}, func(settings *config.Directory) { settings.Duties = []string{config.DutyUsage} })
+	putScaledService(t, d)
+	_, err := d.call(t.Context(), *highDemand())
 	require.NoError(t, err)
 	d.scale.review(d.view.Load())
 	require.Empty(t, d.scale.plans)
 	require.Empty(t, d.scale.demands)
 }
 
-// TestZoneOutlivesItsBackends: a zone that no price names is planned for as long as it has an order,
-// also once its last backend is gone.
-func TestZoneOutlivesItsBackends(t *testing.T) {
-	fleet := fleetOf(directory.NewCatalog(), routing.Service{Name: "s", Scale: &routing.Scale{Most: 3, ZonePrices: map[string]float64{"a": 1}}}, false)
+// TestFleetIncludesZonesWithOrders checks that the zones of a fleet include those added for orders, without
+// duplicates.
+func TestFleetIncludesZonesWithOrders(t *testing.T) {
+	fleet := newFleet(directory.NewCatalog(), routing.Service{Name: "s", Scale: &routing.Scale{Most: 3, ZonePrices: map[string]float64{"a": 1}}}, false)
 	require.Equal(t, []string{"a"}, fleet.Zones)
 	fleet.AddZone("b")
 	fleet.AddZone("a")
--- a/server/scale_metrics.go
+++ b/server/scale_metrics.go
@@ -4,14 +4,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// collect emits what this replica plans while it leads, by service, zone and kind.
-func (k *scaleKeeper) collect(emit chan<- prometheus.Metric) {
-	if !k.duties.replica.Status().Serving {
+// collect emits the current plans by service, zone and kind if this replica is the leader.
+func (c *scaleController) collect(emit chan<- prometheus.Metric) {
+	if !c.duties.replica.Status().Serving {
 		return
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	for name, plan := range k.plans {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for name, plan := range c.plans {
 		gauge(emit, "capacity_slots_needed", "Slots that a service's samples need.", plan.Slots, "service", name)
 		gauge(emit, "capacity_backends_needed", "Backends that a service needs.", float64(plan.Engines), "service", name, "reason", plan.Reason.String())
 		for pool, state := range plan.Pools {
--- a/server/scale_status.go
+++ b/server/scale_status.go
@@ -10,16 +10,15 @@
 	"github.com/gorilla/mux"
 )
 
-// CapacityPath is where the directory's leader tells, beside its metrics, how many backends the
-// services that may be scaled should have.
+// CapacityPath is the path of the capacity status on the metrics address of the directory's leader.
 const CapacityPath = "/capacity"
 
-// PoolStatus is what a service's pool has.
+// PoolStatus is the state of one pool of a service.
 type PoolStatus struct {
 	Service     string `json:"service"`
 	Zone        string `json:"zone"`
 	Reclaimable bool   `json:"reclaimable"`
-	// Reason says why as many are wanted, and Held that no orders are given.
+	// Reason explains the wanted count. Held means that orders are planned but not sent.
 	Reason   string `json:"reason"`
 	Held     bool   `json:"held"`
 	Paused   bool   `json:"paused"`
@@ -31,36 +30,36 @@
 	Silent   int    `json:"silent"`
 }
 
-// addStatus serves the state of all pools, on the leader.
-func (k *scaleKeeper) addStatus(router *mux.Router) {
+// addStatusRoute adds a route that serves the state of all pools on the leader.
+func (c *scaleController) addStatusRoute(router *mux.Router) {
 	router.HandleFunc(CapacityPath, func(response http.ResponseWriter, _ *http.Request) {
-		if !k.duties.replica.Status().Serving {
-			http.Error(response, "this replica does not lead", http.StatusServiceUnavailable)
+		if !c.duties.replica.Status().Serving {
+			http.Error(response, "this replica is not the leader", http.StatusServiceUnavailable)
 			return
 		}
 		response.Header().Set("Content-Type", "application/json")
-		// Whoever asked may have gone.
-		_ = json.NewEncoder(response).Encode(k.status())
+		// A write error means that the client has disconnected.
+		_ = json.NewEncoder(response).Encode(c.status())
 	}).Methods(http.MethodGet)
 }
 
-// status returns the state of all pools in a fixed order.
-func (k *scaleKeeper) status() []PoolStatus {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	list := []PoolStatus{}
-	for _, name := range slices.Sorted(maps.Keys(k.plans)) {
-		plan := k.plans[name]
+// status returns the state of all pools, sorted by service, zone and kind.
+func (c *scaleController) status() []PoolStatus {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	pools := []PoolStatus{}
+	for _, name := range slices.Sorted(maps.Keys(c.plans)) {
+		plan := c.plans[name]
 		for pool, state := range plan.Pools {
-			list = append(list, PoolStatus{
+			pools = append(pools, PoolStatus{
 				Service: name, Zone: pool.Zone, Reclaimable: pool.Reclaimable, Reason: plan.Reason.String(),
-				Held: k.settings.HoldOrders, Paused: state.Paused, Wanted: state.Wanted, Ordered: state.Ordered,
+				Held: c.settings.HoldOrders, Paused: state.Paused, Wanted: state.Wanted, Ordered: state.Ordered,
 				Booting: state.Booting, Ready: state.Ready, Draining: state.Draining, Silent: state.Silent,
 			})
 		}
 	}
-	slices.SortStableFunc(list, func(a, b PoolStatus) int {
+	slices.SortStableFunc(pools, func(a, b PoolStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Zone, b.Zone), cmp.Compare(boolToUint(a.Reclaimable), boolToUint(b.Reclaimable)))
 	})
-	return list
+	return pools
 }
--- a/server/seeds.go
+++ b/server/seeds.go
@@ -16,20 +16,20 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-// Seeds are the addresses of replicas of the directory that the settings file
-// names. The file may change while the process runs.
+// Seeds holds the addresses of directory replicas from the settings file, which may change while the
+// process runs.
 type Seeds struct {
 	load      func() (config.Process, error)
 	logger    *zerolog.Logger
 	addresses atomic.Pointer[[]string]
-	// readAt is when the settings were last read without a signal, in milliseconds.
-	readAt atomic.Int64
+	// refreshedAt is the time of the last Refresh that read the settings, in milliseconds.
+	refreshedAt atomic.Int64
 }
 
-// seedInterval is the least time between two reads without a signal.
-const seedInterval = 2 * time.Second
+// minSeedReloadInterval is the minimum time between reads by Refresh.
+const minSeedReloadInterval = 2 * time.Second
 
-// NewSeeds returns the seeds of the settings, which the function reads again.
+// NewSeeds returns the seeds of the settings. The function load reads the settings again.
 func NewSeeds(settings config.Process, load func() (config.Process, error), logger *zerolog.Logger) *Seeds {
 	s := &Seeds{load: load, logger: logger}
 	addresses := settings.PeerAddresses()
@@ -37,22 +37,20 @@
 	return s
 }
 
-// Addresses returns the newest addresses.
+// Addresses returns the addresses that were read last.
 func (s *Seeds) Addresses() []string { return *s.addresses.Load() }
 
-// Current returns the newest addresses after a Refresh, for a process that gets no answer at those
-// that it knows.
+// Current returns the addresses after a Refresh. A process calls it when no known address answers.
 func (s *Seeds) Current() []string {
 	s.Refresh()
 	return s.Addresses()
 }
 
-// Refresh reads the settings again unless that has been done shortly before. A
-// file that is wrong changes nothing.
+// Refresh reads the settings again unless it did so recently. Invalid settings are ignored.
 func (s *Seeds) Refresh() {
-	last := s.readAt.Load()
+	last := s.refreshedAt.Load()
 	now := nowMillis()
-	if now-last > seedInterval.Milliseconds() && s.readAt.CompareAndSwap(last, now) {
+	if now-last > minSeedReloadInterval.Milliseconds() && s.refreshedAt.CompareAndSwap(last, now) {
 		s.reload()
 	}
 }
@@ -71,24 +69,23 @@
 	event.SettingsApplied.On(s.logger).Str("peers", strings.Join(addresses, " ")).Send()
 }
 
-// CatchHangUps returns the process's hang-up signals, which end it until this is called: it is
-// what a role does first, before it reads its settings.
-func CatchHangUps() chan os.Signal {
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
-	return hangUps
+// NotifyHangup returns a channel that receives SIGHUP. It must be called before anything else at startup,
+// because until then the signal terminates the process.
+func NotifyHangup() chan os.Signal {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	return hangups
 }
 
-// FollowSignals reads the settings again whenever a hang-up signal arrives, or one has since the
-// signals are caught, until the context ends. The signals stay caught after that: given back, one
-// that comes during a planned stop would end the process with all that it still does.
-func (s *Seeds) FollowSignals(ctx context.Context, hangUps chan os.Signal) {
+// ReloadOnSignal reads the settings again on each signal until the context ends. SIGHUP stays caught after
+// that, so that it does not terminate the process during a graceful shutdown.
+func (s *Seeds) ReloadOnSignal(ctx context.Context, hangups chan os.Signal) {
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hangUps:
+			case <-hangups:
 				event.ReloadRequested.On(s.logger).Send()
 				s.reload()
 			}
--- a/server/seeds_test.go
+++ b/server/seeds_test.go
@@ -24,9 +24,9 @@
 peer_port: 7000
 `
 
-// TestHangUpReadsSettingsAgain: a hang-up signal does not end the process; the
-// peers of the changed file are taken, and a wrong file changes nothing.
-func TestHangUpReadsSettingsAgain(t *testing.T) {
+// TestHangupReloadsSeeds checks that SIGHUP applies the changed peers without terminating the process, and
+// that invalid settings are ignored.
+func TestHangupReloadsSeeds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "gateway.yaml")
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	write(gatewaySettings + `peers: ["10.0.0.1:80"]`)
@@ -34,18 +34,18 @@
 	require.NoError(t, err)
 	logger := zerolog.Nop()
 	seeds := NewSeeds(settings.Process, func() (config.Process, error) {
-		again, err := config.LoadGateway(path)
-		return again.Process, err
+		reloaded, err := config.LoadGateway(path)
+		return reloaded.Process, err
 	}, &logger)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	seeds.FollowSignals(ctx, CatchHangUps())
+	seeds.ReloadOnSignal(ctx, NotifyHangup())
 	require.Equal(t, []string{"10.0.0.1:7000"}, seeds.Addresses())
 
 	write(gatewaySettings + `peers: ["10.0.0.2:80", "10.0.0.3:80"]`)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	changed := func() bool { return len(seeds.Addresses()) == 2 }
-	require.Eventually(t, changed, time.Minute, time.Millisecond)
+	hasChanged := func() bool { return len(seeds.Addresses()) == 2 }
+	require.Eventually(t, hasChanged, time.Minute, time.Millisecond)
 	require.Equal(t, []string{"10.0.0.2:7000", "10.0.0.3:7000"}, seeds.Addresses())
 
 	write(gatewaySettings + `peers: [not an address]`)
@@ -53,18 +53,18 @@
 	require.Equal(t, []string{"10.0.0.2:7000", "10.0.0.3:7000"}, seeds.Addresses())
 }
 
-// TestCurrentSeedsAreRead: a process that gets no answer learns of other seeds without a signal.
-func TestCurrentSeedsAreRead(t *testing.T) {
+// TestCurrentReloadsSeeds checks that Current reads the settings without a signal.
+func TestCurrentReloadsSeeds(t *testing.T) {
 	logger := zerolog.Nop()
-	read := config.Process{Peers: []string{"10.0.0.2:80"}, PeerPort: 7000}
-	seeds := NewSeeds(config.Process{Peers: []string{"10.0.0.1:80"}, PeerPort: 7000}, func() (config.Process, error) { return read, nil }, &logger)
+	changed := config.Process{Peers: []string{"10.0.0.2:80"}, PeerPort: 7000}
+	seeds := NewSeeds(config.Process{Peers: []string{"10.0.0.1:80"}, PeerPort: 7000}, func() (config.Process, error) { return changed, nil }, &logger)
 	require.Equal(t, []string{"10.0.0.1:7000"}, seeds.Addresses())
 	require.Equal(t, []string{"10.0.0.2:7000"}, seeds.Current())
 }
 
-// TestSeedIntervalIsNotOfTheTimeOfDay: the time between two reads is that of package clock, so that
-// a machine whose time of day was set back still learns of other seeds.
-func TestSeedIntervalIsNotOfTheTimeOfDay(t *testing.T) {
+// TestSeedIntervalUsesMonotonicClock checks that the time between reloads is measured by package clock, so
+// that setting the wall clock back does not delay them.
+func TestSeedIntervalUsesMonotonicClock(t *testing.T) {
 	logger := zerolog.Nop()
 	reads := 0
 	seeds := NewSeeds(config.Process{}, func() (config.Process, error) { reads++; return config.Process{}, nil }, &logger)
@@ -73,7 +73,7 @@
 	seeds.Refresh()
 	seeds.Refresh()
 	require.Equal(t, 1, reads)
-	machine.Suspend(2 * seedInterval)
+	machine.Suspend(2 * minSeedReloadInterval)
 	seeds.Refresh()
 	require.Equal(t, 2, reads)
 }
--- a/server/spoiled.go
+++ b/server/spoiled.go
@@ -44,6 +44,6 @@
 
 // NoteSpoiled takes in a heartbeat that could not be used: it changes nothing.
 func (d *Directory) NoteSpoiled(spoiled Spoiled) {
-	d.metrics.spoiled.WithLabelValues(spoiled.Reason).Inc()
+	d.metrics.invalidHeartbeats.WithLabelValues(spoiled.Reason).Inc()
 	d.spoiled.note(time.Now(), spoiled, d.logger)
 }
--- a/server/stop.go
+++ b/server/stop.go
@@ -12,89 +12,91 @@
 )
 
 const (
-	// entryDelay is how long after a planned stop has begun new connections may
-	// still arrive.
-	entryDelay = 3500 * time.Millisecond
-	// noticeTime is how long after that a request is taken whatever its deadline: the entry and
-	// its callers cannot know of the stop yet, and most requests end long before their deadlines.
-	noticeTime = 3 * time.Second
-	// exitMargin is kept of the grace, after the last request has ended, for closeTime, for
-	// telling what was counted and for exitSlack.
+	// readinessDelay is how long new connections may still arrive after a graceful shutdown has begun,
+	// until the load balancer has noticed that the gateway is not ready.
+	readinessDelay = 3500 * time.Millisecond
+	// acceptAllTime is how long after the start of the shutdown requests are accepted whatever their
+	// deadline: the load balancer and callers cannot know of the shutdown yet, and most requests end long
+	// before their deadlines.
+	acceptAllTime = 3 * time.Second
+	// exitMargin is the part of the grace period reserved after the last request: for minCloseTimeout,
+	// the final reports and exitSlack.
 	exitMargin = 700 * time.Millisecond
-	// closeTime is what the last answers, which are ready, have at least to be written.
-	closeTime = 200 * time.Millisecond
-	// exitSlack is what the process has left when it has told everything.
+	// minCloseTimeout is the minimum time for writing the last responses.
+	minCloseTimeout = 200 * time.Millisecond
+	// exitSlack is the time left to the process after the final reports.
 	exitSlack = 100 * time.Millisecond
 )
 
-// stopPlan holds the times of a gateway's planned stop. They are of package clock: whoever ends
-// the process in the end does not wait for a machine that was suspended.
-type stopPlan struct {
-	// takesAllUntil is until when every request is taken. Later ones must fit.
-	takesAllUntil time.Time
-	// entryEnds is when the entry sends no more.
-	entryEnds time.Time
-	// workEnds is when the last request has to have ended.
-	workEnds time.Time
-	// tellBy is until when the process may tell what it has counted.
-	tellBy time.Time
+// shutdownPlan holds the deadlines of a gateway's graceful shutdown. They are times of package clock, which
+// counts suspensions, because the grace period does not stop while the machine is suspended.
+type shutdownPlan struct {
+	// acceptAllUntil is until when all requests are accepted. Later requests must end by workDeadline.
+	acceptAllUntil time.Time
+	// newConnectionsUntil is until when the load balancer may send new connections.
+	newConnectionsUntil time.Time
+	// workDeadline is when all requests must have ended.
+	workDeadline time.Time
+	// reportDeadline is the deadline of the final reports.
+	reportDeadline time.Time
 }
 
-// newStopPlan returns the plan of a stop that has begun and may take as long as the grace.
-func newStopPlan(began time.Time, grace time.Duration) *stopPlan {
-	work := max(grace-exitMargin, 0)
-	return &stopPlan{
-		takesAllUntil: began.Add(min(noticeTime, work/2)),
-		entryEnds:     began.Add(entryDelay),
-		workEnds:      began.Add(work),
-		tellBy:        began.Add(grace - exitSlack),
+// newShutdownPlan returns the plan of a shutdown that began at start and may take as long as the grace
+// period.
+func newShutdownPlan(start time.Time, grace time.Duration) *shutdownPlan {
+	workTime := max(grace-exitMargin, 0)
+	return &shutdownPlan{
+		acceptAllUntil:      start.Add(min(acceptAllTime, workTime/2)),
+		newConnectionsUntil: start.Add(readinessDelay),
+		workDeadline:        start.Add(workTime),
+		reportDeadline:      start.Add(grace - exitSlack),
 	}
 }
 
-// Stop begins the planned stop: the gateway calls itself not ready from now on, and looks at the
-// time that is left before it takes a request.
+// Stop begins the graceful shutdown. From now on the gateway is not ready, and accepts only requests that
+// the shutdown plan permits.
 func (g *Gateway) Stop(grace time.Duration) {
-	g.plan.Store(newStopPlan(clock.Now(), grace))
+	g.plan.Store(newShutdownPlan(clock.Now(), grace))
 }
 
-// Stopping tells whether a planned stop has begun.
+// Stopping reports whether a graceful shutdown has begun.
 func (g *Gateway) Stopping() bool { return g.plan.Load() != nil }
 
-// end carries a planned stop out: the work ends, then the callers' connections, and last the
-// gateway tells what it has counted.
-func (g *Gateway) end(callers *http.Server, grace time.Duration) error {
+// shutDown performs a graceful shutdown: it drains requests, closes callers' connections and sends the
+// final reports.
+func (g *Gateway) shutDown(callers *http.Server, grace time.Duration) error {
 	g.Stop(grace)
 	g.drain()
-	err := shutDown(callers, g.closingTime())
-	g.tellLast()
+	err := shutDownServer(callers, g.closeTimeout())
+	g.sendFinalReports()
 	return err
 }
 
-// mayTake tells whether a request may begin that ends by the deadline. One that could outlive
-// the process is refused before it reaches a backend.
-func (g *Gateway) mayTake(deadline time.Time) bool {
+// canAccept reports whether a request with the deadline may start. During a shutdown, a request that could
+// outlive the process is refused before it reaches a backend.
+func (g *Gateway) canAccept(deadline time.Time) bool {
 	plan := g.plan.Load()
-	return plan == nil || clock.Now().Before(plan.takesAllUntil) || !deadline.After(plan.workEnds)
+	return plan == nil || clock.Now().Before(plan.acceptAllUntil) || !deadline.After(plan.workDeadline)
 }
 
-// take tells whether a request may begin, and bounds its time by that of the process, which its
-// backends are told.
-func (g *Gateway) take(request *forward.Request) bool {
-	if !g.mayTake(request.Deadline) {
+// accept reports whether a request may start, and limits its deadline to the shutdown's work deadline. The
+// deadline is passed on to backends.
+func (g *Gateway) accept(request *forward.Request) bool {
+	if !g.canAccept(request.Deadline) {
 		return false
 	}
-	if plan := g.plan.Load(); plan != nil && request.Deadline.After(plan.workEnds) {
-		request.Deadline = plan.workEnds
+	if plan := g.plan.Load(); plan != nil && request.Deadline.After(plan.workDeadline) {
+		request.Deadline = plan.workDeadline
 	}
 	return true
 }
 
-// refuseStopping returns the result of a request that is not taken any more.
-func refuseStopping() forward.Result { return forward.Result{Reason: forward.Stopping} }
+// stoppingResult returns the result of a request that is refused because of the shutdown.
+func stoppingResult() forward.Result { return forward.Result{Reason: forward.Stopping} }
 
-// untilWorkEnds returns a context that ends with the request's, and, as its deadline would, when
-// a planned stop has no more time.
-func (g *Gateway) untilWorkEnds(ctx context.Context) (context.Context, context.CancelFunc) {
+// withWorkDeadline returns a context that ends with the request's context, or with DeadlineExceeded when the
+// shutdown ends all work.
+func (g *Gateway) withWorkDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	limited, cancel := context.WithCancelCause(ctx)
 	detach := context.AfterFunc(g.work, func() { cancel(context.DeadlineExceeded) })
 	return limited, func() {
@@ -103,51 +105,51 @@
 	}
 }
 
-// ledgerTime returns the context and the wait of a call to the ledger: the wait is as long as a
-// planned stop leaves time for the answer. It fails if there is no time for the call.
-func (g *Gateway) ledgerTime(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc, time.Duration, error) {
+// ledgerCallContext returns the context and the wait time for a call to the ledger. During a shutdown the
+// wait is shortened to leave time for the answer. It fails if there is no time for the call.
+func (g *Gateway) ledgerCallContext(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc, time.Duration, error) {
 	if plan := g.plan.Load(); plan != nil {
-		wait = max(min(wait, clock.Until(plan.workEnds)-ledgerCallTimeout), 0)
+		wait = max(min(wait, clock.Until(plan.workDeadline)-ledgerCallTimeout), 0)
 	}
-	if !g.mayTake(clock.Now().Add(ledgerCallTimeout)) {
-		return nil, nil, 0, replica.ErrUnavailable.New("the gateway is about to end")
+	if !g.canAccept(clock.Now().Add(ledgerCallTimeout)) {
+		return nil, nil, 0, replica.ErrUnavailable.New("the gateway is shutting down")
 	}
-	limited, cancel := g.untilWorkEnds(ctx)
+	limited, cancel := g.withWorkDeadline(ctx)
 	return limited, cancel, wait, nil
 }
 
-// drain takes what still comes until the entry sends no more, and waits for what runs. Then
-// nothing more is taken. When the time is over, what still runs is answered as expired.
+// drain accepts requests until no new connections are expected and none are in flight, then closes the
+// gateway. Requests that are still running at the work deadline are answered as expired.
 func (g *Gateway) drain() {
 	plan := g.plan.Load()
-	for clock.Now().Before(plan.workEnds) && (clock.Now().Before(plan.entryEnds) || g.InFlight() > 0) {
+	for clock.Now().Before(plan.workDeadline) && (clock.Now().Before(plan.newConnectionsUntil) || g.InFlight() > 0) {
 		time.Sleep(drainPoll)
 	}
 	g.closed.Store(true)
-	for clock.Now().Before(plan.workEnds) && g.InFlight() > 0 {
+	for clock.Now().Before(plan.workDeadline) && g.InFlight() > 0 {
 		time.Sleep(drainPoll)
 	}
 	g.endWork()
 }
 
-// closingTime is how long answers that are ready may take to be written to callers who read slowly.
-func (g *Gateway) closingTime() time.Duration {
-	return max(clock.Until(g.plan.Load().workEnds), closeTime)
+// closeTimeout returns the time for writing the last responses, which slow callers may delay.
+func (g *Gateway) closeTimeout() time.Duration {
+	return max(clock.Until(g.plan.Load().workDeadline), minCloseTimeout)
 }
 
-// tellLast tells what was counted, as long as the plan allows. It comes after the last request,
-// which it must not miss, and after the last answer, which it must not hold up.
-func (g *Gateway) tellLast() {
-	limited, cancel := context.WithTimeout(context.Background(), clock.Until(g.plan.Load().tellBy))
+// sendFinalReports reports usage and crashes until the plan's deadline. It runs after the last request, to
+// include it, and after the last response, so as not to delay it.
+func (g *Gateway) sendFinalReports() {
+	limited, cancel := context.WithTimeout(context.Background(), clock.Until(g.plan.Load().reportDeadline))
 	defer cancel()
-	g.usage.finish(limited)
+	g.usage.flush(limited)
 	tellNews(limited, g.guard, g.watcher)
 }
 
-// shutDown ends the server's connections, each after the answer that is being written. What is
-// left when the time is over is cut.
-func shutDown(server *http.Server, within time.Duration) error {
-	limited, cancel := context.WithTimeout(context.Background(), within)
+// shutDownServer closes the server's connections, each after its current response. Connections that remain
+// after the timeout are closed at once.
+func shutDownServer(server *http.Server, timeout time.Duration) error {
+	limited, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if server.Shutdown(limited) == nil {
 		return nil
@@ -155,13 +157,12 @@
 	return server.Close()
 }
 
-// closeConnections ends a connection after its answer while a planned stop is
-// under way, and after a chunked request: the library lets chunks win over a
-// length that stands beside them, so nothing that follows is believed.
+// closeConnections closes a connection after its response during a graceful shutdown, and after a chunked
+// request: net/http prefers chunked encoding over a Content-Length sent with it, so a following request
+// could be smuggled.
 //
-// A request that comes after the last one was waited for is refused: it must not be passed on
-// and then be cut by the process's end. It is counted before that is looked at, so that none
-// slips between.
+// A request that arrives after the gateway was drained is refused, because the process may end before it is
+// answered. The request is counted as in flight before the check, so that drain cannot miss it.
 func (g *Gateway) closeConnections(callers http.Handler) http.Handler {
 	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		defer g.Begin()()
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -20,52 +20,53 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// testGrace is what the stops here may take.
-const testGrace = 8 * time.Second
+// testGracePeriod is the grace period of the shutdowns in these tests.
+const testGracePeriod = 8 * time.Second
 
-// stoppingGateway returns a gateway whose planned stop began so long ago.
-func stoppingGateway(ago time.Duration) *Gateway {
+// newStoppingGateway returns a gateway whose shutdown began the given time ago.
+func newStoppingGateway(ago time.Duration) *Gateway {
 	gateway := newTestGateway(time.Now())
-	gateway.plan.Store(newStopPlan(clock.Now().Add(-ago), testGrace))
+	gateway.plan.Store(newShutdownPlan(clock.Now().Add(-ago), testGracePeriod))
 	return gateway
 }
 
-// TestStopTakesWhatFits: right after its begin a stop takes everything, later what has to end in
-// time, and in the end nothing that may last.
-func TestStopTakesWhatFits(t *testing.T) {
+// TestStopAcceptsRequestsThatFit checks that a shutdown accepts all requests at first, and later only those
+// whose deadline it can meet.
+func TestStopAcceptsRequestsThatFit(t *testing.T) {
 	running := newTestGateway(time.Now())
-	require.True(t, running.mayTake(clock.Now().Add(time.Hour)))
-	for _, one := range []struct {
+	require.True(t, running.canAccept(clock.Now().Add(time.Hour)))
+	for _, test := range []struct {
 		ago, left time.Duration
-		taken     bool
+		accepted  bool
 	}{
 		{0, time.Hour, true},
-		{noticeTime / 2, time.Hour, true},
-		{noticeTime, time.Second, true},
-		{noticeTime, time.Hour, false},
-		{testGrace - exitMargin - time.Second, time.Second / 2, true},
-		{testGrace - exitMargin - time.Second, 2 * time.Second, false},
-		{testGrace, time.Second, false},
+		{acceptAllTime / 2, time.Hour, true},
+		{acceptAllTime, time.Second, true},
+		{acceptAllTime, time.Hour, false},
+		{testGracePeriod - exitMargin - time.Second, time.Second / 2, true},
+		{testGracePeriod - exitMargin - time.Second, 2 * time.Second, false},
+		{testGracePeriod, time.Second, false},
 	} {
-		require.Equal(t, one.taken, stoppingGateway(one.ago).mayTake(clock.Now().Add(one.left)), one)
+		require.Equal(t, test.accepted, newStoppingGateway(test.ago).canAccept(clock.Now().Add(test.left)), test)
 	}
 }
 
-// TestStopBoundsDeadlines: backends are not given more time than the process has.
-func TestStopBoundsDeadlines(t *testing.T) {
-	gateway := stoppingGateway(0)
+// TestStopLimitsDeadlines checks that a request's deadline is limited to the shutdown's work deadline.
+func TestStopLimitsDeadlines(t *testing.T) {
+	gateway := newStoppingGateway(0)
 	long, short := clock.Now().Add(time.Hour), clock.Now().Add(time.Second)
 	request := &forward.Request{Deadline: long}
-	require.True(t, gateway.take(request))
-	require.Equal(t, gateway.plan.Load().workEnds, request.Deadline)
+	require.True(t, gateway.accept(request))
+	require.Equal(t, gateway.plan.Load().workDeadline, request.Deadline)
 	request.Deadline = short
-	require.True(t, gateway.take(request))
+	require.True(t, gateway.accept(request))
 	require.Equal(t, short, request.Deadline)
 }
 
-// TestStopRefusesAsNotRun: what does not fit reaches no backend, and is said not to have run.
-func TestStopRefusesAsNotRun(t *testing.T) {
-	gateway := stoppingGateway(noticeTime)
+// TestStopRejectsAsNotRun checks that a request which does not fit reaches no backend and is reported as not
+// run.
+func TestStopRejectsAsNotRun(t *testing.T) {
+	gateway := newStoppingGateway(acceptAllTime)
 	route := routing.Route{Name: "r", TimeoutMillis: time.Hour.Milliseconds(), Attempts: 1}
 	catalog := directory.NewCatalog()
 	for _, result := range []forward.Result{
@@ -78,52 +79,51 @@
 	}
 }
 
-// TestStopShortensWaits: a call for results waits no longer than a stop leaves time for, and a
-// call to the ledger that may outlive the process is refused.
+// TestStopShortensWaits checks that calls for results wait no longer than the shutdown permits, and that a
+// call to the ledger which could outlive the process is refused.
 func TestStopShortensWaits(t *testing.T) {
-	_, cancel, wait, err := stoppingGateway(noticeTime).ledgerTime(context.Background(), time.Hour)
+	_, cancel, wait, err := newStoppingGateway(acceptAllTime).ledgerCallContext(context.Background(), time.Hour)
 	require.NoError(t, err)
 	cancel()
-	require.Less(t, wait, testGrace)
-	_, cancel, wait, err = stoppingGateway(testGrace-exitMargin-ledgerCallTimeout-maxResultWait/2).ledgerTime(context.Background(), maxResultWait)
+	require.Less(t, wait, testGracePeriod)
+	_, cancel, wait, err = newStoppingGateway(testGracePeriod-exitMargin-ledgerCallTimeout-maxResultWait/2).ledgerCallContext(context.Background(), maxResultWait)
 	require.NoError(t, err)
 	cancel()
 	require.Less(t, wait, maxResultWait)
-	_, _, _, err = stoppingGateway(testGrace-exitMargin-ledgerCallTimeout/2).ledgerTime(context.Background(), 0)
+	_, _, _, err = newStoppingGateway(testGracePeriod-exitMargin-ledgerCallTimeout/2).ledgerCallContext(context.Background(), 0)
 	require.True(t, errorx.IsOfType(err, replica.ErrUnavailable))
 }
 
-// TestStopCountsASuspension: who ends the process in the end does not wait for a machine that was
-// suspended, so what fitted before does not fit after it.
-func TestStopCountsASuspension(t *testing.T) {
-	source := &clock.Suspendable{}
-	defer clock.Use(source)()
+// TestStopCountsSuspension checks that the time of a machine suspension counts towards the grace period.
+func TestStopCountsSuspension(t *testing.T) {
+	machine := &clock.Suspendable{}
+	defer clock.Use(machine)()
 	gateway := newTestGateway(time.Now())
 	gateway.Stop(time.Hour)
 	defer gateway.Begin()()
-	require.True(t, gateway.mayTake(clock.Now().Add(time.Minute)))
-	source.Suspend(time.Hour)
-	require.False(t, gateway.mayTake(clock.Now().Add(time.Minute)))
-	// It waits no longer for what runs.
+	require.True(t, gateway.canAccept(clock.Now().Add(time.Minute)))
+	machine.Suspend(time.Hour)
+	require.False(t, gateway.canAccept(clock.Now().Add(time.Minute)))
+	// The work deadline has passed, so drain does not wait for the open request.
 	gateway.drain()
 	require.Error(t, gateway.work.Err())
 }
 
-// toldDirectory is a stand-in of the directory. At each call that tells something it finds out
-// whether the teller still takes connections.
-type toldDirectory struct {
+// probingDirectory is a fake directory. At each report of crashes or usage it checks whether the reporting
+// process still accepts connections.
+type probingDirectory struct {
 	server    *httptest.Server
 	reachable chan bool
 }
 
-func newToldDirectory(t *testing.T, teller string) *toldDirectory {
-	d := &toldDirectory{reachable: make(chan bool, 100)}
+func newProbingDirectory(t *testing.T, reporter string) *probingDirectory {
+	d := &probingDirectory{reachable: make(chan bool, 100)}
 	d.server = httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		var call directoryCall
 		if !readCBOR(response, request, &call) || call.Quarantine == nil && call.Usage == nil {
 			return
 		}
-		connection, err := net.Dial("tcp", teller)
+		connection, err := net.Dial("tcp", reporter)
 		if err == nil {
 			connection.Close()
 		}
@@ -134,43 +134,43 @@
 	return d
 }
 
-func (d *toldDirectory) seeds(logger *zerolog.Logger) *Seeds {
+func (d *probingDirectory) seeds(logger *zerolog.Logger) *Seeds {
 	settings := config.DefaultGateway().Process
 	settings.Peers = []string{d.server.Listener.Addr().String()}
 	return NewSeeds(settings, func() (config.Process, error) { return settings, nil }, logger)
 }
 
-// TestStoreTakesNothingWhileItTells: a store that stops tells what it has learnt once it serves
-// nobody any more: a run that began meanwhile would end with the process.
-func TestStoreTakesNothingWhileItTells(t *testing.T) {
+// TestLedgerIsClosedBeforeFinalReport checks that a stopping store closes its server before it reports
+// crashes: a run that started in between would be lost.
+func TestLedgerIsClosedBeforeFinalReport(t *testing.T) {
 	served := listenLoopback(t)
-	directory := newToldDirectory(t, served.Addr().String())
+	directory := newProbingDirectory(t, served.Addr().String())
 	settings := config.DefaultLedger()
 	logger := zerolog.Nop()
 	seeds := directory.seeds(&logger)
-	store := NewLedger(settings, seeds, nil, nil, &logger)
-	httpServer := newHTTPServer(store.runs)
+	ledger := NewLedger(settings, seeds, nil, nil, &logger)
+	httpServer := newHTTPServer(ledger.runs)
 	serveHTTP(httpServer, served, &logger)
 	response, err := http.Get("http://" + served.Addr().String())
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	store.executor.guard.RecordFingerprintCrash("content", "backend", 0)
-	store.finish(httpServer)
+	ledger.executor.guard.RecordFingerprintCrash("content", "backend", 0)
+	ledger.finish(httpServer)
 	require.False(t, <-directory.reachable)
 }
 
-// TestUsageIsToldLast: a stopping gateway tells what it has counted once it serves nobody any
-// more, and the request that ended last is among it.
-func TestUsageIsToldLast(t *testing.T) {
+// TestUsageIsReportedLast checks that a stopping gateway reports usage after it has stopped serving,
+// including the last request.
+func TestUsageIsReportedLast(t *testing.T) {
 	served := listenLoopback(t)
-	directory := newToldDirectory(t, served.Addr().String())
+	directory := newProbingDirectory(t, served.Addr().String())
 	logger := zerolog.Nop()
 	gateway := NewGateway(config.DefaultGateway(), directory.seeds(&logger), nil, &logger)
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	callers := newCallerServer(gateway.closeConnections(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		close(begun)
+		close(started)
 		<-gateway.work.Done()
-		gateway.usage.note("north", forward.Result{History: []forward.AttemptRecord{{StartedAt: clock.Now()}}})
+		gateway.usage.record("north", forward.Result{History: []forward.AttemptRecord{{StartedAt: clock.Now()}}})
 	})))
 	serveHTTP(callers, served, &logger)
 	answer := make(chan error, 1)
@@ -181,8 +181,8 @@
 		}
 		answer <- err
 	}()
-	<-begun
-	require.NoError(t, gateway.end(callers, time.Second))
+	<-started
+	require.NoError(t, gateway.shutDown(callers, time.Second))
 	require.NoError(t, <-answer)
 	require.False(t, <-directory.reachable)
 }
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -125,7 +125,7 @@
 	t.runAhead()
 	t.checkpoint()
 	t.recordPaces()
-	t.tellDemand()
+	t.reportDemand()
 	t.runnersOpen.Store(int64(t.runners.OpenLinks()))
 	t.notePlan()
 	if time.Since(t.prunedAt) > pruneInterval {
--- a/server/usage_keeper.go
+++ b/server/usage_keeper.go
@@ -16,183 +16,182 @@
 )
 
 const (
-	// usageGather is how long totals wait for others, so that one entry keeps them all.
-	usageGather = 100 * time.Millisecond
-	// usageSettling is how long after its end a window is fixed: several times what
-	// gateways take to tell, and less than half of the least time that reports are allowed.
-	usageSettling = 3 * time.Second
-	// usageRetry is the first pause after a report that was not taken; it doubles up to
-	// usageRetryMost.
-	usageRetry     = 250 * time.Millisecond
-	usageRetryMost = time.Second
-	// usageSubject names the duty in the record of acts.
+	// usageBatchDelay is how long totals are collected before they are committed as one log entry.
+	usageBatchDelay = 100 * time.Millisecond
+	// usageSettleDelay is the time between the end of a window and fixing it. It leaves gateways time
+	// for several reports, and is less than half of the shortest permitted reporting time.
+	usageSettleDelay = 3 * time.Second
+	// minUsageRetryDelay is the initial delay after a report that was not accepted. It doubles up to
+	// maxUsageRetryDelay.
+	minUsageRetryDelay = 250 * time.Millisecond
+	maxUsageRetryDelay = time.Second
+	// usageSubject is the duty subject of usage reports.
 	usageSubject = "usage"
 )
 
-// UsageSend is one report of usage on its way.
+// UsageSend is one attempt to send a usage report.
 type UsageSend struct {
 	DutySend
 	Report usage.Report
 }
 
-// usageKeeper keeps what gateways count and, on the directory's leader, fixes windows and
-// reports them.
-type usageKeeper struct {
+// usageAggregator commits the totals counted by gateways. On the directory's leader it also fixes
+// windows and reports them.
+type usageAggregator struct {
 	settings config.Directory
 	replica  *replica.Replica
 	machine  *directory.Machine
 	client   DutyClient
 	clock    *usage.Clock
-	duties   *dutyKeeper
+	duties   *dutyCoordinator
 	metrics  directoryMetrics
 	logger   *zerolog.Logger
-	// sending is set while a report is under way: there is one at a time.
+	// sending is set while reports are being sent.
 	sending atomic.Bool
 
 	mutex sync.Mutex
-	// gathering holds totals that wait to be kept, and gathered is closed once they are.
-	gathering []usage.Totals
-	gathered  *gathered
+	// pendingTotals are the totals to commit with pendingBatch.
+	pendingTotals []usage.Totals
+	pendingBatch  *usageBatch
 }
 
-// gathered is a set of totals that is kept by one entry.
-type gathered struct {
+// usageBatch is a set of totals committed as one log entry. Its done channel is closed afterwards.
+type usageBatch struct {
 	done chan struct{}
 	err  error
 }
 
-// enabled tells whether usage is reported at all.
-func (k *usageKeeper) enabled() bool { return k.settings.IsUsageReportingEnabled() && k.client != nil }
+// isEnabled reports whether usage reporting is configured.
+func (a *usageAggregator) isEnabled() bool {
+	return a.settings.IsUsageReportingEnabled() && a.client != nil
+}
 
-// take keeps a gateway's totals, on the leader. It returns once they are committed. While the
-// true time is not known, the answer says nothing of it.
-func (k *usageKeeper) take(ctx context.Context, call *usageCall) (*usageAnswer, error) {
-	if !k.enabled() {
+// handleCall commits a gateway's totals on the leader and returns the current time and window. The
+// answer is empty while the time is unknown.
+func (a *usageAggregator) handleCall(ctx context.Context, call *usageCall) (*usageAnswer, error) {
+	if !a.isEnabled() {
 		return &usageAnswer{}, nil
 	}
 	if len(call.Totals) > 0 {
-		if err := k.keep(ctx, call.Totals); err != nil {
+		if err := a.commitTotals(ctx, call.Totals); err != nil {
 			return nil, err
 		}
 	}
-	now, known := k.now()
+	now, known := a.now()
 	if !known {
 		return &usageAnswer{}, nil
 	}
-	answer := &usageAnswer{Now: now, Window: k.settings.UsageWindow}
-	k.replica.Do(func() { answer.Fixed = k.machine.Usage().Fixed })
+	answer := &usageAnswer{Now: now, Window: a.settings.UsageWindow}
+	a.replica.Do(func() { answer.Fixed = a.machine.Usage().Fixed })
 	return answer, nil
 }
 
-// keep commits the totals together with others that come at about the same time.
-func (k *usageKeeper) keep(ctx context.Context, totals []usage.Totals) error {
-	k.mutex.Lock()
-	k.gathering = append(k.gathering, totals...)
-	group := k.gathered
-	if group == nil {
-		group = &gathered{done: make(chan struct{})}
-		k.gathered = group
-		time.AfterFunc(usageGather, k.commit)
+// commitTotals adds the totals to the pending batch and waits until it is committed.
+func (a *usageAggregator) commitTotals(ctx context.Context, totals []usage.Totals) error {
+	a.mutex.Lock()
+	a.pendingTotals = append(a.pendingTotals, totals...)
+	batch := a.pendingBatch
+	if batch == nil {
+		batch = &usageBatch{done: make(chan struct{})}
+		a.pendingBatch = batch
+		time.AfterFunc(usageBatchDelay, a.commitBatch)
 	}
-	k.mutex.Unlock()
+	a.mutex.Unlock()
 	select {
-	case <-group.done:
-		return group.err
+	case <-batch.done:
+		return batch.err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (k *usageKeeper) commit() {
-	k.mutex.Lock()
-	totals, group := k.gathering, k.gathered
-	k.gathering, k.gathered = nil, nil
-	k.mutex.Unlock()
+func (a *usageAggregator) commitBatch() {
+	a.mutex.Lock()
+	totals, batch := a.pendingTotals, a.pendingBatch
+	a.pendingTotals, a.pendingBatch = nil, nil
+	a.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), usageTimeout)
 	defer cancel()
-	_, group.err = k.replica.Execute(ctx, directory.Command{CountUsage: totals}.Encode())
-	close(group.done)
+	_, batch.err = a.replica.Execute(ctx, directory.Command{CountUsage: totals}.Encode())
+	close(batch.done)
 }
 
-// noteClock takes in a replica's time of day.
-func (k *usageKeeper) noteClock(name string, timeOfDay int64) {
-	k.clock.AddReading(name, timeOfDay, nowMillis())
+// recordClock records a reading of a replica's wall clock.
+func (a *usageAggregator) recordClock(name string, wallMillis int64) {
+	a.clock.AddReading(name, wallMillis, nowMillis())
 }
 
 // now returns the true time in milliseconds since 1970, if it is known.
-func (k *usageKeeper) now() (int64, bool) {
-	steady := nowMillis()
-	ahead, known := k.clock.Offset(steady)
-	return steady + ahead, known
+func (a *usageAggregator) now() (int64, bool) {
+	monotonic := nowMillis()
+	offset, known := a.clock.Offset(monotonic)
+	return monotonic + offset, known
 }
 
-// review fixes windows that are due and reports the earliest one that has not been taken,
-// on the leader.
-func (k *usageKeeper) review(ctx context.Context, tenants bool) {
-	now, known := k.now()
-	if !known || !tenants || !k.enabled() {
+// review fixes the due windows and starts reporting. It runs on the leader.
+func (a *usageAggregator) review(ctx context.Context, hasTenants bool) {
+	now, known := a.now()
+	if !known || !hasTenants || !a.isEnabled() {
 		return
 	}
 	var due []int64
-	k.replica.Do(func() { due = k.machine.Usage().DueWindows(now, k.settings.UsageWindow, usageSettling) })
+	a.replica.Do(func() { due = a.machine.Usage().DueWindows(now, a.settings.UsageWindow, usageSettleDelay) })
 	for _, window := range due {
-		if _, err := k.replica.Execute(ctx, directory.Command{FixUsage: window}.Encode()); err != nil {
-			event.UsageUpdateFailed.On(k.logger).Uint("window", uint64(window)).Err(err).Send()
+		if _, err := a.replica.Execute(ctx, directory.Command{FixUsage: window}.Encode()); err != nil {
+			event.UsageUpdateFailed.On(a.logger).Uint("window", uint64(window)).Err(err).Send()
 			return
 		}
 	}
-	if k.sending.CompareAndSwap(false, true) {
+	if a.sending.CompareAndSwap(false, true) {
 		go func() {
-			defer k.sending.Store(false)
-			k.tellAll()
+			defer a.sending.Store(false)
+			a.reportWindows()
 		}()
 	}
 }
 
-// tellAll reports the windows that have not been taken, the earliest first, while this
-// replica leads.
-func (k *usageKeeper) tellAll() {
-	for pause := usageRetry; ; pause = min(2*pause, usageRetryMost) {
-		report, ok := k.next()
+// reportWindows sends the unreported windows, earliest first, while this replica is the leader.
+func (a *usageAggregator) reportWindows() {
+	for delay := minUsageRetryDelay; ; delay = min(2*delay, maxUsageRetryDelay) {
+		report, ok := a.nextReport()
 		if !ok {
 			return
 		}
-		outcome, err := k.send(report)
-		event.UsageReported.On(k.logger).Uint("window", uint64(report.Window)).Uint("tenants", uint64(len(report.Counts))).
+		outcome, err := a.sendReport(report)
+		event.UsageReported.On(a.logger).Uint("window", uint64(report.Window)).Uint("tenants", uint64(len(report.Counts))).
 			Uint("outcome", uint64(outcome)).Err(err).Send()
 		if outcome == DutyTaken || outcome == DutyRefused {
-			pause = usageRetry / 2
-			k.forget(report.Window)
+			delay = minUsageRetryDelay / 2
+			a.markReported(report.Window)
 			continue
 		}
-		time.Sleep(pause)
+		time.Sleep(delay)
 	}
 }
 
-// next returns the report to be sent, if this replica leads and may send one.
-func (k *usageKeeper) next() (report usage.Report, ok bool) {
-	if !k.duties.mayAct(usageSubject) {
+// nextReport returns the next report if this replica may send it.
+func (a *usageAggregator) nextReport() (report usage.Report, ok bool) {
+	if !a.duties.mayAct(usageSubject) {
 		return report, false
 	}
-	k.replica.Do(func() { report, ok = k.machine.Usage().NextReport() })
+	a.replica.Do(func() { report, ok = a.machine.Usage().NextReport() })
 	return report, ok
 }
 
-// send sends a report.
-func (k *usageKeeper) send(report usage.Report) (DutyOutcome, error) {
-	return k.duties.act(usageSubject, nil, func(ctx context.Context, send DutySend) DutyOutcome {
-		outcome := k.client.SendUsage(ctx, UsageSend{DutySend: send, Report: report})
-		k.metrics.usage.WithLabelValues(outcome.String()).Inc()
+// sendReport sends a report.
+func (a *usageAggregator) sendReport(report usage.Report) (DutyOutcome, error) {
+	return a.duties.act(usageSubject, nil, func(ctx context.Context, send DutySend) DutyOutcome {
+		outcome := a.client.SendUsage(ctx, UsageSend{DutySend: send, Report: report})
+		a.metrics.usageReports.WithLabelValues(outcome.String()).Inc()
 		return outcome
 	})
 }
 
-// forget notes that a window needs no more telling. If that fails the window is told again,
-// in the same way.
-func (k *usageKeeper) forget(window int64) {
+// markReported records that a window has been reported. If that fails, the same report is sent again.
+func (a *usageAggregator) markReported(window int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), usageTimeout)
 	defer cancel()
-	if _, err := k.replica.Execute(ctx, directory.Command{ToldUsage: window}.Encode()); err != nil {
-		event.UsageUpdateFailed.On(k.logger).Uint("window", uint64(window)).Err(err).Send()
+	if _, err := a.replica.Execute(ctx, directory.Command{ToldUsage: window}.Encode()); err != nil {
+		event.UsageUpdateFailed.On(a.logger).Uint("window", uint64(window)).Err(err).Send()
 	}
 }
--- a/server/usage_meter.go
+++ b/server/usage_meter.go
@@ -13,45 +13,45 @@
 )
 
 const (
-	// usageInterval is the time between two looks for counts that were not told. What a
-	// gateway that is killed takes with it is bounded by it and by usageGather.
-	usageInterval = 300 * time.Millisecond
-	// standstillTold is how long a gateway must have stood still to say so.
-	standstillTold = time.Second
-	// usageTimeout bounds the telling of counts.
+	// usageReportInterval is the time between usage reports. Together with usageBatchDelay it limits
+	// the counts lost when a gateway is killed.
+	usageReportInterval = 300 * time.Millisecond
+	// minLoggedStall is the shortest stall of the gateway that is logged.
+	minLoggedStall = time.Second
+	// usageTimeout limits the time to send or commit usage.
 	usageTimeout = time.Second
 )
 
-// usageCall tells what a gateway has counted.
+// usageCall reports the totals counted by a gateway.
 type usageCall struct {
 	Totals []usage.Totals `cbor:"1,keyasint,omitempty"`
 }
 
-// usageAnswer says that the totals are kept.
+// usageAnswer confirms that the totals are committed.
 type usageAnswer struct {
 	// Now is the true time in milliseconds since 1970.
 	Now int64 `cbor:"1,keyasint"`
-	// Window is the length of a window, 0 where usage is not reported.
+	// Window is the length of a window; 0 if usage reporting is disabled.
 	Window time.Duration `cbor:"2,keyasint"`
-	// Fixed is the newest window that is fixed.
+	// Fixed is the newest fixed window.
 	Fixed int64 `cbor:"3,keyasint"`
 }
 
-// usageTeller counts the requests of tenants that begin to run, and tells the directory.
-type usageTeller struct {
+// usageReporter counts each tenant's started requests and reports them to the directory.
+type usageReporter struct {
 	watcher *Watcher
 	meter   *usage.Meter
-	// source names this life of the process.
+	// source identifies this incarnation of the process.
 	source string
 }
 
-func newUsageTeller(name string, watcher *Watcher) *usageTeller {
-	return &usageTeller{watcher: watcher, meter: usage.NewMeter(), source: name + "/" + strconv.FormatUint(rand.Uint64(), 36)}
+func newUsageReporter(name string, watcher *Watcher) *usageReporter {
+	return &usageReporter{watcher: watcher, meter: usage.NewMeter(), source: name + "/" + strconv.FormatUint(rand.Uint64(), 36)}
 }
 
-// note counts a request of a tenant where a backend began to run it. Several backends may
-// have, in turn or side by side: it is one request, and began with the first of them.
-func (u *usageTeller) note(tenant string, result forward.Result) {
+// record counts a tenant's request that may have started on a backend. A request with several attempts
+// counts once, at the start of the first one that may have run.
+func (u *usageReporter) record(tenant string, result forward.Result) {
 	if tenant == "" {
 		return
 	}
@@ -63,24 +63,24 @@
 	}
 }
 
-// run tells what was counted until the context ends.
-func (u *usageTeller) run(ctx context.Context) {
-	pulse := clock.NewPauseDetector()
+// run reports usage until the context ends.
+func (u *usageReporter) run(ctx context.Context) {
+	pauses := clock.NewPauseDetector()
 	for ctx.Err() == nil {
-		sleep(ctx, usageInterval)
-		if elapsed, suspended := pulse.Check(); elapsed > standstillTold {
+		sleep(ctx, usageReportInterval)
+		if elapsed, suspended := pauses.Check(); elapsed > minLoggedStall {
 			event.ProcessStalled.On(u.watcher.logger).Int("ms", elapsed.Milliseconds()).Int("suspended_ms", suspended.Milliseconds()).Send()
 		}
-		u.tell(ctx)
-		pulse.Check()
+		u.report(ctx)
+		pauses.Check()
 	}
 }
 
-// tell tells the directory all totals of windows that are not fixed, if there is news. What
-// is not taken is told again.
-func (u *usageTeller) tell(ctx context.Context) {
-	totals, mark, news := u.meter.Totals(u.source)
-	if !news {
+// report sends the totals of all windows that are not fixed, if they have changed. Totals that were not
+// accepted are sent again.
+func (u *usageReporter) report(ctx context.Context) {
+	totals, mark, changed := u.meter.Totals(u.source)
+	if !changed {
 		return
 	}
 	limited, cancel := context.WithTimeout(ctx, usageTimeout)
@@ -96,8 +96,9 @@
 	u.meter.Acknowledge(mark, answer.Usage.Now, nowMillis(), answer.Usage.Fixed, answer.Usage.Window)
 }
 
-// finish tells what is left at a planned stop. The first answer may only bring the time.
-func (u *usageTeller) finish(ctx context.Context) {
-	u.tell(ctx)
-	u.tell(ctx)
+// flush reports the remaining counts at a graceful shutdown. It reports twice because the first answer
+// may only provide the true time, which is needed to assign counts to windows.
+func (u *usageReporter) flush(ctx context.Context) {
+	u.report(ctx)
+	u.report(ctx)
 }
