--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -201,17 +201,17 @@
 		"engine": {"http://" + engine + "/v1/generate", engineBody},
 	} {
 		b.Run(name, func(b *testing.B) {
-			var times []time.Duration
+			var latencies []time.Duration
 			for b.Loop() {
-				began := time.Now()
+				start := time.Now()
 				status, err := post(target[0], target[1])
 				require.NoError(b, err)
 				require.Equal(b, http.StatusOK, status)
-				times = append(times, time.Since(began))
+				latencies = append(latencies, time.Since(start))
 			}
-			slices.Sort(times)
-			b.ReportMetric(float64(times[len(times)/2].Microseconds()), "p50-us")
-			b.ReportMetric(float64(times[len(times)*99/100].Microseconds()), "p99-us")
+			slices.Sort(latencies)
+			b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-us")
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
 		})
 	}
 }
--- a/server/control.go
+++ b/server/control.go
@@ -201,19 +201,19 @@
 // call runs the function, which starts a request with the ID, in the loop and waits for the reply. It
 // returns false if the context or the loop ends first.
 func (c *Control) call(ctx context.Context, request func(id uint64)) (control.Reply, bool) {
-	answered := make(chan control.Reply, 1)
+	replies := make(chan control.Reply, 1)
 	var id uint64
 	queued := c.loop.Submit(func() {
 		c.nextID++
 		id = c.nextID
-		c.pendingReplies[id] = answered
+		c.pendingReplies[id] = replies
 		request(id)
 	})
 	if !queued {
 		return control.Reply{}, false
 	}
 	select {
-	case reply := <-answered:
+	case reply := <-replies:
 		return reply, true
 	case <-c.loop.Done():
 		return control.Reply{}, false
--- a/server/gather_test.go
+++ b/server/gather_test.go
@@ -52,8 +52,8 @@
 	close(release)
 	callers.Wait()
 	require.Len(t, processed, items)
-	for number, times := range processed {
-		require.Equal(t, 1, times, number)
+	for number, count := range processed {
+		require.Equal(t, 1, count, number)
 	}
 	require.LessOrEqual(t, batches.Load(), int64(items/maxBatchSize+2*maxConcurrentBatches))
 	require.Equal(t, sizeOfFailed.Load(), failed.Load())
--- a/server/node.go
+++ b/server/node.go
@@ -131,8 +131,8 @@
 	for _, outgoing := range n.core.TakeEngineMessages() {
 		n.engines.send(outgoing)
 	}
-	for _, score := range n.core.TakeScoreRequests() {
-		go n.score(score)
+	for _, request := range n.core.TakeScoreRequests() {
+		go n.score(request)
 	}
 	for _, callerEvent := range n.core.TakeCallerEvents() {
 		if mailbox := n.callers[callerEvent.Request]; mailbox != nil {
@@ -192,15 +192,15 @@
 
 // score calls the scoring service until it answers or the node stops. Scoring is a pure function of the
 // result, so retries are safe.
-func (n *Node) score(score node.ScoreRequest) {
-	body, err := json.Marshal(scoreBody{Pool: score.Pool, Prompt: score.Prompt, Tokens: score.Tokens})
+func (n *Node) score(request node.ScoreRequest) {
+	body, err := json.Marshal(scoreBody{Pool: request.Pool, Prompt: request.Prompt, Tokens: request.Tokens})
 	if err != nil {
 		panic("server: a score request must encode: " + err.Error())
 	}
 	for n.context.Err() == nil {
 		reward, err := n.scoreOnce(body)
 		if err == nil {
-			n.loop.Submit(func() { n.core.ReceiveScore(n.now(), score.Request, reward) })
+			n.loop.Submit(func() { n.core.ReceiveScore(n.now(), request.Request, reward) })
 			return
 		}
 		event.ScorerUnreachable.On(n.logger).Err(err).Send()
--- a/server/process.go
+++ b/server/process.go
@@ -49,7 +49,7 @@
 type Listeners struct {
 	// Internal serves other processes of dillchute.
 	Internal net.Listener
-	// External serves callers, or operators and backends.
+	// External serves callers (gateway) or operators and backends (directory).
 	External net.Listener
 	// Ready serves the load balancer's readiness checks.
 	Ready   net.Listener
@@ -57,12 +57,12 @@
 }
 
 // Listen opens a listener for each address that is not empty.
-func Listen(internal, outer, ready, metrics string) (Listeners, error) {
+func Listen(internal, external, ready, metrics string) (Listeners, error) {
 	var opened Listeners
 	for _, target := range []struct {
 		address string
 		into    *net.Listener
-	}{{internal, &opened.Internal}, {outer, &opened.External}, {ready, &opened.Ready}, {metrics, &opened.Metrics}} {
+	}{{internal, &opened.Internal}, {external, &opened.External}, {ready, &opened.Ready}, {metrics, &opened.Metrics}} {
 		if target.address == "" {
 			continue
 		}
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -170,7 +170,7 @@
 	gauge(emit, "directory_revision", "Revision of this process's copy of the directory.", float64(catalog.Revision))
 	gauge(emit, "directory_age_seconds", "Time since the last answer of the directory.", w.ageSeconds())
 	gauge(emit, "copy_age_seconds", "Time since this process's copy of the directory was last known to be complete.", w.copyAgeSeconds())
-	const name, help = "copy_questions_total", "Requests for missing changes to an aging copy of the directory, by outcome."
+	const name, help = "copy_questions_total", "Requests for changes missing from an aging copy of the directory, by outcome."
 	counter(emit, name, help, w.questions.Load(), "outcome", "answered")
 	counter(emit, name, help, w.questionsInVain.Load(), "outcome", "unanswered")
 }
--- a/server/seeds.go
+++ b/server/seeds.go
@@ -48,9 +48,9 @@
 
 // Refresh reads the settings again unless it did so recently. Invalid settings are ignored.
 func (s *Seeds) Refresh() {
-	last := s.refreshedAt.Load()
+	previous := s.refreshedAt.Load()
 	now := nowMillis()
-	if now-last > minSeedReloadInterval.Milliseconds() && s.refreshedAt.CompareAndSwap(last, now) {
+	if now-previous > minSeedReloadInterval.Milliseconds() && s.refreshedAt.CompareAndSwap(previous, now) {
 		s.reload()
 	}
 }
--- a/server/stop.go
+++ b/server/stop.go
@@ -118,7 +118,7 @@
 	return limited, cancel, wait, nil
 }
 
-// drain accepts requests until no new connections are expected and none are in flight, then closes the
+// drain accepts requests until no new connections are expected and no requests are in flight, then closes the
 // gateway. Requests that are still running at the work deadline are answered as expired.
 func (g *Gateway) drain() {
 	plan := g.plan.Load()
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -24,9 +24,9 @@
 const testGracePeriod = 8 * time.Second
 
 // newStoppingGateway returns a gateway whose shutdown began the given time ago.
-func newStoppingGateway(ago time.Duration) *Gateway {
+func newStoppingGateway(elapsed time.Duration) *Gateway {
 	gateway := newTestGateway(time.Now())
-	gateway.plan.Store(newShutdownPlan(clock.Now().Add(-ago), testGracePeriod))
+	gateway.plan.Store(newShutdownPlan(clock.Now().Add(-elapsed), testGracePeriod))
 	return gateway
 }
 
@@ -36,8 +36,8 @@
 	running := newTestGateway(time.Now())
 	require.True(t, running.canAccept(clock.Now().Add(time.Hour)))
 	for _, test := range []struct {
-		ago, left time.Duration
-		accepted  bool
+		elapsed, timeLeft time.Duration
+		accepted          bool
 	}{
 		{0, time.Hour, true},
 		{acceptAllTime / 2, time.Hour, true},
@@ -47,7 +47,7 @@
 		{testGracePeriod - exitMargin - time.Second, 2 * time.Second, false},
 		{testGracePeriod, time.Second, false},
 	} {
-		require.Equal(t, test.accepted, newStoppingGateway(test.ago).canAccept(clock.Now().Add(test.left)), test)
+		require.Equal(t, test.accepted, newStoppingGateway(test.elapsed).canAccept(clock.Now().Add(test.timeLeft)), test)
 	}
 }
 
