--- a/server/directory.go
+++ b/server/directory.go
@@ -85,13 +85,13 @@
 	view       atomic.Pointer[directory.Catalog]
 	heartbeats *heartbeats
 	// registrations sends heartbeats that change a registration to the leader, in batches.
-	registrations  *gather[Heartbeat]
+	registrations  *batcher[Heartbeat]
 	feed           *feed
-	usage          *usageKeeper
-	duties         *dutyKeeper
+	usage          *usageAggregator
+	duties         *dutyCoordinator
 	versions       *versionKeeper
 	returning      *returning
-	scale          *scaleKeeper
+	scale          *scaleController
 	stalls         standstill
 	invalidReports spoiledLog
 	// suspects is used only by review.
@@ -126,16 +126,16 @@
 		settings: settings, logger: logger, machine: machine, replica: opened,
 		client: replica.NewInternalClient(), confirmations: newReadConfirmations(), metrics: newDirectoryMetrics(), heartbeats: newHeartbeats(), feed: newFeed(),
 	}
-	d.duties = &dutyKeeper{settings: settings, replica: opened, machine: machine, acts: duty.NewTracker(), wait: time.Sleep}
-	d.usage = &usageKeeper{
+	d.duties = &dutyCoordinator{settings: settings, replica: opened, machine: machine, actions: duty.NewTracker(), sleep: time.Sleep}
+	d.usage = &usageAggregator{
 		settings: settings, replica: opened, machine: machine, client: client, clock: usage.NewClock(settings.ToleratedLosses + 1), duties: d.duties,
 		metrics: d.metrics, logger: logger,
 	}
 	d.versions = newVersionKeeper(settings.InternalAddress, opened, machine, logger)
 	d.returning = newReturning()
-	d.scale = &scaleKeeper{settings: settings, duties: d.duties, client: client, metrics: d.metrics, logger: logger}
-	d.scale.begin()
-	d.registrations = &gather[Heartbeat]{carry: d.registerAll}
+	d.scale = &scaleController{settings: settings, duties: d.duties, client: client, metrics: d.metrics, logger: logger}
+	d.scale.reset()
+	d.registrations = &batcher[Heartbeat]{process: d.registerAll}
 	d.view.Store(directory.NewCatalog())
 	return d, nil
 }
--- a/server/directory_review.go
+++ b/server/directory_review.go
@@ -31,7 +31,7 @@
 	every(ctx, reviewInterval, func() {
 		serving := d.replica.Status().Serving
 		d.updateServing(serving)
-		d.duties.noteActs()
+		d.duties.observeActions()
 		d.versions.updateInUse()
 		if !serving {
 			d.reportHeard(ctx)
@@ -52,7 +52,7 @@
 	if err := d.recordZone(ctx, d.ownZone()); err != nil {
 		event.LeaderUpdateFailed.On(d.logger).Err(err).Send()
 	}
-	d.usage.noteClock(d.settings.Name, time.Now().UnixMilli())
+	d.usage.recordClock(d.settings.Name, time.Now().UnixMilli())
 	d.usage.review(ctx, d.view.Load().HasTenants())
 	d.scale.review(d.view.Load())
 }
@@ -65,7 +65,7 @@
 		d.heartbeats.reset()
 		d.stalls.begin()
 		d.suspects = suspectClock{}
-		d.scale.begin()
+		d.scale.reset()
 		d.firstStoreAt, d.newestStoreAt = time.Time{}, time.Time{}
 	}
 	d.serving = serving
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -124,7 +124,7 @@
 	t.updateSpeculativeRuns()
 	t.checkpoint()
 	t.recordPaces()
-	t.tellDemand()
+	t.reportDemand()
 	t.openRunners.Store(int64(t.runners.OpenLinks()))
 	t.publishPlan()
 	if time.Since(t.prunedAt) > pruneInterval {
