--- a/server/admission.go
+++ b/server/admission.go
@@ -10,19 +10,19 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// ErrUnauthenticated: a call needs a key of a tenant and brings none that is known.
+// ErrUnauthenticated is the error for a call that needs a tenant's key and has no valid one.
 var ErrUnauthenticated = errorx.NewNamespace("gateway").NewType("unauthenticated")
 
-// Admission is what a gateway knows of a request that may be passed on.
+// Admission holds the route and the tenant of a request that may be forwarded.
 type Admission struct {
 	Route   routing.Route
 	Catalog *directory.Catalog
-	// Tenant is that of the caller's key, nil for a public route's request without a key and
-	// where there are no tenants.
+	// Tenant is the tenant of the caller's key. It is nil for a request without a key to a public
+	// route, and if no tenants are configured.
 	Tenant *routing.Tenant
 }
 
-// TenantName returns the tenant's name, or "".
+// TenantName returns the tenant's name, or "" without a tenant.
 func (a Admission) TenantName() string {
 	if a.Tenant == nil {
 		return ""
@@ -30,45 +30,45 @@
 	return a.Tenant.Name
 }
 
-// Admit finds the route of a request and the tenant of its key, "" for none. It fails with
-// ErrUnavailable while no configuration is known, with ErrNotFound if there is no route,
-// and with ErrUnauthenticated if the route needs another key. It is asked for each
-// request, since keys are taken away while connections are kept.
+// Admit finds the route of a request and the tenant of its key; an empty key means none. It fails
+// with ErrUnavailable while the gateway has no configuration, with ErrNotFound if no route matches,
+// and with ErrUnauthenticated if the route needs a valid key. It must be called for every request,
+// because keys can be revoked while connections stay open.
 func (g *Gateway) Admit(ctx context.Context, host, path, key string) (Admission, error) {
 	route, catalog, err := g.Match(ctx, host, path)
 	if err != nil {
 		return Admission{}, err
 	}
-	admitted := Admission{Route: route, Catalog: catalog}
+	admission := Admission{Route: route, Catalog: catalog}
 	if key == "" && route.Public {
-		return admitted, nil
+		return admission, nil
 	}
-	admitted.Tenant, err = tenantOf(catalog, key)
-	return admitted, err
+	admission.Tenant, err = tenantForKey(catalog, key)
+	return admission, err
 }
 
-// Identify returns the name of the tenant of a call that is not passed on, "" where there
-// are no tenants. Its errors are those of Admit.
-func (g *Gateway) Identify(ctx context.Context, key string) (string, error) {
+// Authenticate returns the tenant's name for a call that needs no route, or "" if no tenants are
+// configured. It fails with ErrUnavailable or ErrUnauthenticated, as Admit does.
+func (g *Gateway) Authenticate(ctx context.Context, key string) (string, error) {
 	catalog := g.currentConfiguration(ctx)
 	if catalog.Version == 0 {
-		return "", replica.ErrUnavailable.New("no configuration is known yet")
+		return "", replica.ErrUnavailable.New("the gateway has no configuration yet")
 	}
-	tenant, err := tenantOf(catalog, key)
+	tenant, err := tenantForKey(catalog, key)
 	if err != nil || tenant == nil {
 		return "", err
 	}
 	return tenant.Name, nil
 }
 
-// tenantOf returns the tenant of the key, or nil where there are no tenants.
-func tenantOf(catalog *directory.Catalog, key string) (*routing.Tenant, error) {
+// tenantForKey returns the tenant of the key, or nil if no tenants are configured.
+func tenantForKey(catalog *directory.Catalog, key string) (*routing.Tenant, error) {
 	if !catalog.HasTenants() {
 		return nil, nil
 	}
 	tenant, ok := catalog.TenantByKey(key)
 	if !ok {
-		return nil, ErrUnauthenticated.New("no tenant has the key")
+		return nil, ErrUnauthenticated.New("the key belongs to no tenant")
 	}
 	return &tenant, nil
 }
--- a/server/body.go
+++ b/server/body.go
@@ -8,30 +8,29 @@
 )
 
 const (
-	// bodyShare of the memory limit may hold bodies that are being passed on.
-	bodyShare = 0.3
-	// defaultBodyBytes is that bound where there is no memory limit.
-	defaultBodyBytes = 256 << 20
+	// bodyMemoryFraction is the fraction of the memory limit for the bodies of requests in flight.
+	bodyMemoryFraction = 0.3
+	// defaultBodyLimit bounds the total size of the bodies if there is no memory limit.
+	defaultBodyLimit = 256 << 20
 	bodyChunkBytes   = 4 << 10
 )
 
-// ErrOverloaded: the process holds as much as it may.
+// ErrOverloaded is the error for a body that exceeds the memory limit for bodies.
 var ErrOverloaded = errorx.NewNamespace("gateway").NewType("overloaded")
 
-// ReadBody reads a caller's body into memory. It fails with an ErrOverloaded error
-// where all bodies together would take more than their part of the memory limit.
-// The function gives the memory back.
+// ReadBody reads a request body into memory. It fails with ErrOverloaded if all bodies together
+// would exceed the memory limit for bodies. The returned function releases the reserved memory.
 func (g *Gateway) ReadBody(reader io.Reader) ([]byte, func(), error) {
 	var body bytes.Buffer
-	held := int64(0)
-	release := func() { g.bodyBytes.Add(-held) }
+	reserved := int64(0)
+	release := func() { g.bodyBytes.Add(-reserved) }
 	chunk := make([]byte, bodyChunkBytes)
 	for {
 		count, err := reader.Read(chunk)
-		held += int64(count)
+		reserved += int64(count)
 		if g.bodyBytes.Add(int64(count)) > g.bodyLimit() {
 			release()
-			return nil, func() {}, ErrOverloaded.New("bodies in memory: %d bytes", g.bodyBytes.Load())
+			return nil, func() {}, ErrOverloaded.New("request bodies exceed their memory limit: %d bytes in memory", g.bodyBytes.Load())
 		}
 		body.Write(chunk[:count])
 		if err == io.EOF {
@@ -46,7 +45,7 @@
 
 func (g *Gateway) bodyLimit() int64 {
 	if g.settings.MemoryLimit == 0 {
-		return defaultBodyBytes
+		return defaultBodyLimit
 	}
-	return int64(bodyShare * float64(g.settings.MemoryLimit) * mebibyte)
+	return int64(bodyMemoryFraction * float64(g.settings.MemoryLimit) * mebibyte)
 }
--- a/server/body_test.go
+++ b/server/body_test.go
@@ -13,22 +13,22 @@
 	"github.com/dillchute/dillchute/config"
 )
 
-// TestBodiesAreBounded: what one caller holds is not there for another, and comes
-// back when it is released, or when the body could not be read.
-func TestBodiesAreBounded(t *testing.T) {
-	g := &Gateway{settings: config.Gateway{Process: config.Process{MemoryLimit: 1}}}
-	half := strings.Repeat("x", int(g.bodyLimit())*2/3)
-	first, release, err := g.ReadBody(strings.NewReader(half))
+// TestBodyMemoryIsBounded checks that a body is refused while others hold the memory, and
+// that memory is released by the returned function and after a read error.
+func TestBodyMemoryIsBounded(t *testing.T) {
+	gateway := &Gateway{settings: config.Gateway{Process: config.Process{MemoryLimit: 1}}}
+	body := strings.Repeat("x", int(gateway.bodyLimit())*2/3)
+	first, release, err := gateway.ReadBody(strings.NewReader(body))
 	require.NoError(t, err)
-	require.Equal(t, half, string(first))
-	_, _, err = g.ReadBody(strings.NewReader(half))
+	require.Equal(t, body, string(first))
+	_, _, err = gateway.ReadBody(strings.NewReader(body))
 	require.True(t, errorx.IsOfType(err, ErrOverloaded))
-	broken := errors.New("broken")
-	_, _, err = g.ReadBody(io.MultiReader(strings.NewReader("some"), iotest.ErrReader(broken)))
-	require.ErrorIs(t, err, broken)
+	readError := errors.New("broken")
+	_, _, err = gateway.ReadBody(io.MultiReader(strings.NewReader("some"), iotest.ErrReader(readError)))
+	require.ErrorIs(t, err, readError)
 	release()
-	require.Zero(t, g.bodyBytes.Load())
-	_, release, err = g.ReadBody(strings.NewReader(half))
+	require.Zero(t, gateway.bodyBytes.Load())
+	_, release, err = gateway.ReadBody(strings.NewReader(body))
 	require.NoError(t, err)
 	release()
 }
--- a/server/callers.go
+++ b/server/callers.go
@@ -17,24 +17,24 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// The headers of a live request.
+// Headers of a live request.
 const (
-	// HeaderRequestID is the caller's identity of the request.
+	// HeaderRequestID is the caller's ID of the request.
 	HeaderRequestID = "Dillchute-Request-Id"
-	// HeaderTimeout is the caller's patience in milliseconds.
+	// HeaderTimeout is the request's timeout in milliseconds.
 	HeaderTimeout = "Dillchute-Timeout-Milliseconds"
-	// HeaderPriority lowers the pool's priority; 0 to 9.
+	// HeaderPriority caps the priority that the pool gives the request; 0 to 9.
 	HeaderPriority = "Dillchute-Priority"
 	// HeaderNotRepeatable is "true" for a request that must run at most once.
 	HeaderNotRepeatable = "Dillchute-Not-Repeatable"
-	// HeaderIssuedAt is when the request was first sent, in milliseconds since
-	// 1970; HeaderWindow for how many milliseconds it may be resent.
+	// HeaderIssuedAt is when the request was first sent, in Unix milliseconds.
+	// HeaderWindow is how long after that it may be resent, in milliseconds.
 	HeaderIssuedAt = "Dillchute-Issued-At"
 	HeaderWindow   = "Dillchute-Window-Milliseconds"
-	// HeaderAttempt counts the sends of the request from 1.
+	// HeaderAttempt is the number of the attempt, from 1.
 	HeaderAttempt = "Dillchute-Attempt"
-	// HeaderUnresolved is "true" if the caller does not know what became of an
-	// earlier send: it was cut off, or answered as unknown.
+	// HeaderUnresolved is "true" if the caller does not know the outcome of an
+	// earlier attempt: it was interrupted, or its outcome was "unknown".
 	HeaderUnresolved = "Dillchute-Unresolved"
 )
 
@@ -48,8 +48,8 @@
 	maxPriority          = 9
 )
 
-// completionRequest is the part of the completions interface that is served.
-// Model names a pool; sampling parameters that a pool does not offer are ignored.
+// completionRequest holds the supported parameters of the completions API.
+// Model names a pool; other parameters are ignored.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -82,7 +82,7 @@
 	Segments []completionSegment `json:"segments,omitempty"`
 }
 
-// callerError is the body of a refusal or failure.
+// callerError is the response body of a refused or failed request.
 type callerError struct {
 	Error callerErrorDetail `json:"error"`
 }
@@ -110,45 +110,46 @@
 		writeError(response, http.StatusBadRequest, callerErrorDetail{Outcome: "invalid", Reason: "invalid_request", Message: problem})
 		return
 	}
-	box := eventloop.NewMailbox[node.CallerEvent]()
+	mailbox := eventloop.NewMailbox[node.CallerEvent]()
 	id, ok := eventloop.Call(n.loop, func() uint64 {
 		submitted := n.core.Submit(n.now(), live)
-		n.callers[submitted] = box
+		n.callers[submitted] = mailbox
 		return submitted
 	})
 	if !ok {
-		writeEnd(response, node.CallerEvent{Outcome: protocol.OutcomeNotRun, Reason: protocol.ReasonDraining})
+		writeFailure(response, node.CallerEvent{Outcome: protocol.OutcomeNotRun, Reason: protocol.ReasonDraining})
 		return
 	}
 	defer n.loop.Submit(func() {
 		delete(n.callers, id)
 		n.core.Cancel(n.now(), id)
 	})
-	answer := newAnswer(response, live, body.Stream)
+	writer := newCompletionWriter(response, live, body.Stream)
 	for {
-		events, ok := box.Take(request.Context())
+		events, ok := mailbox.Take(request.Context())
 		if !ok {
 			return
 		}
 		for _, received := range events {
-			answer.add(received)
+			writer.write(received)
 			if received.Outcome != 0 {
-				answer.end(received)
+				writer.finish(received)
 				return
 			}
 		}
-		answer.flush()
-		if answer.broken {
+		writer.flush()
+		if writer.failed {
 			return
 		}
 	}
 }
 
-// parseCompletion returns the request, or what is wrong with it.
+// parseCompletion parses a completion request. The string describes why the
+// request is invalid; it is empty for a valid one.
 func parseCompletion(response http.ResponseWriter, request *http.Request) (completionRequest, protocol.LiveRequest, string) {
 	var body completionRequest
 	live := protocol.LiveRequest{Key: request.Header.Get(HeaderRequestID), Attempt: 1, PriorityCap: maxPriority}
-	if kind := request.Header.Get("Content-Type"); !strings.HasPrefix(kind, "application/json") {
+	if contentType := request.Header.Get("Content-Type"); !strings.HasPrefix(contentType, "application/json") {
 		return body, live, "Content-Type: must be application/json"
 	}
 	decoder := json.NewDecoder(http.MaxBytesReader(response, request.Body, maxCompletionBody))
@@ -173,7 +174,7 @@
 	live.TimeoutMillis = defaultTimeoutMillis
 	fields := []struct {
 		name     string
-		into     *int64
+		target   *int64
 		min, max int64
 	}{
 		{HeaderTimeout, &live.TimeoutMillis, 1, maxTimeoutMillis},
@@ -191,14 +192,14 @@
 		if err != nil || value < field.min || value > field.max {
 			return fmt.Sprintf("%s: must be %d to %d", field.name, field.min, field.max)
 		}
-		*field.into = value
+		*field.target = value
 	}
 	live.PriorityCap, live.Attempt = uint8(priority), uint32(attempt)
 	return parseNotRepeatable(header, live)
 }
 
-// maxClockAhead is how far a caller's clock may be ahead of the node's.
-const maxClockAhead = time.Minute
+// maxClockSkew is how far a caller's clock may be ahead of the node's.
+const maxClockSkew = time.Minute
 
 func parseNotRepeatable(header http.Header, live *protocol.LiveRequest) string {
 	switch header.Get(HeaderNotRepeatable) {
@@ -216,21 +217,21 @@
 	if live.Key == "" || live.IssuedAt == 0 || live.WindowMillis == 0 {
 		return fmt.Sprintf("a request that must not repeat needs %s, %s and %s", HeaderRequestID, HeaderIssuedAt, HeaderWindow)
 	}
-	if live.IssuedAt > time.Now().Add(maxClockAhead).UnixMilli() {
+	if live.IssuedAt > time.Now().Add(maxClockSkew).UnixMilli() {
 		return HeaderIssuedAt + ": lies in the future"
 	}
 	return ""
 }
 
-// answer writes an answer as one JSON body or as server-sent events.
-type answer struct {
+// completionWriter writes a completion as one JSON body or as server-sent events.
+type completionWriter struct {
 	response http.ResponseWriter
-	// controller sets the time that each write may take. A caller that does not
-	// read would hold its stream and this request for good otherwise.
+	// controller sets the deadline of each write, so that a caller that does not
+	// read cannot hold its stream and its request forever.
 	controller   *http.ResponseController
 	writeTimeout time.Duration
-	// broken is set once a write has failed: the caller has gone or does not read.
-	broken   bool
+	// failed is set when a write fails: the caller disconnected or does not read.
+	failed   bool
 	id       string
 	pool     string
 	stream   bool
@@ -240,40 +241,40 @@
 	segments []state.Segment
 }
 
-// callerWriteTimeout is how long a caller may leave a part of its answer unread.
+// callerWriteTimeout bounds each write to a caller.
 const callerWriteTimeout = 30 * time.Second
 
-func newAnswer(response http.ResponseWriter, live protocol.LiveRequest, stream bool) *answer {
-	return &answer{
+func newCompletionWriter(response http.ResponseWriter, live protocol.LiveRequest, stream bool) *completionWriter {
+	return &completionWriter{
 		response: response, controller: http.NewResponseController(response), writeTimeout: callerWriteTimeout,
 		id: live.Key, pool: live.Pool, stream: stream,
 	}
 }
 
-func (a *answer) add(received node.CallerEvent) {
+func (w *completionWriter) write(received node.CallerEvent) {
 	if len(received.Tokens) == 0 {
 		return
 	}
-	last := len(a.segments) - 1
-	if last >= 0 && a.segments[last].Version == received.Version {
-		a.segments[last].Count += uint32(len(received.Tokens))
+	last := len(w.segments) - 1
+	if last >= 0 && w.segments[last].Version == received.Version {
+		w.segments[last].Count += uint32(len(received.Tokens))
 	} else {
-		a.segments = append(a.segments, state.Segment{
-			Version: received.Version, First: uint32(a.tokens), Count: uint32(len(received.Tokens)),
+		w.segments = append(w.segments, state.Segment{
+			Version: received.Version, First: uint32(w.tokens), Count: uint32(len(received.Tokens)),
 		})
 	}
-	a.tokens += len(received.Tokens)
+	w.tokens += len(received.Tokens)
 	text := TokenText(received.Tokens)
-	if !a.stream {
-		a.text.WriteString(text)
+	if !w.stream {
+		w.text.WriteString(text)
 		return
 	}
-	a.event(completionResponse{
-		ID: a.id, Object: "text_completion", Model: a.pool, Choices: []completionChoice{{Text: text}},
+	w.writeEvent(completionResponse{
+		ID: w.id, Object: "text_completion", Model: w.pool, Choices: []completionChoice{{Text: text}},
 	})
 }
 
-// TokenText is the text of tokens as engines of the test bench write them.
+// TokenText returns the text of tokens in the format of the test bench's engines.
 func TokenText(tokens []uint32) string {
 	var text strings.Builder
 	for _, token := range tokens {
@@ -282,58 +283,58 @@
 	return text.String()
 }
 
-func (a *answer) event(data any) {
-	if !a.started {
-		a.started = true
-		a.response.Header().Set("Content-Type", "text/event-stream")
-		a.response.WriteHeader(http.StatusOK)
+func (w *completionWriter) writeEvent(data any) {
+	if !w.started {
+		w.started = true
+		w.response.Header().Set("Content-Type", "text/event-stream")
+		w.response.WriteHeader(http.StatusOK)
 	}
 	encoded, err := json.Marshal(data)
 	if err != nil {
-		panic("server: an event must encode: " + err.Error())
+		panic("server: encode an event: " + err.Error())
 	}
-	a.allowWrite()
-	_, err = fmt.Fprintf(a.response, "data: %s\n\n", encoded)
-	a.note(err)
+	w.extendWriteDeadline()
+	_, err = fmt.Fprintf(w.response, "data: %s\n\n", encoded)
+	w.recordError(err)
 }
 
-// allowWrite begins the time for the next write. A response that knows no
-// deadlines, as in tests, goes without.
-func (a *answer) allowWrite() {
-	_ = a.controller.SetWriteDeadline(time.Now().Add(a.writeTimeout))
+// extendWriteDeadline sets the deadline of the next write. It does nothing if
+// the response writer does not support deadlines, as in tests.
+func (w *completionWriter) extendWriteDeadline() {
+	_ = w.controller.SetWriteDeadline(time.Now().Add(w.writeTimeout))
 }
 
-func (a *answer) note(err error) { a.broken = a.broken || err != nil }
+func (w *completionWriter) recordError(err error) { w.failed = w.failed || err != nil }
 
-func (a *answer) flush() {
-	if a.started {
-		a.allowWrite()
-		a.note(a.controller.Flush())
+func (w *completionWriter) flush() {
+	if w.started {
+		w.extendWriteDeadline()
+		w.recordError(w.controller.Flush())
 	}
 }
 
-func (a *answer) end(received node.CallerEvent) {
-	a.allowWrite()
+func (w *completionWriter) finish(received node.CallerEvent) {
+	w.extendWriteDeadline()
 	if received.Outcome != protocol.OutcomeAnswered {
-		if a.started {
-			a.event(callerError{Error: detailOf(received)})
+		if w.started {
+			w.writeEvent(callerError{Error: errorDetail(received)})
 			return
 		}
-		writeEnd(a.response, received)
+		writeFailure(w.response, received)
 		return
 	}
 	final := completionResponse{
-		ID: a.id, Object: "text_completion", Model: a.pool,
-		Choices:  []completionChoice{{Text: a.text.String(), FinishReason: "stop"}},
-		Usage:    &completionUsage{CompletionTokens: a.tokens},
-		Segments: segmentsToJSON(a.segments),
+		ID: w.id, Object: "text_completion", Model: w.pool,
+		Choices:  []completionChoice{{Text: w.text.String(), FinishReason: "stop"}},
+		Usage:    &completionUsage{CompletionTokens: w.tokens},
+		Segments: segmentsToJSON(w.segments),
 	}
-	if a.stream {
-		a.event(final)
-		fmt.Fprint(a.response, "data: [DONE]\n\n")
+	if w.stream {
+		w.writeEvent(final)
+		fmt.Fprint(w.response, "data: [DONE]\n\n")
 		return
 	}
-	writeJSON(a.response, http.StatusOK, final)
+	writeJSON(w.response, http.StatusOK, final)
 }
 
 func segmentsToJSON(segments []state.Segment) []completionSegment {
@@ -346,7 +347,7 @@
 	return converted
 }
 
-func detailOf(received node.CallerEvent) callerErrorDetail {
+func errorDetail(received node.CallerEvent) callerErrorDetail {
 	message := "the request did not run anywhere"
 	if received.Outcome == protocol.OutcomeUnknown {
 		message = "the request may have run, wholly or in part"
@@ -357,8 +358,9 @@
 	}
 }
 
-// writeEnd answers a request that was not answered, with when to come back.
-func writeEnd(response http.ResponseWriter, received node.CallerEvent) {
+// writeFailure writes the error response of a request that failed, with the
+// suggested retry delay.
+func writeFailure(response http.ResponseWriter, received node.CallerEvent) {
 	status := http.StatusServiceUnavailable
 	switch {
 	case received.Reason == protocol.ReasonUnknownPool:
@@ -372,7 +374,7 @@
 	case received.Outcome == protocol.OutcomeUnknown:
 		status = http.StatusBadGateway
 	}
-	writeError(response, status, detailOf(received))
+	writeError(response, status, errorDetail(received))
 }
 
 const millisPerSecond = 1000
@@ -388,6 +390,6 @@
 func writeJSON(response http.ResponseWriter, status int, body any) {
 	response.Header().Set("Content-Type", "application/json")
 	response.WriteHeader(status)
-	// The caller may have gone; there is nobody to tell then.
+	// An error means that the caller has disconnected.
 	_ = json.NewEncoder(response).Encode(body)
 }
--- a/server/callers_test.go
+++ b/server/callers_test.go
@@ -14,18 +14,18 @@
 	"github.com/dillchute/dillchute/protocol"
 )
 
-// TestCallerThatDoesNotReadIsGivenUp: a caller that leaves its answer unread
-// holds the request for the write timeout and no longer.
-func TestCallerThatDoesNotReadIsGivenUp(t *testing.T) {
-	givenUp := make(chan struct{})
+// TestUnreadResponseTimesOut checks that a caller that does not read its
+// response holds the request only for the write timeout.
+func TestUnreadResponseTimesOut(t *testing.T) {
+	ended := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
-		answer := newAnswer(response, protocol.LiveRequest{}, true)
-		answer.writeTimeout = 100 * time.Millisecond
-		for !answer.broken {
-			answer.add(node.CallerEvent{Version: 1, Tokens: make([]uint32, 4096)})
-			answer.flush()
+		writer := newCompletionWriter(response, protocol.LiveRequest{}, true)
+		writer.writeTimeout = 100 * time.Millisecond
+		for !writer.failed {
+			writer.write(node.CallerEvent{Version: 1, Tokens: make([]uint32, 4096)})
+			writer.flush()
 		}
-		close(givenUp)
+		close(ended)
 	}))
 	defer server.Close()
 	connection, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
@@ -34,8 +34,8 @@
 	_, err = connection.Write([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"))
 	require.NoError(t, err)
 	select {
-	case <-givenUp:
+	case <-ended:
 	case <-time.After(testPatience):
-		t.Fatal("the answer waits for its caller")
+		t.Fatal("the write to a caller that does not read did not time out")
 	}
 }
--- a/server/gateway.go
+++ b/server/gateway.go
@@ -21,63 +21,62 @@
 )
 
 const (
-	// RetryAfter is when a caller whose request has not run should come back,
-	// and StartRetryAfter that while the gateway knows no configuration yet.
-	RetryAfter      = 100 * time.Millisecond
-	StartRetryAfter = 500 * time.Millisecond
-	// startWait is how long after a gateway's start requests wait for its first
-	// configuration, which is expected at any moment; later they are refused at once.
-	startWait = 400 * time.Millisecond
+	// RetryAfter is the retry delay for callers whose request has not run.
+	// StartupRetryAfter replaces it until the gateway has a configuration.
+	RetryAfter        = 100 * time.Millisecond
+	StartupRetryAfter = 500 * time.Millisecond
+	// startupWait is how long after the gateway's start requests wait for the first
+	// configuration. Later requests are refused at once.
+	startupWait = 400 * time.Millisecond
 )
 
-// spread returns a number that differs between processes.
-func spread(name string) int {
+// nameHash returns a non-negative hash of a process name.
+func nameHash(name string) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
 	return int(hash.Sum32() >> 1)
 }
 
-// Gateway takes callers' requests: it passes them to backends, and steps to
-// the ledger.
+// Gateway forwards callers' requests to backends, and steps to the ledger.
 type Gateway struct {
-	settings  config.Gateway
-	logger    *zerolog.Logger
-	watcher   *Watcher
-	forwarder *forward.Forwarder
-	ledger    *ledgerClient
-	metrics   gatewayMetrics
-	usage     *usageTeller
-	guard     *quarantine.Guard
-	limits    *gatewayLimits
+	settings         config.Gateway
+	logger           *zerolog.Logger
+	watcher          *Watcher
+	forwarder        *forward.Forwarder
+	ledger           *ledgerClient
+	metrics          gatewayMetrics
+	usage            *usageTeller
+	guard            *quarantine.Guard
+	admissionMonitor *admissionMonitor
 
-	// startedAt is when the gateway began to follow the directory.
+	// startedAt is when the gateway was created; see startupWait.
 	startedAt time.Time
-	// plan is set once a planned stop has begun, and closed once nothing more is taken. work
-	// ends when what still runs has to; endWork ends it.
-	plan     atomic.Pointer[stopPlan]
-	closed   atomic.Bool
-	work     context.Context
-	endWork  context.CancelFunc
-	inFlight atomic.Int64
-	// bodyBytes are the bytes of bodies in memory.
+	// plan is set when a graceful shutdown begins. closed is set when requests are no longer accepted.
+	// cancelRequests cancels baseContext, and with it the requests that still run.
+	plan           atomic.Pointer[stopPlan]
+	closed         atomic.Bool
+	baseContext    context.Context
+	cancelRequests context.CancelFunc
+	inFlight       atomic.Int64
+	// bodyBytes is the total size of the request bodies in memory.
 	bodyBytes atomic.Int64
 }
 
-// NewGateway returns a gateway that reaches backends through the client.
+// NewGateway returns a gateway that calls backends through the client.
 func NewGateway(settings config.Gateway, seeds *Seeds, backends forward.Client, logger *zerolog.Logger) *Gateway {
-	watcher := NewWatcher(seeds, settings.Zone, spread(settings.Name), logger)
+	watcher := NewWatcher(seeds, settings.Zone, nameHash(settings.Name), logger)
 	watcher.scope = func() directory.Scope { return directory.ScopeForwarded }
 	watcher.age.limit = settings.CopyLimit
 	guard := newGuard(watcher)
-	work, endWork := context.WithCancel(context.Background())
+	baseContext, cancelRequests := context.WithCancel(context.Background())
 	gateway := &Gateway{
-		work: work, endWork: endWork,
+		baseContext: baseContext, cancelRequests: cancelRequests,
 		settings: settings, logger: logger, watcher: watcher, guard: guard,
 		forwarder: forward.New(newCurrentClient(backends, watcher), settings.Zone, guard), ledger: newLedgerClient(watcher, settings.Zone, logger),
 		metrics: newGatewayMetrics(), usage: newUsageTeller(settings.Name, watcher), startedAt: time.Now(),
-		limits: newGatewayLimits(logger),
+		admissionMonitor: newAdmissionMonitor(logger),
 	}
-	gateway.forwarder.SetLimiter(gateway.limits.limiter)
+	gateway.forwarder.SetLimiter(gateway.admissionMonitor.limiter)
 	return gateway
 }
 
@@ -87,11 +86,11 @@
 	go g.watcher.keepCurrent(ctx)
 	go g.usage.run(ctx)
 	go tellCrashes(ctx, g.guard, g.watcher)
-	go g.limits.run(ctx)
+	go g.admissionMonitor.run(ctx)
 	for ctx.Err() == nil {
 		changed := g.watcher.Changed()
 		g.forwarder.Forget(g.watcher.Catalog())
-		g.limits.forget(g.watcher.Catalog())
+		g.admissionMonitor.prune(g.watcher.Catalog())
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -99,36 +98,36 @@
 	}
 }
 
-// Ready tells whether the gateway should get new connections.
+// Ready reports whether the gateway should receive new connections.
 func (g *Gateway) Ready() bool { return !g.Stopping() && g.watcher.Catalog().Version > 0 }
 
-// Catalog returns the directory as the gateway knows it.
+// Catalog returns the gateway's copy of the directory.
 func (g *Gateway) Catalog() *directory.Catalog { return g.watcher.Catalog() }
 
-// RetryAfter returns when a caller whose request has not run should come back.
+// RetryAfter returns the retry delay for a caller whose request has not run.
 func (g *Gateway) RetryAfter() time.Duration {
 	if g.watcher.Catalog().Version == 0 {
-		return StartRetryAfter
+		return StartupRetryAfter
 	}
 	return RetryAfter
 }
 
-// Begin counts a request, and the function that it returns ends it.
-func (g *Gateway) Begin() func() {
+// TrackRequest counts a request as in flight until the returned function is called.
+func (g *Gateway) TrackRequest() func() {
 	g.inFlight.Add(1)
 	return func() { g.inFlight.Add(-1) }
 }
 
-// InFlight returns the number of requests that have not ended.
+// InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// firstConfiguration returns the directory as the gateway knows it. Right after
-// the gateway's start it waits for a configuration.
-func (g *Gateway) firstConfiguration(ctx context.Context) *directory.Catalog {
+// awaitFirstConfiguration returns the gateway's copy of the directory. Within
+// startupWait of the gateway's start it waits until the copy has a configuration.
+func (g *Gateway) awaitFirstConfiguration(ctx context.Context) *directory.Catalog {
 	if catalog := g.watcher.Catalog(); catalog.Version > 0 {
 		return catalog
 	}
-	limited, cancel := context.WithDeadline(ctx, g.startedAt.Add(startWait))
+	waitContext, cancel := context.WithDeadline(ctx, g.startedAt.Add(startupWait))
 	defer cancel()
 	for {
 		changed := g.watcher.Changed()
@@ -138,18 +137,18 @@
 		}
 		select {
 		case <-changed:
-		case <-limited.Done():
+		case <-waitContext.Done():
 			return catalog
 		}
 	}
 }
 
-// Match returns the route of a request. It fails with ErrUnavailable while no
-// configuration is known, and with ErrNotFound if there is no route.
+// Match returns the route of a request. It fails with ErrUnavailable while the
+// gateway has no configuration, and with ErrNotFound if no route matches.
 func (g *Gateway) Match(ctx context.Context, host, path string) (routing.Route, *directory.Catalog, error) {
 	catalog := g.currentConfiguration(ctx)
 	if catalog.Version == 0 {
-		return routing.Route{}, catalog, replica.ErrUnavailable.New("no configuration is known yet")
+		return routing.Route{}, catalog, replica.ErrUnavailable.New("the gateway has no configuration yet")
 	}
 	route, ok := catalog.Table.Match(host, path)
 	if !ok {
@@ -158,39 +157,39 @@
 	return route, catalog, nil
 }
 
-// Forward passes a request to the route's services.
+// Forward sends a request to the route's services.
 func (g *Gateway) Forward(ctx context.Context, catalog *directory.Catalog, route routing.Route, request *forward.Request) forward.Result {
 	started := clock.Now()
 	limitDeadline(request, route, started)
 	result := refuseStopping()
 	if g.take(request) {
-		limited, cancel := g.untilWorkEnds(ctx)
+		requestContext, cancel := g.untilWorkEnds(ctx)
 		defer cancel()
-		if result = g.refuseOutOfTouch(limited, route); result.Reason == "" {
-			result = g.forwarder.Do(limited, g.newest(catalog), route, request)
+		if result = g.refuseOutOfTouch(requestContext, route); result.Reason == "" {
+			result = g.forwarder.Do(requestContext, g.newest(catalog), route, request)
 		}
 	}
-	g.noteRequest(catalog, route, request, result, started)
+	g.recordRequest(catalog, route, request, result, started)
 	return result
 }
 
-// Stream passes a request on whose answer is a stream; see forward.Forwarder.
+// Stream sends a request whose response is streamed to the sink; see forward.Forwarder.
 func (g *Gateway) Stream(ctx context.Context, catalog *directory.Catalog, route routing.Route, request *forward.Request, sink forward.Sink) forward.Result {
 	started := clock.Now()
 	limitDeadline(request, route, started)
 	result := refuseStopping()
 	if g.take(request) {
-		limited, cancel := g.untilWorkEnds(ctx)
+		requestContext, cancel := g.untilWorkEnds(ctx)
 		defer cancel()
-		if result = g.refuseOutOfTouch(limited, route); result.Reason == "" {
-			result = g.forwarder.Stream(limited, g.newest(catalog), route, request, sink)
+		if result = g.refuseOutOfTouch(requestContext, route); result.Reason == "" {
+			result = g.forwarder.Stream(requestContext, g.newest(catalog), route, request, sink)
 		}
 	}
-	g.noteRequest(catalog, route, request, result, started)
+	g.recordRequest(catalog, route, request, result, started)
 	return result
 }
 
-// limitDeadline bounds the request's time by its route's.
+// limitDeadline bounds the request's deadline by the route's timeout.
 func limitDeadline(request *forward.Request, route routing.Route, started time.Time) {
 	timeout := started.Add(time.Duration(route.TimeoutMillis) * time.Millisecond)
 	if request.Deadline.IsZero() || request.Deadline.After(timeout) {
@@ -198,11 +197,11 @@
 	}
 }
 
-// noteRequest counts and logs a request that has ended, and its attempts that
-// did not bring the answer.
-func (g *Gateway) noteRequest(catalog *directory.Catalog, route routing.Route, request *forward.Request, result forward.Result, started time.Time) {
-	took := clock.Since(started)
-	g.metrics.noteRequest(result, took)
+// recordRequest counts and logs a request that has ended, and logs its
+// attempts that did not return the response.
+func (g *Gateway) recordRequest(catalog *directory.Catalog, route routing.Route, request *forward.Request, result forward.Result, started time.Time) {
+	latency := clock.Since(started)
+	g.metrics.noteRequest(result, latency)
 	g.usage.note(request.Tenant, result)
 	for _, attempt := range result.History {
 		if result.Response != nil && attempt.Backend == result.Backend {
@@ -219,42 +218,40 @@
 		logHeldBack(g.logger, request.ID, request.Content().Fingerprint())
 	}
 	line := event.RequestEnded.On(g.logger).Str("request", request.ID).Str("route", route.Name).
-		Uint("attempts", uint64(result.Attempts)).Int("ms", took.Milliseconds()).
+		Uint("attempts", uint64(result.Attempts)).Int("ms", latency.Milliseconds()).
 		Uint("version", catalog.Version).Uint("revision", catalog.Revision)
 	if result.Response != nil {
 		line.Str("outcome", "answered").Str("backend", result.Backend).Uint("status", uint64(result.Response.Status))
 	} else {
 		line.Str("outcome", string(result.Reason)).Uint("may_have_run", boolToUint(result.MayHaveRun))
 		if result.Reason == forward.Overloaded {
-			addLimit(line, request, result)
-			g.limits.wake()
+			addAdmissionFields(line, request, result)
+			g.admissionMonitor.notifyRefusal()
 		}
 	}
 	line.Send()
 }
 
-// SubmitOutcome tells what became of a step that was handed in.
+// SubmitOutcome is the outcome of submitting a step.
 type SubmitOutcome uint8
 
-// The outcomes.
 const (
-	// SubmitTaken: the step is durable, and all of it will be run.
-	SubmitTaken SubmitOutcome = iota + 1
-	// SubmitRefused: none of it runs.
+	// SubmitAccepted means that the step is stored durably and all of it will run.
+	SubmitAccepted SubmitOutcome = iota + 1
+	// SubmitRefused means that none of the step runs.
 	SubmitRefused
-	// SubmitUnknown: it may have been taken.
+	// SubmitUnknown means that the step may have been accepted.
 	SubmitUnknown
-	// SubmitConflict: another tenant's step has the ID, and none of this one runs.
+	// SubmitConflict means that another tenant's step has the ID; none of this step runs.
 	SubmitConflict
 )
 
-// Submit hands a step to the ledger. Its due and give-up times are given
-// relative to now.
+// Submit submits a step to the ledger. Its due and give-up times are relative to now.
 func (g *Gateway) Submit(ctx context.Context, step *ledger.Step) SubmitOutcome {
-	answer, reached, err := g.callLedger(ctx, ledgerCall{Submit: step})
-	outcome := SubmitTaken
+	answer, mayHaveApplied, err := g.callLedger(ctx, ledgerCall{Submit: step})
+	outcome := SubmitAccepted
 	switch {
-	case err != nil && !reached:
+	case err != nil && !mayHaveApplied:
 		outcome = SubmitRefused
 	case err == nil && answer.Refused:
 		outcome = SubmitConflict
@@ -266,59 +263,59 @@
 	return outcome
 }
 
-// callLedger makes a call for which the ledger does not wait. It tells whether a leader may have
-// carried it out.
-func (g *Gateway) callLedger(ctx context.Context, call ledgerCall) (answer ledgerAnswer, reached bool, err error) {
-	limited, cancel, wait, err := g.ledgerTime(ctx, 0)
+// callLedger makes a call that the ledger answers without waiting. mayHaveApplied reports whether a
+// leader may have applied it.
+func (g *Gateway) callLedger(ctx context.Context, call ledgerCall) (answer ledgerAnswer, mayHaveApplied bool, err error) {
+	callContext, cancel, wait, err := g.ledgerTime(ctx, 0)
 	if err != nil {
 		return answer, false, err
 	}
 	defer cancel()
-	return g.ledger.call(limited, call, wait)
+	return g.ledger.call(callContext, call, wait)
 }
 
-// Results returns a step's number of samples and its results from the position
-// on; it waits for one that long. The key is the caller's; here and below, the step of
-// another tenant does not exist for it.
+// Results returns a step's number of samples and its results from the position on. If there
+// are none yet, it waits up to the given time. As in SampleBody and EndStep, key is the caller's key, and
+// steps of other tenants are reported as not found.
 func (g *Gateway) Results(ctx context.Context, key, step string, after int, wait time.Duration) (int, []ledger.Result, error) {
-	tenant, err := g.Identify(ctx, key)
+	tenant, err := g.Authenticate(ctx, key)
 	if err != nil {
 		return 0, nil, err
 	}
-	limited, cancel, wait, err := g.ledgerTime(ctx, wait)
+	callContext, cancel, wait, err := g.ledgerTime(ctx, wait)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer cancel()
-	answer, _, err := g.ledger.results(limited, resultsCall{Step: step, After: after, Wait: wait, Tenant: tenant})
+	answer, _, err := g.ledger.results(callContext, resultsCall{Step: step, After: after, Wait: wait, Tenant: tenant})
 	if err == nil && !answer.Found {
-		err = ErrNotFound.New("no step %q", step)
+		err = ErrNotFound.New("unknown step %q", step)
 	}
 	return answer.Total, answer.Results, err
 }
 
 // SampleBody returns the body of a sample.
 func (g *Gateway) SampleBody(ctx context.Context, key, step, sample string) ([]byte, error) {
-	tenant, err := g.Identify(ctx, key)
+	tenant, err := g.Authenticate(ctx, key)
 	if err != nil {
 		return nil, err
 	}
 	answer, _, err := g.callLedger(ctx, ledgerCall{Sample: &sampleCall{Step: step, ID: sample, Tenant: tenant}})
 	if err == nil && !answer.Found {
-		err = ErrNotFound.New("no sample %q of step %q", sample, step)
+		err = ErrNotFound.New("unknown sample %q of step %q", sample, step)
 	}
 	return answer.Body, err
 }
 
-// End closes a step.
-func (g *Gateway) End(ctx context.Context, key, step string) error {
-	tenant, err := g.Identify(ctx, key)
+// EndStep ends a step.
+func (g *Gateway) EndStep(ctx context.Context, key, step string) error {
+	tenant, err := g.Authenticate(ctx, key)
 	if err != nil {
 		return err
 	}
 	answer, _, err := g.callLedger(ctx, ledgerCall{End: &endCall{Step: step, Tenant: tenant}})
 	if err == nil && !answer.Found {
-		err = ErrNotFound.New("no step %q", step)
+		err = ErrNotFound.New("unknown step %q", step)
 	}
 	return err
 }
--- a/server/gateway_copy.go
+++ b/server/gateway_copy.go
@@ -15,7 +15,7 @@
 // currentConfiguration returns the directory as the gateway knows it, after the directory was asked
 // where the copy is too old.
 func (g *Gateway) currentConfiguration(ctx context.Context) *directory.Catalog {
-	g.firstConfiguration(ctx)
+	g.awaitFirstConfiguration(ctx)
 	g.watcher.awaitCurrent(ctx, copyPatience)
 	return g.watcher.Catalog()
 }
--- a/server/gateway_limits.go
+++ b/server/gateway_limits.go
@@ -15,112 +15,111 @@
 	"github.com/dillchute/dillchute/forward"
 )
 
-// gatewayLimits tells operators how services stand that have more requests than they can serve.
-type gatewayLimits struct {
+// admissionMonitor logs when the limiter starts and stops limiting a service, and exports its metrics.
+type admissionMonitor struct {
 	limiter *admission.LocalLimiter
 	logger  *zerolog.Logger
-	// woken holds something once a request was not admitted.
-	woken chan struct{}
-	// limited holds what was known of the limited services when their limits began. It is run's.
-	limited map[string]limitBegun
+	// refusal wakes run after a request was not admitted.
+	refusal chan struct{}
+	// activeLimits holds the limited services by name. Only run uses it.
+	activeLimits map[string]limitStart
 }
 
-// limitBegun is how a service stood when its limit was seen to begin.
-type limitBegun struct {
-	at       time.Time
-	standing admission.Status
+// limitStart is a service's status when its limit was first observed.
+type limitStart struct {
+	startedAt time.Time
+	status    admission.Status
 }
 
-func newGatewayLimits(logger *zerolog.Logger) *gatewayLimits {
+func newAdmissionMonitor(logger *zerolog.Logger) *admissionMonitor {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return &gatewayLimits{
-		limiter: admission.NewLocalLimiter(random), logger: logger, woken: make(chan struct{}, 1), limited: map[string]limitBegun{},
+	return &admissionMonitor{
+		limiter: admission.NewLocalLimiter(random), logger: logger, refusal: make(chan struct{}, 1), activeLimits: map[string]limitStart{},
 	}
 }
 
-// limitReview is the time between two looks at the limits, which are told of but not decided here.
-const limitReview = 500 * time.Millisecond
+// limitReviewInterval is the interval between two reviews while a service is limited.
+const limitReviewInterval = 500 * time.Millisecond
 
-// run logs which limits begin and end until the context ends. It sleeps while there are none.
-func (l *gatewayLimits) run(ctx context.Context) {
+// run logs the start and the end of limits until the context ends. It is idle while no service is limited.
+func (l *admissionMonitor) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.woken:
+		case <-l.refusal:
 		}
-		for l.review(clock.Now()); len(l.limited) > 0 && ctx.Err() == nil; l.review(clock.Now()) {
-			sleep(ctx, limitReview)
+		for l.review(clock.Now()); len(l.activeLimits) > 0 && ctx.Err() == nil; l.review(clock.Now()) {
+			sleep(ctx, limitReviewInterval)
 		}
 	}
 }
 
-// wake has the limits looked at, since a request was not admitted.
-func (l *gatewayLimits) wake() {
+// notifyRefusal triggers a review after a request was not admitted. It never blocks.
+func (l *admissionMonitor) notifyRefusal() {
 	select {
-	case l.woken <- struct{}{}:
+	case l.refusal <- struct{}{}:
 	default:
 	}
 }
 
-func (l *gatewayLimits) review(now time.Time) {
-	for _, standing := range l.limiter.Statuses(now) {
-		begun, known := l.limited[standing.Service]
+func (l *admissionMonitor) review(now time.Time) {
+	for _, status := range l.limiter.Statuses(now) {
+		start, active := l.activeLimits[status.Service]
 		switch {
-		case standing.Limiting && !known:
-			l.limited[standing.Service] = limitBegun{now, standing}
-			event.LimitStarted.On(l.logger).Str("service", standing.Service).Uint("percent", percent(standing.AdmittedFraction)).
-				Int("usual_ms", standing.BaselineLatency.Milliseconds()).Int("delay_ms", standing.QueueDelay.Milliseconds()).Send()
-		case !standing.Limiting && known:
-			delete(l.limited, standing.Service)
-			event.LimitEnded.On(l.logger).Str("service", standing.Service).Int("ms", now.Sub(begun.at).Milliseconds()).
-				Uint("admitted", standing.Admitted-begun.standing.Admitted).
-				Uint("refused", refusedOf(standing)-refusedOf(begun.standing)).Send()
+		case status.Limiting && !active:
+			l.activeLimits[status.Service] = limitStart{now, status}
+			event.LimitStarted.On(l.logger).Str("service", status.Service).Uint("percent", percent(status.AdmittedFraction)).
+				Int("usual_ms", status.BaselineLatency.Milliseconds()).Int("delay_ms", status.QueueDelay.Milliseconds()).Send()
+		case !status.Limiting && active:
+			delete(l.activeLimits, status.Service)
+			event.LimitEnded.On(l.logger).Str("service", status.Service).Int("ms", now.Sub(start.startedAt).Milliseconds()).
+				Uint("admitted", status.Admitted-start.status.Admitted).
+				Uint("refused", totalRefused(status)-totalRefused(start.status)).Send()
 		}
 	}
 }
 
-// refusedOf returns how many requests were refused for any reason.
-func refusedOf(standing admission.Status) uint64 {
-	sum := uint64(0)
-	for _, number := range standing.Refused {
-		sum += number
+// totalRefused returns the number of refused requests over all reasons.
+func totalRefused(status admission.Status) uint64 {
+	total := uint64(0)
+	for _, count := range status.Refused {
+		total += count
 	}
-	return sum
+	return total
 }
 
-func percent(part float64) uint64 { return uint64(part*100 + 0.5) }
+func percent(fraction float64) uint64 { return uint64(fraction*100 + 0.5) }
 
-// forget drops the services that have no backends.
-func (l *gatewayLimits) forget(catalog *directory.Catalog) {
+// prune drops the state of services without backends.
+func (l *admissionMonitor) prune(catalog *directory.Catalog) {
 	l.limiter.Prune(func(service string) bool { return len(catalog.Backends(service)) > 0 })
 }
 
-// collect emits the shares of the services that are limited, and counts of all.
-func (l *gatewayLimits) collect(emit chan<- prometheus.Metric) { l.collectAt(clock.Now(), emit) }
+// collect emits the admitted fraction of each limited service, and the counts over all services.
+func (l *admissionMonitor) collect(emit chan<- prometheus.Metric) { l.collectAt(clock.Now(), emit) }
 
-func (l *gatewayLimits) collectAt(now time.Time, emit chan<- prometheus.Metric) {
+func (l *admissionMonitor) collectAt(now time.Time, emit chan<- prometheus.Metric) {
 	admitted, refused := uint64(0), map[admission.Reason]uint64{}
-	for _, standing := range l.limiter.Statuses(now) {
-		admitted += standing.Admitted
-		for reason, number := range standing.Refused {
-			refused[reason] += number
+	for _, status := range l.limiter.Statuses(now) {
+		admitted += status.Admitted
+		for reason, count := range status.Refused {
+			refused[reason] += count
 		}
-		if standing.Limiting {
-			gauge(emit, "gateway_limit_share", "The part of a limited service's requests that is admitted.", standing.AdmittedFraction, "service", standing.Service)
+		if status.Limiting {
+			gauge(emit, "gateway_limit_share", "The part of a limited service's requests that is admitted.", status.AdmittedFraction, "service", status.Service)
 		}
 	}
 	counter(emit, "gateway_admitted_total", "Requests that were admitted to their service.", admitted)
-	for reason, number := range refused {
-		counter(emit, "gateway_limited_total", "Requests that were not admitted, by reason.", number, "reason", string(reason))
+	for reason, count := range refused {
+		counter(emit, "gateway_limited_total", "Requests that were not admitted, by reason.", count, "reason", string(reason))
 	}
 }
 
-// addLimit adds to the last line of a request that was not admitted which limit refused it, and how
-// full the service was.
-func addLimit(line *event.Line, request *forward.Request, result forward.Result) {
-	limit := result.Admission
-	line.Str("limit", string(limit.Reason)).Str("service", limit.Service).Str("tenant", request.Tenant).
-		Uint("part_percent", percent(limit.AdmittedFraction)).Int("delay_ms", limit.QueueDelay.Milliseconds()).
-		Int("retry_after_ms", limit.RetryAfter.Milliseconds())
+// addAdmissionFields adds the admission decision to the log line of a request that was not admitted.
+func addAdmissionFields(line *event.Line, request *forward.Request, result forward.Result) {
+	decision := result.Admission
+	line.Str("limit", string(decision.Reason)).Str("service", decision.Service).Str("tenant", request.Tenant).
+		Uint("part_percent", percent(decision.AdmittedFraction)).Int("delay_ms", decision.QueueDelay.Milliseconds()).
+		Int("retry_after_ms", decision.RetryAfter.Milliseconds())
 }
--- a/server/gateway_test.go
+++ b/server/gateway_test.go
@@ -24,24 +24,23 @@
 	return gateway
 }
 
-// TestFirstRequestsWaitForTheConfiguration: a request that comes right after the
-// gateway's start is matched once the configuration is there; one that comes
-// later is refused at once.
-func TestFirstRequestsWaitForTheConfiguration(t *testing.T) {
-	long := newTestGateway(time.Now().Add(-time.Hour))
-	_, _, err := long.Match(context.Background(), "h", "/a/b")
+// TestFirstRequestsWaitForConfiguration checks that a request right after the
+// gateway's start waits for the first configuration, and a later one is refused at once.
+func TestFirstRequestsWaitForConfiguration(t *testing.T) {
+	startedEarlier := newTestGateway(time.Now().Add(-time.Hour))
+	_, _, err := startedEarlier.Match(context.Background(), "h", "/a/b")
 	require.True(t, errorx.IsOfType(err, replica.ErrUnavailable))
 
-	// A start that lies ahead makes the wait as long as the test may need.
-	started := newTestGateway(time.Now().Add(time.Hour))
-	type matched struct {
+	// A start time in the future keeps the request waiting throughout the test.
+	justStarted := newTestGateway(time.Now().Add(time.Hour))
+	type matchResult struct {
 		route routing.Route
 		err   error
 	}
-	answered := make(chan matched, 1)
+	results := make(chan matchResult, 1)
 	go func() {
-		route, _, err := started.Match(context.Background(), "h", "/a/b")
-		answered <- matched{route, err}
+		route, _, err := justStarted.Match(context.Background(), "h", "/a/b")
+		results <- matchResult{route, err}
 	}()
 	machine := directory.NewMachine()
 	route := routing.Route{
@@ -51,8 +50,8 @@
 	machine.Apply(directory.Command{PutConfiguration: &directory.PutConfiguration{Configuration: routing.Configuration{
 		Version: 1, Routes: []routing.Route{route}, Services: []routing.Service{{Name: "s"}},
 	}}}.Encode())
-	started.watcher.take(started.Catalog(), machine.DeltaSince(0))
-	got := <-answered
-	require.NoError(t, got.err)
-	require.Equal(t, "r", got.route.Name)
+	justStarted.watcher.take(justStarted.Catalog(), machine.DeltaSince(0))
+	result := <-results
+	require.NoError(t, result.err)
+	require.Equal(t, "r", result.route.Name)
 }
--- a/server/http.go
+++ b/server/http.go
@@ -18,7 +18,7 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// newHTTPServer returns a server for HTTP/1.1 and HTTP/2 without TLS.
+// newHTTPServer returns a server for HTTP/1.1 and HTTP/2, both without TLS.
 func newHTTPServer(handler http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -26,7 +26,7 @@
 	return &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, Protocols: protocols}
 }
 
-// serveHTTP serves in the background; the channel is closed if serving fails.
+// serveHTTP serves in the background. The returned channel is closed if serving fails.
 func serveHTTP(server *http.Server, listener net.Listener, logger *zerolog.Logger) <-chan struct{} {
 	failed := make(chan struct{})
 	go func() {
@@ -46,8 +46,8 @@
 	}
 }
 
-// addOperational adds health checks, metrics and, if asked for, profiles.
-func addOperational(router *mux.Router, ready func() bool, registry *prometheus.Registry, profiles bool) {
+// addOperationalRoutes adds the routes of health checks and metrics and, if enabled, of profiles.
+func addOperationalRoutes(router *mux.Router, ready func() bool, registry *prometheus.Registry, profiles bool) {
 	router.HandleFunc("/healthz", func(response http.ResponseWriter, _ *http.Request) {
 		response.WriteHeader(http.StatusOK)
 	})
--- a/server/internal.go
+++ b/server/internal.go
@@ -8,11 +8,12 @@
 	"github.com/dillchute/dillchute/internal/pack"
 )
 
-// readCBOR decodes the body of an internal call, or answers that it cannot.
-func readCBOR(response http.ResponseWriter, request *http.Request, into any) bool {
+// readCBOR decodes the body of an internal call into target. If that fails, it
+// writes an error response and returns false.
+func readCBOR(response http.ResponseWriter, request *http.Request, target any) bool {
 	body, err := io.ReadAll(io.LimitReader(request.Body, maxInternalBytes))
 	if err == nil {
-		err = decodeInternal(body, into)
+		err = decodeInternal(body, target)
 	}
 	if err != nil {
 		http.Error(response, "malformed call", http.StatusBadRequest)
@@ -20,11 +21,13 @@
 	return err == nil
 }
 
-// encodeInternal returns a call or an answer between own processes as bytes.
+// encodeInternal encodes a call or a response between processes of the service.
 func encodeInternal(value any) []byte { return pack.Encode(value) }
 
-// decodeInternal reads what encodeInternal returned.
-func decodeInternal(data []byte, into any) error { return pack.Decode(data, maxInternalBytes, into) }
+// decodeInternal decodes data from encodeInternal into target.
+func decodeInternal(data []byte, target any) error {
+	return pack.Decode(data, maxInternalBytes, target)
+}
 
 func writeCBOR(response http.ResponseWriter, value any) {
 	data := encodeInternal(value)
--- a/server/ledger.go
+++ b/server/ledger.go
@@ -54,7 +54,7 @@
 func NewLedger(settings config.Ledger, seeds *Seeds, engines EngineClient, backends forward.Client, logger *zerolog.Logger) *Ledger {
 	l := &Ledger{
 		settings: settings, logger: logger, machine: ledger.NewMachine(),
-		watcher:  NewWatcher(seeds, settings.Zone, spread(settings.Name), logger),
+		watcher:  NewWatcher(seeds, settings.Zone, nameHash(settings.Name), logger),
 		identity: replica.NewIdentity(),
 	}
 	l.watcher.scope = l.scope
--- a/server/node.go
+++ b/server/node.go
@@ -175,7 +175,7 @@
 func (n *Node) internalRoutes() http.Handler {
 	router := mux.NewRouter()
 	router.Handle(transport.Path, n.transport).Methods(http.MethodPost)
-	addOperational(router, func() bool { return n.status.Load().leased }, n.registry(), n.settings.Pprof)
+	addOperationalRoutes(router, func() bool { return n.status.Load().leased }, n.registry(), n.settings.Pprof)
 	return router
 }
 
--- a/server/process.go
+++ b/server/process.go
@@ -82,7 +82,7 @@
 		return
 	}
 	router := mux.NewRouter()
-	addOperational(router, func() bool { return true }, newRegistry(collect, further...), true)
+	addOperationalRoutes(router, func() bool { return true }, newRegistry(collect, further...), true)
 	for _, one := range add {
 		one(router)
 	}
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -159,7 +159,7 @@
 	g.watcher.collect(emit)
 	gauge(emit, "gateway_ready", "Whether the gateway takes new connections.", oneIf(g.Ready()))
 	gauge(emit, "gateway_in_flight", "Requests that have not ended.", float64(g.InFlight()))
-	g.limits.collect(emit)
+	g.admissionMonitor.collect(emit)
 	late, dropped := g.usage.meter.Lost()
 	gauge(emit, "gateway_usage_late", "Requests that were counted too late for their window of usage.", float64(late))
 	gauge(emit, "gateway_usage_dropped", "Requests that were not counted for lack of room.", float64(dropped))
--- a/server/rpc.go
+++ b/server/rpc.go
@@ -42,7 +42,7 @@
 	router.PathPrefix(path).Handler(handler)
 	path, handler = dillchutev1connect.NewRolloutsHandler(rollouts{c}, limit)
 	router.PathPrefix(path).Handler(handler)
-	addOperational(router, func() bool { return c.status.Load().ready }, c.registry(), c.settings.Pprof)
+	addOperationalRoutes(router, func() bool { return c.status.Load().ready }, c.registry(), c.settings.Pprof)
 	return router
 }
 
--- a/server/stop.go
+++ b/server/stop.go
@@ -96,7 +96,7 @@
 // a planned stop has no more time.
 func (g *Gateway) untilWorkEnds(ctx context.Context) (context.Context, context.CancelFunc) {
 	limited, cancel := context.WithCancelCause(ctx)
-	detach := context.AfterFunc(g.work, func() { cancel(context.DeadlineExceeded) })
+	detach := context.AfterFunc(g.baseContext, func() { cancel(context.DeadlineExceeded) })
 	return limited, func() {
 		detach()
 		cancel(context.Canceled)
@@ -127,7 +127,7 @@
 	for clock.Now().Before(plan.workEnds) && g.InFlight() > 0 {
 		time.Sleep(drainPoll)
 	}
-	g.endWork()
+	g.cancelRequests()
 }
 
 // closingTime is how long answers that are ready may take to be written to callers who read slowly.
@@ -164,7 +164,7 @@
 // slips between.
 func (g *Gateway) closeConnections(callers http.Handler) http.Handler {
 	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
-		defer g.Begin()()
+		defer g.TrackRequest()()
 		if g.closed.Load() {
 			response.Header().Set("Connection", "close")
 			response.Header().Set("Retry-After", strconv.FormatFloat(RetryAfter.Seconds(), 'f', -1, 64))
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -100,13 +100,13 @@
 	defer clock.Use(source)()
 	gateway := newTestGateway(time.Now())
 	gateway.Stop(time.Hour)
-	defer gateway.Begin()()
+	defer gateway.TrackRequest()()
 	require.True(t, gateway.mayTake(clock.Now().Add(time.Minute)))
 	source.Suspend(time.Hour)
 	require.False(t, gateway.mayTake(clock.Now().Add(time.Minute)))
 	// It waits no longer for what runs.
 	gateway.drain()
-	require.Error(t, gateway.work.Err())
+	require.Error(t, gateway.baseContext.Err())
 }
 
 // toldDirectory is a stand-in of the directory. At each call that tells something it finds out
@@ -169,7 +169,7 @@
 	begun := make(chan struct{})
 	callers := newCallerServer(gateway.closeConnections(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(begun)
-		<-gateway.work.Done()
+		<-gateway.baseContext.Done()
 		gateway.usage.note("north", forward.Result{History: []forward.AttemptRecord{{StartedAt: clock.Now()}}})
 	})))
 	serveHTTP(callers, served, &logger)
