--- a/command/capacity.go
+++ b/command/capacity.go
@@ -16,13 +16,13 @@
 	Timeout     time.Duration `default:"10s" help:"How long to try, the same for each replica."`
 }
 
-// Run prints what the directory's leader says of each pool of backends.
+// Run prints the status of each pool of backends as the directory's leader reports it.
 func (c capacityCommand) Run(ctx context.Context, streams Streams) error {
-	var last error
+	var lastError error
 	for _, address := range c.Directories {
 		pools, err := readCapacity(ctx, address, c.Timeout/time.Duration(len(c.Directories)))
 		if err != nil {
-			last = err
+			lastError = err
 			continue
 		}
 		for _, pool := range pools {
@@ -32,14 +32,14 @@
 		}
 		return nil
 	}
-	return ErrFailed.Wrap(last, "no replica tells what it plans")
+	return ErrFailed.Wrap(lastError, "no replica returned the capacity status")
 }
 
-// readCapacity asks the replica whose metrics are at the address.
+// readCapacity reads the pools' status from the replica with the given metrics address.
 func readCapacity(ctx context.Context, address string, timeout time.Duration) ([]server.PoolStatus, error) {
-	limited, cancel := context.WithTimeout(ctx, timeout)
+	requestContext, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(limited, http.MethodGet, "http://"+address+server.CapacityPath, nil)
+	request, err := http.NewRequestWithContext(requestContext, http.MethodGet, "http://"+address+server.CapacityPath, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/command/capacity_test.go
+++ b/command/capacity_test.go
@@ -10,8 +10,8 @@
 	"github.com/dillchute/dillchute/server"
 )
 
-// TestCapacityIsPrinted: by the replica that leads, whichever is named first.
-func TestCapacityIsPrinted(t *testing.T) {
+// TestCapacityPrintsLeaderPlan checks that the leader's status is printed, also if a follower is listed first.
+func TestCapacityPrintsLeaderPlan(t *testing.T) {
 	follower := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
 		response.WriteHeader(http.StatusServiceUnavailable)
 	}))
@@ -24,7 +24,7 @@
 	directories := follower.Listener.Addr().String() + "," + leader.Listener.Addr().String()
 	d := &deployment{t: t}
 	const line = "s\tz\treclaimable\twanted=6\tordered=6\tbooting=4\tready=2\tdraining=0\tsilent=0\treason=late\tpaused=false\theld=true\n"
-	d.expect(0, line, "capacity", "--directories", directories)
-	d.expect(1, "no replica tells what it plans", "capacity", "--directories", follower.Listener.Addr().String())
-	d.expect(2, "--directories", "capacity")
+	d.expectOutput(0, line, "capacity", "--directories", directories)
+	d.expectOutput(1, "no replica returned the capacity status", "capacity", "--directories", follower.Listener.Addr().String())
+	d.expectOutput(2, "--directories", "capacity")
 }
--- a/command/command.go
+++ b/command/command.go
@@ -1,5 +1,5 @@
-// Package command holds dillchute's command line: the process roles and the
-// operator verbs.
+// Package command implements dillchute's command line: the commands that run
+// processes and the operator commands.
 package command
 
 import (
@@ -19,17 +19,17 @@
 	"github.com/dillchute/dillchute/declaration"
 )
 
-// Version is the program's version; the build sets it.
+// Version is the program's version, set at build time.
 var Version = "development"
 
-// The exit codes.
+// Exit codes.
 const (
-	exitDone   = 0
-	exitFailed = 1
-	exitUsage  = 2
+	exitSuccess = 0
+	exitFailed  = 1
+	exitUsage   = 2
 )
 
-// Streams are where a command writes.
+// Streams holds the output streams of a command.
 type Streams struct {
 	Out io.Writer
 	Err io.Writer
@@ -53,38 +53,38 @@
 	Members  membersCommand  `cmd:"" help:"Change the group of control replicas."`
 	Explain  explainCommand  `cmd:"" help:"Print what the logs of several processes say of one request."`
 
-	// Plugins are further commands, which the program's main brings.
+	// Plugins holds additional commands from the main package.
 	kong.Plugins
 }
 
-// Main runs the command line and returns the exit code: 0 if what was asked
-// for is done, 1 if it failed, 2 for wrong usage or an invalid file.
-// The plugins are structs of further commands.
+// Main runs the command line and returns the exit code: 0 for success, 1 for
+// failure, 2 for invalid usage or an invalid file. The plugins are kong structs
+// of additional commands.
 func Main(arguments []string, streams Streams, plugins ...any) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	return Run(ctx, "dillchute", "Rollout service for reinforcement learning.", Version, &root{Plugins: plugins}, arguments, streams)
 }
 
-// exited carries the code with which kong wants to exit, as after --help.
-type exited int
+// requestedExit is the panic value that carries an exit code requested by kong, as after --help.
+type requestedExit int
 
-// Run parses the arguments into the command line and runs the command chosen.
-func Run(ctx context.Context, name, description, version string, line any, arguments []string, streams Streams) (code int) {
+// Run parses the arguments into the grammar and runs the selected command.
+func Run(ctx context.Context, name, description, version string, grammar any, arguments []string, streams Streams) (code int) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			wanted, ok := reason.(exited)
+			requested, ok := reason.(requestedExit)
 			if !ok {
 				panic(reason)
 			}
-			code = int(wanted)
+			code = int(requested)
 		}
 	}()
-	parser, err := kong.New(line, kong.Name(name), kong.Description(description), kong.Vars{"version": version},
-		kong.Writers(streams.Out, streams.Err), kong.UsageOnError(), kong.Exit(func(code int) { panic(exited(code)) }),
+	parser, err := kong.New(grammar, kong.Name(name), kong.Description(description), kong.Vars{"version": version},
+		kong.Writers(streams.Out, streams.Err), kong.UsageOnError(), kong.Exit(func(code int) { panic(requestedExit(code)) }),
 		kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(streams))
 	if err != nil {
-		panic("command: the command line is defined wrongly: " + err.Error())
+		panic("command: invalid command line definition: " + err.Error())
 	}
 	parsed, err := parser.Parse(arguments)
 	if err != nil {
@@ -93,20 +93,20 @@
 	}
 	if err := parsed.Run(); err != nil {
 		fmt.Fprintf(streams.Err, "%s: %s\n", name, err)
-		return codeOf(err)
+		return exitCode(err)
 	}
-	return exitDone
+	return exitSuccess
 }
 
 var (
 	namespace = errorx.NewNamespace("command")
-	// ErrFailed: what was asked for was refused or could not be done.
+	// ErrFailed is the error for a command that was refused or failed.
 	ErrFailed = namespace.NewType("failed")
-	// ErrUsage: the command line asks for something that makes no sense.
+	// ErrUsage is the error for invalid arguments.
 	ErrUsage = namespace.NewType("usage")
 )
 
-func codeOf(err error) int {
+func exitCode(err error) int {
 	var typed *errorx.Error
 	if errors.As(err, &typed) {
 		if errorx.IsOfType(typed, config.ErrInvalid) || errorx.IsOfType(typed, declaration.ErrInvalid) || errorx.IsOfType(typed, ErrUsage) {
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -27,14 +27,14 @@
 )
 
 const (
-	patience = time.Minute
-	poll     = 20 * time.Millisecond
-	// fastStep and slowStep are engines' times for a token, in milliseconds. At
-	// the slow one the longest answer takes many times the patience.
-	fastStep  = 1.0
-	slowStep  = 100.0
-	slots     = 8
-	poolsYAML = `pools:
+	waitTimeout  = time.Minute
+	pollInterval = 20 * time.Millisecond
+	// fastStepMillis and slowStepMillis are the engine's times per token. With the
+	// slow one, the longest response takes much longer than waitTimeout.
+	fastStepMillis = 1.0
+	slowStepMillis = 100.0
+	slots          = 8
+	poolsYAML      = `pools:
   - name: chat
     model: m
     engine_group: g
@@ -43,15 +43,15 @@
 `
 )
 
-// deployment is a control replica, a node and an engine in this process.
+// deployment runs a control replica, a node and an engine in the test process.
 type deployment struct {
-	t        *testing.T
-	folder   string
-	control  string
-	callers  string
-	settings config.Control
-	stop     context.CancelFunc
-	done     chan struct{}
+	t              *testing.T
+	folder         string
+	controlAddress string
+	callerAddress  string
+	settings       config.Control
+	stopReplica    context.CancelFunc
+	replicaDone    chan struct{}
 }
 
 func listen(t *testing.T) (net.Listener, string) {
@@ -60,7 +60,7 @@
 	return listener, listener.Addr().String()
 }
 
-// newDeployment starts a deployment whose engine takes so long for a token.
+// newDeployment starts a deployment whose engine takes stepMillis per token.
 func newDeployment(t *testing.T, stepMillis float64) *deployment {
 	d := &deployment{t: t, folder: t.TempDir()}
 	require.NoError(t, os.Mkdir(filepath.Join(d.folder, "pools"), 0o700))
@@ -71,11 +71,11 @@
 	}))
 	t.Cleanup(platform.Close)
 	listener, address := listen(t)
-	d.control = address
+	d.controlAddress = address
 	d.settings = config.DefaultControl()
 	d.settings.Cluster, d.settings.Address, d.settings.PlatformURL = "test", address, platform.URL
 	d.settings.DataFolder = filepath.Join(d.folder, "data")
-	d.expect(0, "replica 1 of cluster test is set up", "control", "init", "--cluster", "test", "--address", address,
+	d.expectOutput(0, "replica 1 of cluster test is set up", "control", "init", "--cluster", "test", "--address", address,
 		"--data-folder", d.settings.DataFolder, "--replica", "1", "--members", "1="+address)
 	d.startControl(listener)
 	d.startNode()
@@ -92,18 +92,18 @@
 	d.t.Cleanup(store.Close)
 	listener, address := listen(d.t)
 	engine := &standin.Engine{Name: "e1", Model: "m", Slots: slots, StepMillis: stepMillis, ChunkTokens: 1, SwapMillis: 10, WeightStore: store.URL, Tick: time.Millisecond}
-	d.run(func(ctx context.Context) error { return engine.Serve(ctx, listener) })
+	d.runInBackground(func(ctx context.Context) error { return engine.Serve(ctx, listener) })
 	return address
 }
 
-// run runs a part until the test ends, and waits for it then.
-func (d *deployment) run(part func(ctx context.Context) error) {
+// runInBackground runs a function until the test ends, and then waits for it.
+func (d *deployment) runInBackground(serve func(ctx context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		// A part that fails shows in what the test expects of it.
-		_ = part(ctx)
+		// If it fails, the test's expectations fail.
+		_ = serve(ctx)
 	}()
 	d.t.Cleanup(func() {
 		cancel()
@@ -116,61 +116,61 @@
 	replica, err := server.NewControl(d.settings, nil, &logger)
 	require.NoError(d.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	d.stop, d.done = cancel, make(chan struct{})
+	d.stopReplica, d.replicaDone = cancel, make(chan struct{})
 	go func() {
-		defer close(d.done)
+		defer close(d.replicaDone)
 		_ = replica.Run(ctx, listener)
 	}()
 }
 
 func (d *deployment) stopControl() {
-	d.stop()
-	<-d.done
+	d.stopReplica()
+	<-d.replicaDone
 }
 
 func (d *deployment) startNode() {
-	internal, address := listen(d.t)
-	callers, callerAddress := listen(d.t)
-	d.callers = callerAddress
+	internalListener, address := listen(d.t)
+	callerListener, callerAddress := listen(d.t)
+	d.callerAddress = callerAddress
 	settings := config.DefaultNode()
 	settings.ID, settings.Zone, settings.Region, settings.Address = "n1", "a", "r", address
-	settings.CallerAddress, settings.Controls, settings.DrainTimeout = callerAddress, []string{d.control}, 5*time.Second
+	settings.CallerAddress, settings.Controls, settings.DrainTimeout = callerAddress, []string{d.controlAddress}, 5*time.Second
 	logger := zerolog.Nop()
 	node := server.NewNode(settings, &logger)
-	d.run(func(ctx context.Context) error { return node.Run(ctx, internal, callers) })
+	d.runInBackground(func(ctx context.Context) error { return node.Run(ctx, internalListener, callerListener) })
 }
 
-// verb runs a command line and returns its exit code and all that it printed.
-func (d *deployment) verb(arguments ...string) (int, string) {
+// runCommand runs a command line and returns its exit code and output.
+func (d *deployment) runCommand(arguments ...string) (int, string) {
 	var out bytes.Buffer
 	code := command.Main(arguments, command.Streams{Out: &out, Err: &out})
 	return code, out.String()
 }
 
-func (d *deployment) expect(code int, text string, arguments ...string) string {
+func (d *deployment) expectOutput(code int, text string, arguments ...string) string {
 	d.t.Helper()
-	got, out := d.verb(arguments...)
+	got, out := d.runCommand(arguments...)
 	require.Equal(d.t, code, got, "%v: %s", arguments, out)
 	require.Contains(d.t, out, text)
 	return out
 }
 
-// operate is expect for a verb that talks to control.
-func (d *deployment) operate(code int, text string, arguments ...string) string {
+// expectControlOutput is expectOutput for a command that calls the control replica.
+func (d *deployment) expectControlOutput(code int, text string, arguments ...string) string {
 	d.t.Helper()
-	return d.expect(code, text, append(arguments, "--controls", d.control)...)
+	return d.expectOutput(code, text, append(arguments, "--controls", d.controlAddress)...)
 }
 
-func (d *deployment) await(text string, arguments ...string) {
+func (d *deployment) awaitControlOutput(text string, arguments ...string) {
 	d.t.Helper()
 	require.Eventually(d.t, func() bool {
-		_, out := d.verb(append(arguments, "--controls", d.control)...)
+		_, out := d.runCommand(append(arguments, "--controls", d.controlAddress)...)
 		return strings.Contains(out, text)
-	}, patience, poll)
+	}, waitTimeout, pollInterval)
 }
 
 func (d *deployment) complete(body string, headers map[string]string) (int, http.Header, string) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+d.callers+"/v1/completions", strings.NewReader(body))
+	request, err := http.NewRequest(http.MethodPost, "http://"+d.callerAddress+"/v1/completions", strings.NewReader(body))
 	require.NoError(d.t, err)
 	request.Header.Set("Content-Type", "application/json")
 	for name, value := range headers {
@@ -184,76 +184,76 @@
 	return response.StatusCode, response.Header, string(data)
 }
 
-// TestVerbs runs each operator verb against a deployment, with its exit codes.
-func TestVerbs(t *testing.T) {
+// TestOperatorCommands checks the output and the exit codes of each operator command.
+func TestOperatorCommands(t *testing.T) {
 	t.Parallel()
-	d := newDeployment(t, fastStep)
+	d := newDeployment(t, fastStepMillis)
 	pools := filepath.Join(d.folder, "pools")
-	d.expect(0, "1 pools are valid", "validate", pools)
-	d.expect(1, "has been initialised before", "control", "init", "--cluster", "test", "--address", d.control,
-		"--data-folder", d.settings.DataFolder, "--replica", "1", "--members", "1="+d.control)
-	d.await("e1", "status")
-	d.await("owner=n1", "status")
-	d.operate(0, "+ pool chat", "diff", pools)
-	d.operate(0, "in force on 1 nodes", "apply", pools, "--wait", "--change-id", "first", "--commit", "abc", "--author", "me")
-	d.operate(0, "unchanged", "apply", pools)
-	d.operate(0, "accepted", "apply", pools, "--change-id", "first", "--base", "0", "--commit", "abc", "--author", "me")
-	d.operate(0, "first\tme\tabc", "history")
+	d.expectOutput(0, "1 pools are valid", "validate", pools)
+	d.expectOutput(1, "has been initialised before", "control", "init", "--cluster", "test", "--address", d.controlAddress,
+		"--data-folder", d.settings.DataFolder, "--replica", "1", "--members", "1="+d.controlAddress)
+	d.awaitControlOutput("e1", "status")
+	d.awaitControlOutput("owner=n1", "status")
+	d.expectControlOutput(0, "+ pool chat", "diff", pools)
+	d.expectControlOutput(0, "in force on 1 nodes", "apply", pools, "--wait", "--change-id", "first", "--commit", "abc", "--author", "me")
+	d.expectControlOutput(0, "unchanged", "apply", pools)
+	d.expectControlOutput(0, "accepted", "apply", pools, "--change-id", "first", "--base", "0", "--commit", "abc", "--author", "me")
+	d.expectControlOutput(0, "first\tme\tabc", "history")
 	d.write("pools/pools.yaml", poolsYAML+"    live_priority: 9\n")
-	d.operate(0, "~ pool chat: live_priority: 7 -> 9", "diff", pools)
-	d.operate(1, `change first by "me" from commit "abc"`, "apply", pools, "--base", "0")
-	d.operate(1, "used before with other content", "apply", pools, "--change-id", "first")
-	d.operate(0, "accepted", "apply", pools)
-	written := d.operate(0, "live_priority: 9", "get")
+	d.expectControlOutput(0, "~ pool chat: live_priority: 7 -> 9", "diff", pools)
+	d.expectControlOutput(1, `change first by "me" from commit "abc"`, "apply", pools, "--base", "0")
+	d.expectControlOutput(1, "used before with other content", "apply", pools, "--change-id", "first")
+	d.expectControlOutput(0, "accepted", "apply", pools)
+	written := d.expectControlOutput(0, "live_priority: 9", "get")
 	d.write("pools/pools.yaml", written)
-	d.operate(0, "unchanged", "apply", pools)
-	d.operate(0, "version 3 is the newest", "weights", "publish", "m", "3")
-	d.operate(0, "version 3 is the newest", "weights", "publish", "m", "3")
-	d.operate(1, "version 3 of model m is published already", "weights", "publish", "m", "2")
-	d.operate(0, `"newest_version"`, "status", "--json")
-	d.operate(0, "", "drain", "engine", "e1")
-	d.operate(0, "leaving=true", "status")
-	d.operate(0, "", "drain", "engine", "e1", "--undo")
-	d.operate(1, `there is no engine "e9"`, "drain", "engine", "e9")
-	d.operate(0, "", "drain", "node", "n1")
-	d.await("draining=true", "status")
-	d.operate(0, "", "drain", "node", "n1", "--undo")
-	d.operate(1, `there is no node "n9"`, "drain", "node", "n9")
-	d.operate(0, "", "members", "add", "2", "--address", "127.0.0.1:1")
-	d.operate(0, "voter=false", "status")
-	d.operate(0, "", "members", "remove", "2")
-	d.operate(1, "", "members", "promote", "7")
+	d.expectControlOutput(0, "unchanged", "apply", pools)
+	d.expectControlOutput(0, "version 3 is the newest", "weights", "publish", "m", "3")
+	d.expectControlOutput(0, "version 3 is the newest", "weights", "publish", "m", "3")
+	d.expectControlOutput(1, "version 3 of model m is published already", "weights", "publish", "m", "2")
+	d.expectControlOutput(0, `"newest_version"`, "status", "--json")
+	d.expectControlOutput(0, "", "drain", "engine", "e1")
+	d.expectControlOutput(0, "leaving=true", "status")
+	d.expectControlOutput(0, "", "drain", "engine", "e1", "--undo")
+	d.expectControlOutput(1, `there is no engine "e9"`, "drain", "engine", "e9")
+	d.expectControlOutput(0, "", "drain", "node", "n1")
+	d.awaitControlOutput("draining=true", "status")
+	d.expectControlOutput(0, "", "drain", "node", "n1", "--undo")
+	d.expectControlOutput(1, `there is no node "n9"`, "drain", "node", "n9")
+	d.expectControlOutput(0, "", "members", "add", "2", "--address", "127.0.0.1:1")
+	d.expectControlOutput(0, "voter=false", "status")
+	d.expectControlOutput(0, "", "members", "remove", "2")
+	d.expectControlOutput(1, "", "members", "promote", "7")
 }
 
-func TestWrongUsage(t *testing.T) {
+func TestInvalidUsage(t *testing.T) {
 	d := &deployment{t: t, folder: t.TempDir()}
 	d.write("pools.yaml", poolsYAML+"    live_priorty: 9\n")
-	d.expect(2, "live_priorty", "validate", d.folder)
-	d.expect(2, "holds no .yaml file", "validate", t.TempDir())
-	d.expect(2, "unexpected argument", "frobnicate")
-	d.expect(2, "must be one of", "members", "explode", "1", "--controls", "127.0.0.1:1")
-	d.expect(2, "--controls", "status")
-	d.expect(2, "address: must be an IP address", "control", "run", "--cluster", "c", "--address", "nowhere", "--data-folder", d.folder)
-	d.expect(1, "holds no replica", "control", "run", "--cluster", "c", "--address", "127.0.0.1:0", "--data-folder", d.folder)
-	d.expect(2, "controls: must not be empty", "node", "run", "--id", "n")
-	d.expect(1, "", "status", "--controls", "127.0.0.1:1", "--timeout", "100ms")
-	d.expect(0, "Usage: dillchute", "--help")
-	d.expect(0, "", "--version")
+	d.expectOutput(2, "live_priorty", "validate", d.folder)
+	d.expectOutput(2, "holds no .yaml file", "validate", t.TempDir())
+	d.expectOutput(2, "unexpected argument", "frobnicate")
+	d.expectOutput(2, "must be one of", "members", "explode", "1", "--controls", "127.0.0.1:1")
+	d.expectOutput(2, "--controls", "status")
+	d.expectOutput(2, "address: must be an IP address", "control", "run", "--cluster", "c", "--address", "nowhere", "--data-folder", d.folder)
+	d.expectOutput(1, "holds no replica", "control", "run", "--cluster", "c", "--address", "127.0.0.1:0", "--data-folder", d.folder)
+	d.expectOutput(2, "controls: must not be empty", "node", "run", "--id", "n")
+	d.expectOutput(1, "", "status", "--controls", "127.0.0.1:1", "--timeout", "100ms")
+	d.expectOutput(0, "Usage: dillchute", "--help")
+	d.expectOutput(0, "", "--version")
 }
 
-// TestWholePath serves live requests and a trainer, and goes on after control
-// has been restarted from its folder.
+// TestWholePath checks that live requests and a trainer's steps are served, also
+// after the control replica has been restarted with its data folder.
 func TestWholePath(t *testing.T) {
 	t.Parallel()
-	d := newDeployment(t, fastStep)
-	d.await("owner=n1", "status")
-	d.operate(0, "in force", "apply", filepath.Join(d.folder, "pools"), "--wait")
-	d.operate(0, "version 1", "weights", "publish", "m", "1")
+	d := newDeployment(t, fastStepMillis)
+	d.awaitControlOutput("owner=n1", "status")
+	d.expectControlOutput(0, "in force", "apply", filepath.Join(d.folder, "pools"), "--wait")
+	d.expectControlOutput(0, "version 1", "weights", "publish", "m", "1")
 	body := `{"model":"chat","prompt":"hello","max_tokens":64}`
 	require.Eventually(t, func() bool {
 		status, _, _ := d.complete(body, nil)
 		return status == http.StatusOK
-	}, patience, poll)
+	}, waitTimeout, pollInterval)
 	text := server.TokenText(model.Answer("hello", 64))
 	_, _, answer := d.complete(body, nil)
 	require.Contains(t, answer, text)
@@ -262,24 +262,24 @@
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "text/event-stream", header.Get("Content-Type"))
 	require.True(t, strings.HasSuffix(stream, "data: [DONE]\n\n"))
-	once := map[string]string{server.HeaderRequestID: "k", server.HeaderNotRepeatable: "true",
+	notRepeatable := map[string]string{server.HeaderRequestID: "k", server.HeaderNotRepeatable: "true",
 		server.HeaderIssuedAt: "1", server.HeaderWindow: "1"}
-	status, _, answer = d.complete(body, once)
+	status, _, answer = d.complete(body, notRepeatable)
 	require.NotEqual(t, http.StatusOK, status)
 	require.Contains(t, answer, "window_expired")
 	d.fetchStep(1)
 	d.stopControl()
-	listener, err := net.Listen("tcp", d.control)
+	listener, err := net.Listen("tcp", d.controlAddress)
 	require.NoError(t, err)
 	d.startControl(listener)
-	d.await("version=1", "status")
+	d.awaitControlOutput("version=1", "status")
 	d.fetchStep(2)
 }
 
 func (d *deployment) fetchStep(step uint64) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	controls := client.New([]string{d.control})
+	controls := client.New([]string{d.controlAddress})
 	request := &dillchutev1.SubmitStepRequest{Pool: "chat", Step: step}
 	for index := range uint32(20) {
 		request.Samples = append(request.Samples, &dillchutev1.SamplePrompt{Index: index, Prompt: "p", MaxTokens: 40})
@@ -302,70 +302,70 @@
 	require.NoError(d.t, err)
 }
 
-// TestBadRequests: each gets a typed error at once.
-func TestBadRequests(t *testing.T) {
+// TestInvalidRequests checks the status and the error of each kind of invalid request.
+func TestInvalidRequests(t *testing.T) {
 	t.Parallel()
-	d := newDeployment(t, fastStep)
-	d.await("owner=n1", "status")
-	d.operate(0, "in force", "apply", filepath.Join(d.folder, "pools"), "--wait")
-	good := `{"model":"chat","prompt":"p"}`
+	d := newDeployment(t, fastStepMillis)
+	d.awaitControlOutput("owner=n1", "status")
+	d.expectControlOutput(0, "in force", "apply", filepath.Join(d.folder, "pools"), "--wait")
+	valid := `{"model":"chat","prompt":"p"}`
 	tests := map[string]struct {
-		body    string
-		headers map[string]string
-		status  int
-		part    string
+		body       string
+		headers    map[string]string
+		wantStatus int
+		wantText   string
 	}{
-		"malformed":      {"{", nil, http.StatusBadRequest, "body:"},
-		"truncated":      {good[:15], nil, http.StatusBadRequest, "body:"},
-		"content type":   {good, map[string]string{"Content-Type": "text/plain"}, http.StatusBadRequest, "Content-Type"},
-		"oversized":      {`{"model":"chat","prompt":"` + strings.Repeat("x", 3<<20) + `"}`, nil, http.StatusBadRequest, "too large"},
-		"no pool":        {`{"prompt":"p"}`, nil, http.StatusBadRequest, "model: must name a pool"},
-		"unknown pool":   {`{"model":"other"}`, nil, http.StatusNotFound, "unknown_pool"},
-		"tokens":         {`{"model":"chat","max_tokens":-1}`, nil, http.StatusBadRequest, "max_tokens"},
-		"timeout":        {good, map[string]string{server.HeaderTimeout: "soon"}, http.StatusBadRequest, server.HeaderTimeout},
-		"priority":       {good, map[string]string{server.HeaderPriority: "10"}, http.StatusBadRequest, server.HeaderPriority},
-		"not repeatable": {good, map[string]string{server.HeaderNotRepeatable: "true"}, http.StatusBadRequest, server.HeaderRequestID},
-		"mark":           {good, map[string]string{server.HeaderNotRepeatable: "maybe"}, http.StatusBadRequest, server.HeaderNotRepeatable},
+		"malformed":            {"{", nil, http.StatusBadRequest, "body:"},
+		"truncated":            {valid[:15], nil, http.StatusBadRequest, "body:"},
+		"content type":         {valid, map[string]string{"Content-Type": "text/plain"}, http.StatusBadRequest, "Content-Type"},
+		"oversized":            {`{"model":"chat","prompt":"` + strings.Repeat("x", 3<<20) + `"}`, nil, http.StatusBadRequest, "too large"},
+		"no pool":              {`{"prompt":"p"}`, nil, http.StatusBadRequest, "model: must name a pool"},
+		"unknown pool":         {`{"model":"other"}`, nil, http.StatusNotFound, "unknown_pool"},
+		"tokens":               {`{"model":"chat","max_tokens":-1}`, nil, http.StatusBadRequest, "max_tokens"},
+		"timeout":              {valid, map[string]string{server.HeaderTimeout: "soon"}, http.StatusBadRequest, server.HeaderTimeout},
+		"priority":             {valid, map[string]string{server.HeaderPriority: "10"}, http.StatusBadRequest, server.HeaderPriority},
+		"not repeatable":       {valid, map[string]string{server.HeaderNotRepeatable: "true"}, http.StatusBadRequest, server.HeaderRequestID},
+		"not repeatable value": {valid, map[string]string{server.HeaderNotRepeatable: "maybe"}, http.StatusBadRequest, server.HeaderNotRepeatable},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			status, _, answer := d.complete(test.body, test.headers)
-			require.Equal(t, test.status, status, answer)
-			require.Contains(t, answer, test.part)
+			require.Equal(t, test.wantStatus, status, answer)
+			require.Contains(t, answer, test.wantText)
 		})
 	}
-	response, err := http.Get("http://" + d.callers + "/v1/completions")
+	response, err := http.Get("http://" + d.callerAddress + "/v1/completions")
 	require.NoError(t, err)
 	response.Body.Close()
 	require.Equal(t, http.StatusMethodNotAllowed, response.StatusCode)
 }
 
-// TestCutStreamsFreeTheirSlots: callers that go away in the middle of an answer
-// leave no stream behind on the engine.
-func TestCutStreamsFreeTheirSlots(t *testing.T) {
+// TestCancelledStreamsFreeTheirSlots checks that the engine frees the slots of
+// callers that disconnect during a response.
+func TestCancelledStreamsFreeTheirSlots(t *testing.T) {
 	t.Parallel()
-	d := newDeployment(t, slowStep)
-	d.await("owner=n1", "status")
-	d.operate(0, "in force", "apply", filepath.Join(d.folder, "pools"), "--wait")
-	d.operate(0, "version 1", "weights", "publish", "m", "1")
+	d := newDeployment(t, slowStepMillis)
+	d.awaitControlOutput("owner=n1", "status")
+	d.expectControlOutput(0, "in force", "apply", filepath.Join(d.folder, "pools"), "--wait")
+	d.expectControlOutput(0, "version 1", "weights", "publish", "m", "1")
 	short := `{"model":"chat","prompt":"hello","max_tokens":1}`
 	answered := func() bool {
 		status, _, _ := d.complete(short, nil)
 		return status == http.StatusOK
 	}
-	require.Eventually(t, answered, patience, poll)
+	require.Eventually(t, answered, waitTimeout, pollInterval)
 	for range slots {
-		d.cutStream(`{"model":"chat","prompt":"hello","max_tokens":100000,"stream":true}`)
+		d.cancelStream(`{"model":"chat","prompt":"hello","max_tokens":100000,"stream":true}`)
 	}
-	require.Eventually(t, answered, patience, poll)
+	require.Eventually(t, answered, waitTimeout, pollInterval)
 }
 
-// cutStream goes away after the first byte of an answer.
-func (d *deployment) cutStream(body string) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+d.callers+"/v1/completions", strings.NewReader(body))
+// cancelStream sends a request and disconnects after the first byte of the response.
+func (d *deployment) cancelStream(body string) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+d.callerAddress+"/v1/completions", strings.NewReader(body))
 	require.NoError(d.t, err)
 	request.Header.Set("Content-Type", "application/json")
-	// Its deadline must not free the slot in the caller's stead.
+	// The slot must not be freed by the request's deadline instead.
 	request.Header.Set(server.HeaderTimeout, "3600000")
 	response, err := http.DefaultClient.Do(request)
 	require.NoError(d.t, err)
--- a/command/control.go
+++ b/command/control.go
@@ -21,7 +21,7 @@
 	Run  controlRunCommand  `cmd:"" help:"Run the replica."`
 }
 
-// controlFlags are laid over the settings file.
+// controlFlags override the settings file.
 type controlFlags struct {
 	Config     string `help:"Settings file." type:"path"`
 	Cluster    string `help:"Name of the group of replicas."`
@@ -52,7 +52,7 @@
 	Members []string `required:"" help:"All first members, each as NUMBER=ADDRESS."`
 }
 
-// Run makes the data folder.
+// Run creates the data folder.
 func (c controlInitCommand) Run(streams Streams) error {
 	settings, err := c.load()
 	if err != nil {
@@ -66,26 +66,25 @@
 	if !ok || member.Address != settings.Address {
 		return ErrUsage.New("--members: must hold %d=%s", c.Replica, settings.Address)
 	}
-	// All first replicas start from the same made-up entry, so that the
-	// membership is part of what they agree on.
-	first := consensus.Snapshot{Index: 1, Term: 1, Membership: membership}
-	if err := storage.Init(settings.DataFolder, settings.Cluster, member.ID, first); err != nil {
+	// All initial members start from the same snapshot, so that they agree on the membership.
+	snapshot := consensus.Snapshot{Index: 1, Term: 1, Membership: membership}
+	if err := storage.Init(settings.DataFolder, settings.Cluster, member.ID, snapshot); err != nil {
 		return err
 	}
 	fmt.Fprintf(streams.Out, "replica %d of cluster %s is set up in %s\n", c.Replica, settings.Cluster, settings.DataFolder)
 	return nil
 }
 
-func parseMembers(texts []string) (consensus.Membership, error) {
+func parseMembers(arguments []string) (consensus.Membership, error) {
 	var membership consensus.Membership
-	for _, text := range texts {
-		number, address, found := strings.Cut(text, "=")
+	for _, argument := range arguments {
+		number, address, found := strings.Cut(argument, "=")
 		id, err := strconv.ParseUint(number, 10, 64)
 		if !found || err != nil || id == 0 {
-			return membership, ErrUsage.New("--members: %q is not NUMBER=ADDRESS", text)
+			return membership, ErrUsage.New("--members: %q is not NUMBER=ADDRESS", argument)
 		}
 		if _, ok := membership.Member(consensus.ReplicaID(id)); ok {
-			return membership, ErrUsage.New("--members: %d is there twice", id)
+			return membership, ErrUsage.New("--members: duplicate replica %d", id)
 		}
 		membership.Members = append(membership.Members, consensus.Member{
 			ID: consensus.ReplicaID(id), Address: address, Voter: true,
@@ -97,7 +96,7 @@
 
 type controlJoinCommand struct{ controlFlags }
 
-// Run makes the data folder under a random identity.
+// Run creates the data folder with a random replica ID.
 func (c controlJoinCommand) Run(streams Streams) error {
 	settings, err := c.load()
 	if err != nil {
@@ -116,7 +115,7 @@
 	Join []string `help:"Addresses of members to ask for admission as a learner."`
 }
 
-// Run runs the replica until it is told to stop.
+// Run runs the replica until the context ends.
 func (c controlRunCommand) Run(ctx context.Context, streams Streams) error {
 	settings, err := c.load()
 	if err != nil {
@@ -148,7 +147,7 @@
 	ScorerURL     string   `name:"scorer-url" help:"URL of the scoring service."`
 }
 
-// Run runs the node until it is told to stop.
+// Run runs the node until the context ends.
 func (c nodeRunCommand) Run(ctx context.Context, streams Streams) error {
 	settings, err := config.LoadNode(c.Config)
 	if err != nil {
--- a/command/logger.go
+++ b/command/logger.go
@@ -12,58 +12,59 @@
 )
 
 const (
-	// logLines bounds the lines that wait to be written.
-	logLines = 4096
-	// linesPerEvent bounds the lines of one event in a second, so that a frequent
-	// one does not hide the others.
-	linesPerEvent = 500
+	// maxQueuedLines bounds the lines that wait to be written.
+	maxQueuedLines = 4096
+	// maxLinesPerEvent bounds the lines of one event per second, so that a frequent
+	// event does not displace others.
+	maxLinesPerEvent = 500
 )
 
-// NewProcessLogger returns a logger that never blocks: lines wait in a bounded
-// buffer for a writer of their own. When it is full, lines are dropped and
-// counted, and a line says how many. The function writes what waits.
+// NewProcessLogger returns a logger that never blocks. Lines are queued in a
+// bounded buffer and written in the background. If the buffer is full, lines are
+// dropped, and their number is logged. The returned function writes the queued
+// lines and closes the logger.
 func NewProcessLogger(level string, out io.Writer) (*zerolog.Logger, func()) {
-	buffered := &lineWriter{out: out, lines: make(chan []byte, logLines), done: make(chan struct{}), budget: eventBudget{now: time.Now}}
-	logger := newLogger(level, buffered)
-	buffered.logger = newLogger(level, out)
-	go buffered.run()
-	return logger, buffered.close
+	writer := &lineWriter{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}), rateLimiter: eventRateLimiter{now: time.Now}}
+	logger := newLogger(level, writer)
+	writer.logger = newLogger(level, out)
+	go writer.run()
+	return logger, writer.close
 }
 
-// lineWriter writes lines in the background.
+// lineWriter queues lines and writes them in the background.
 type lineWriter struct {
 	out    io.Writer
 	logger *zerolog.Logger
 	lines  chan []byte
 	done   chan struct{}
 
-	mutex   sync.Mutex
-	dropped uint64
-	closed  bool
-	budget  eventBudget
+	mutex       sync.Mutex
+	dropped     uint64
+	closed      bool
+	rateLimiter eventRateLimiter
 }
 
-// eventBudget counts the lines of each event in the current second.
-type eventBudget struct {
+// eventRateLimiter limits the lines of each event per second.
+type eventRateLimiter struct {
 	now    func() time.Time
 	second int64
-	lines  map[string]int
+	counts map[string]int
 }
 
-// take tells whether one more line of the event may be written.
-func (b *eventBudget) take(event string) bool {
-	if second := b.now().Unix(); second != b.second || b.lines == nil {
-		b.second, b.lines = second, map[string]int{}
+// allow counts a line of the event and reports whether it may be written.
+func (r *eventRateLimiter) allow(event string) bool {
+	if second := r.now().Unix(); second != r.second || r.counts == nil {
+		r.second, r.counts = second, map[string]int{}
 	}
-	b.lines[event]++
-	return b.lines[event] <= linesPerEvent
+	r.counts[event]++
+	return r.counts[event] <= maxLinesPerEvent
 }
 
-// eventField begins the field that holds a line's event number.
+// eventField is the JSON key of a line's event number.
 var eventField = []byte(`"event":`)
 
-// eventOf returns the digits of a line's event number, or "" if it has none.
-func eventOf(line []byte) string {
+// eventNumber returns the digits of a line's event number, or "" if it has none.
+func eventNumber(line []byte) string {
 	_, rest, found := bytes.Cut(line, eventField)
 	if !found {
 		return ""
@@ -75,28 +76,28 @@
 	return string(rest[:end])
 }
 
-// reservedLines of the buffer are for warnings and errors.
-const reservedLines = logLines / 4
+// reservedLines is the part of the buffer that is reserved for warnings and errors.
+const reservedLines = maxQueuedLines / 4
 
-// Write queues a line of no level.
+// Write queues a line without a level.
 func (w *lineWriter) Write(line []byte) (int, error) {
 	return w.WriteLevel(zerolog.InfoLevel, line)
 }
 
-// WriteLevel queues a line, or counts it as dropped. Each event has a budget of
-// lines a second, and routine lines leave the rest of the buffer to warnings and
-// errors.
+// WriteLevel queues a line, or drops and counts it if its event is over its rate
+// limit or the buffer is full. Lines below the warning level cannot use the
+// reserved part of the buffer.
 func (w *lineWriter) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.closed {
 		return len(line), nil
 	}
-	if number := eventOf(line); number != "" && !w.budget.take(number) {
+	if number := eventNumber(line); number != "" && !w.rateLimiter.allow(number) {
 		w.dropped++
 		return len(line), nil
 	}
-	if level < zerolog.WarnLevel && len(w.lines) >= logLines-reservedLines {
+	if level < zerolog.WarnLevel && len(w.lines) >= maxQueuedLines-reservedLines {
 		w.dropped++
 		return len(line), nil
 	}
@@ -111,20 +112,20 @@
 func (w *lineWriter) run() {
 	defer close(w.done)
 	for line := range w.lines {
-		w.out.Write(w.gather(line))
-		if dropped := w.takeDropped(); dropped > 0 {
+		w.out.Write(w.batch(line))
+		if dropped := w.resetDropped(); dropped > 0 {
 			event.LogLinesDropped.On(w.logger).Uint("lines", dropped).Send()
 		}
 	}
 }
 
-// maxGathered is the size from which a write takes no more lines. Of a larger
-// write than 8 KiB, collectors were seen to keep only that much.
-const maxGathered = 7 << 10
+// maxBatchBytes is the size from which no more lines are added to a write. Log
+// collectors may truncate writes larger than 8 KiB.
+const maxBatchBytes = 7 << 10
 
-// gather joins the lines that wait, so that they cost one write.
-func (w *lineWriter) gather(line []byte) []byte {
-	for len(line) < maxGathered {
+// batch appends queued lines to the line, so that they take one write.
+func (w *lineWriter) batch(line []byte) []byte {
+	for len(line) < maxBatchBytes {
 		select {
 		case next, ok := <-w.lines:
 			if !ok {
@@ -138,7 +139,7 @@
 	return line
 }
 
-func (w *lineWriter) takeDropped() uint64 {
+func (w *lineWriter) resetDropped() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	dropped := w.dropped
--- a/command/logger_test.go
+++ b/command/logger_test.go
@@ -13,38 +13,38 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-// stuckWriter takes nothing until it is released.
-type stuckWriter struct {
+// blockedWriter blocks writes until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	written bytes.Buffer
 }
 
-func (w *stuckWriter) Write(data []byte) (int, error) {
+func (w *blockedWriter) Write(data []byte) (int, error) {
 	<-w.release
 	return w.written.Write(data)
 }
 
-var _ io.Writer = (*stuckWriter)(nil)
+var _ io.Writer = (*blockedWriter)(nil)
 
-// routineEvents returns the events whose lines are the first to be dropped.
+// routineEvents returns the events below the warning level.
 func routineEvents() []event.Event {
 	var routine []event.Event
-	for _, one := range event.All {
-		if one.Level < zerolog.WarnLevel {
-			routine = append(routine, one)
+	for _, candidate := range event.All {
+		if candidate.Level < zerolog.WarnLevel {
+			routine = append(routine, candidate)
 		}
 	}
 	return routine
 }
 
-// TestLogNeverBlocks: with a reader that has stopped reading, lines are dropped
-// and counted; warnings still find room when routine lines do not.
+// TestLogNeverBlocks checks that lines are dropped and counted while the output
+// blocks, and that warnings are still queued when routine lines are dropped.
 func TestLogNeverBlocks(t *testing.T) {
-	out := &stuckWriter{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	logger, closeLog := NewProcessLogger("info", out)
-	const lines = 3 * logLines
+	const lines = 3 * maxQueuedLines
 	routine := routineEvents()
-	require.Less(t, lines/len(routine), linesPerEvent, "no event comes to its budget")
+	require.Less(t, lines/len(routine), maxLinesPerEvent, "no event reaches its rate limit")
 	for number := range lines {
 		routine[number%len(routine)].On(logger).Send()
 	}
@@ -56,58 +56,58 @@
 	require.Contains(t, text, event.LogLinesDropped.Message)
 	written := strings.Count(text, `"level":"info"`)
 	require.Less(t, written, lines)
-	require.GreaterOrEqual(t, written, logLines-reservedLines)
+	require.GreaterOrEqual(t, written, maxQueuedLines-reservedLines)
 }
 
-// TestEventHasABudget: a frequent event uses up its lines of a second, which
-// leaves those of others alone; the next second it has lines again.
-func TestEventHasABudget(t *testing.T) {
+// TestEventLinesAreRateLimited checks that each event has a limit of its own,
+// which is renewed every second.
+func TestEventLinesAreRateLimited(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var written bytes.Buffer
+	var output bytes.Buffer
 	writer := &lineWriter{
-		out: &written, lines: make(chan []byte, logLines), done: make(chan struct{}),
-		budget: eventBudget{now: func() time.Time { return now }},
+		out: &output, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}),
+		rateLimiter: eventRateLimiter{now: func() time.Time { return now }},
 	}
 	logger := newLogger("info", writer)
-	writer.logger = newLogger("info", &written)
-	for range 2 * linesPerEvent {
+	writer.logger = newLogger("info", &output)
+	for range 2 * maxLinesPerEvent {
 		event.RequestEnded.On(logger).Send()
 	}
 	event.StepSubmitted.On(logger).Send()
-	require.Equal(t, uint64(linesPerEvent), writer.dropped)
+	require.Equal(t, uint64(maxLinesPerEvent), writer.dropped)
 	now = now.Add(time.Second)
 	event.RequestEnded.On(logger).Send()
-	require.Equal(t, uint64(linesPerEvent), writer.dropped)
+	require.Equal(t, uint64(maxLinesPerEvent), writer.dropped)
 	go writer.run()
 	writer.close()
-	require.Equal(t, linesPerEvent+1, strings.Count(written.String(), event.RequestEnded.Message))
-	require.Equal(t, 1, strings.Count(written.String(), event.StepSubmitted.Message))
-	require.Equal(t, 1, strings.Count(written.String(), event.LogLinesDropped.Message))
+	require.Equal(t, maxLinesPerEvent+1, strings.Count(output.String(), event.RequestEnded.Message))
+	require.Equal(t, 1, strings.Count(output.String(), event.StepSubmitted.Message))
+	require.Equal(t, 1, strings.Count(output.String(), event.LogLinesDropped.Message))
 }
 
-// largestWriter notes the size of its largest write.
-type largestWriter struct {
+// sizeRecorder records the size of the largest write.
+type sizeRecorder struct {
 	release chan struct{}
 	largest int
 }
 
-func (w *largestWriter) Write(data []byte) (int, error) {
+func (w *sizeRecorder) Write(data []byte) (int, error) {
 	<-w.release
 	w.largest = max(w.largest, len(data))
 	return len(data), nil
 }
 
-// TestWritesFitACollector: lines that wait are joined, but never into a write of
-// more than 8 KiB, of which a collector may keep the beginning only.
-func TestWritesFitACollector(t *testing.T) {
-	out := &largestWriter{release: make(chan struct{})}
+// TestWritesFitCollectorLimit checks that queued lines are batched into writes of
+// at most 8 KiB, because log collectors may truncate larger ones.
+func TestWritesFitCollectorLimit(t *testing.T) {
+	out := &sizeRecorder{release: make(chan struct{})}
 	logger, closeLog := NewProcessLogger("info", out)
 	routine := routineEvents()
-	for number := range logLines / 2 {
+	for number := range maxQueuedLines / 2 {
 		routine[number%len(routine)].On(logger).Str("sample", strings.Repeat("x", 200)).Send()
 	}
 	close(out.release)
 	closeLog()
 	require.LessOrEqual(t, out.largest, 8<<10)
-	require.Greater(t, out.largest, 4<<10, "lines are joined")
+	require.Greater(t, out.largest, 4<<10, "lines are batched")
 }
--- a/command/operate.go
+++ b/command/operate.go
@@ -19,15 +19,15 @@
 	"github.com/dillchute/dillchute/state"
 )
 
-// connection is how a verb reaches control.
+// connection holds the flags of commands that call the control replicas.
 type connection struct {
 	Controls []string      `required:"" env:"DILLCHUTE_CONTROLS" help:"Addresses of the control replicas."`
 	Timeout  time.Duration `default:"10s" help:"How long to try."`
 }
 
 func (c connection) open(ctx context.Context) (*client.Client, context.Context, context.CancelFunc) {
-	limited, cancel := context.WithTimeout(ctx, c.Timeout)
-	return client.New(c.Controls), limited, cancel
+	callContext, cancel := context.WithTimeout(ctx, c.Timeout)
+	return client.New(c.Controls), callContext, cancel
 }
 
 func printMessage(out io.Writer, message proto.Message) {
@@ -53,7 +53,7 @@
 	Folder string `arg:"" help:"Folder of declarations." type:"path"`
 }
 
-// Run shows how a folder's declarations differ from those in force.
+// Run prints the differences between the declarations in force and a folder's.
 func (c diffCommand) Run(ctx context.Context, streams Streams) error {
 	pools, err := declaration.Load(c.Folder)
 	if err != nil {
@@ -66,38 +66,38 @@
 		return err
 	}
 	fmt.Fprintf(streams.Out, "revision %d\n", current.Revision)
-	for _, line := range difference(current.Pools, pools) {
+	for _, line := range diffPools(current.Pools, pools) {
 		fmt.Fprintln(streams.Out, line)
 	}
 	return nil
 }
 
-// difference describes what would change, a line for each pool or field.
-func difference(current []*dillchutev1.PoolSpec, wanted []state.PoolSpec) []string {
+// diffPools describes the changes, one line for each pool or field.
+func diffPools(current []*dillchutev1.PoolSpec, desired []state.PoolSpec) []string {
 	var lines []string
-	known := map[string]*dillchutev1.PoolSpec{}
+	remaining := map[string]*dillchutev1.PoolSpec{}
 	for _, pool := range current {
-		known[pool.Name] = pool
+		remaining[pool.Name] = pool
 	}
-	for _, spec := range wanted {
+	for _, spec := range desired {
 		pool := declaration.ToProto(spec)
-		before := known[pool.Name]
-		delete(known, pool.Name)
+		before := remaining[pool.Name]
+		delete(remaining, pool.Name)
 		if before == nil {
 			lines = append(lines, "+ pool "+pool.Name)
 			continue
 		}
-		lines = append(lines, fieldDifference(before, pool)...)
+		lines = append(lines, diffFields(before, pool)...)
 	}
 	for _, pool := range current {
-		if known[pool.Name] != nil {
+		if remaining[pool.Name] != nil {
 			lines = append(lines, "- pool "+pool.Name)
 		}
 	}
 	return lines
 }
 
-func fieldDifference(before, after *dillchutev1.PoolSpec) []string {
+func diffFields(before, after *dillchutev1.PoolSpec) []string {
 	var lines []string
 	fields := before.ProtoReflect().Descriptor().Fields()
 	for position := range fields.Len() {
@@ -129,32 +129,32 @@
 	if err != nil {
 		return err
 	}
-	controls, limited, cancel := c.open(ctx)
+	controls, callContext, cancel := c.open(ctx)
 	defer cancel()
-	request, err := c.request(limited, controls, pools)
+	request, err := c.newRequest(callContext, controls, pools)
 	if err != nil {
 		return err
 	}
-	response, err := controls.Apply(limited, request)
+	response, err := controls.Apply(callContext, request)
 	if err != nil {
 		return err
 	}
-	if err := c.report(limited, streams, controls, response, pools); err != nil {
+	if err := c.printOutcome(callContext, streams, controls, response, pools); err != nil {
 		return err
 	}
 	if !c.Wait {
 		return nil
 	}
-	return c.waitInForce(ctx, streams, controls, response.Revision)
+	return c.waitUntilInForce(ctx, streams, controls, response.Revision)
 }
 
-func (c applyCommand) request(ctx context.Context, controls *client.Client, pools []state.PoolSpec) (*dillchutev1.ApplyRequest, error) {
+func (c applyCommand) newRequest(ctx context.Context, controls *client.Client, pools []state.PoolSpec) (*dillchutev1.ApplyRequest, error) {
 	request := &dillchutev1.ApplyRequest{ChangeId: c.ChangeID, SourceCommit: c.Commit, Author: c.Author}
 	if request.ChangeId == "" {
-		identity := make([]byte, changeIDBytes)
+		id := make([]byte, changeIDBytes)
 		// crypto/rand.Read never fails.
-		_, _ = rand.Read(identity)
-		request.ChangeId = hex.EncodeToString(identity)
+		_, _ = rand.Read(id)
+		request.ChangeId = hex.EncodeToString(id)
 	}
 	if c.Base != nil {
 		request.BaseRevision = *c.Base
@@ -171,7 +171,7 @@
 	return request, nil
 }
 
-func (c applyCommand) report(ctx context.Context, streams Streams, controls *client.Client, response *dillchutev1.ApplyResponse, pools []state.PoolSpec) error {
+func (c applyCommand) printOutcome(ctx context.Context, streams Streams, controls *client.Client, response *dillchutev1.ApplyResponse, pools []state.PoolSpec) error {
 	switch response.Outcome {
 	case dillchutev1.ApplyOutcome_APPLY_OUTCOME_ACCEPTED:
 		fmt.Fprintf(streams.Out, "accepted as revision %d\n", response.Revision)
@@ -180,62 +180,62 @@
 		fmt.Fprintf(streams.Out, "unchanged at revision %d\n", response.Revision)
 		return nil
 	case dillchutev1.ApplyOutcome_APPLY_OUTCOME_CONFLICT:
-		return c.conflict(ctx, controls, response, pools)
+		return c.conflictError(ctx, controls, response, pools)
 	case dillchutev1.ApplyOutcome_APPLY_OUTCOME_IDENTITY_REUSED:
 		return ErrFailed.New("the change identity was used before with other content")
 	}
 	return ErrFailed.New("invalid: %s", strings.Join(response.Problems, "; "))
 }
 
-func (c applyCommand) conflict(ctx context.Context, controls *client.Client, response *dillchutev1.ApplyResponse, pools []state.PoolSpec) error {
+func (c applyCommand) conflictError(ctx context.Context, controls *client.Client, response *dillchutev1.ApplyResponse, pools []state.PoolSpec) error {
 	message := fmt.Sprintf("conflict: revision %d is in force", response.Revision)
 	if winner := response.Winner; winner != nil {
-		message += fmt.Sprintf("; change %s by %q from commit %q took the base as revision %d",
+		message += fmt.Sprintf("; change %s by %q from commit %q was applied to the same base as revision %d",
 			winner.ChangeId, winner.Author, winner.SourceCommit, winner.Revision)
 	}
 	if current, err := controls.GetDeclarations(ctx); err == nil {
-		for _, line := range difference(current.Pools, pools) {
+		for _, line := range diffPools(current.Pools, pools) {
 			message += "\n" + line
 		}
 	}
 	return ErrFailed.New("%s", message)
 }
 
-const waitPoll = 100 * time.Millisecond
+const waitPollInterval = 100 * time.Millisecond
 
-// waitInForce waits until every node that holds a lease has acknowledged the
-// revision, or has lost its lease.
-func (c applyCommand) waitInForce(ctx context.Context, streams Streams, controls *client.Client, revision uint64) error {
-	limited, cancel := context.WithTimeout(ctx, c.WaitTime)
+// waitUntilInForce waits until each node has acknowledged the revision or has
+// lost its lease.
+func (c applyCommand) waitUntilInForce(ctx context.Context, streams Streams, controls *client.Client, revision uint64) error {
+	waitContext, cancel := context.WithTimeout(ctx, c.WaitTime)
 	defer cancel()
-	began := time.Now()
+	startedAt := time.Now()
 	for {
-		status, err := controls.GetStatus(limited)
+		status, err := controls.GetStatus(waitContext)
 		if err != nil {
 			return err
 		}
-		var behind []string
+		var pending []string
 		for _, node := range status.Nodes {
 			if node.Revision < revision {
-				behind = append(behind, node.Id)
+				pending = append(pending, node.Id)
 			}
 		}
-		if len(behind) == 0 {
-			fmt.Fprintf(streams.Out, "in force on %d nodes after %s\n", len(status.Nodes), time.Since(began).Round(time.Millisecond))
+		if len(pending) == 0 {
+			fmt.Fprintf(streams.Out, "in force on %d nodes after %s\n", len(status.Nodes), time.Since(startedAt).Round(time.Millisecond))
 			return nil
 		}
 		select {
-		case <-limited.Done():
-			return ErrFailed.New("not in force yet on %s", strings.Join(behind, ", "))
-		case <-time.After(waitPoll):
+		case <-waitContext.Done():
+			return ErrFailed.New("not in force yet on %s", strings.Join(pending, ", "))
+		case <-time.After(waitPollInterval):
 		}
 	}
 }
 
 type getCommand struct{ connection }
 
-// shownPool is a pool as get prints it: in the form of a declaration's file.
-type shownPool struct {
+// poolDocument is a pool in the format of a declarations file.
+type poolDocument struct {
 	Name                 string `yaml:"name"`
 	Model                string `yaml:"model"`
 	EngineGroup          string `yaml:"engine_group"`
@@ -251,13 +251,13 @@
 	Disconnected         string `yaml:"disconnected"`
 }
 
-type shownPools struct {
-	Pools []shownPool `yaml:"pools"`
+type poolsDocument struct {
+	Pools []poolDocument `yaml:"pools"`
 }
 
 func enumName(name, prefix string) string { return strings.ToLower(strings.TrimPrefix(name, prefix)) }
 
-// Run prints the declarations in force as a file that apply takes.
+// Run prints the declarations in force in the format of a declarations file.
 func (c getCommand) Run(ctx context.Context, streams Streams) error {
 	controls, ctx, cancel := c.open(ctx)
 	defer cancel()
@@ -265,9 +265,9 @@
 	if err != nil {
 		return err
 	}
-	var shown shownPools
+	var document poolsDocument
 	for _, pool := range current.Pools {
-		shown.Pools = append(shown.Pools, shownPool{
+		document.Pools = append(document.Pools, poolDocument{
 			Name: pool.Name, Model: pool.Model, EngineGroup: pool.EngineGroup,
 			WeightPolicy:         enumName(pool.WeightPolicy.String(), "WEIGHT_POLICY_"),
 			MaxStalenessVersions: pool.MaxStalenessVersions,
@@ -278,7 +278,7 @@
 			Disconnected: enumName(pool.Disconnected.String(), "DISCONNECTED_POLICY_"),
 		})
 	}
-	data, err := yaml.Marshal(shown)
+	data, err := yaml.Marshal(document)
 	if err != nil {
 		return ErrFailed.Wrap(err, "encode")
 	}
@@ -300,8 +300,8 @@
 		return err
 	}
 	for _, change := range history.Changes {
-		at := time.UnixMilli(change.AcceptedUnixMilliseconds).UTC().Format(time.RFC3339)
-		fmt.Fprintf(streams.Out, "%d\t%s\t%s\t%s\t%s\n", change.Revision, at, change.ChangeId, change.Author, change.SourceCommit)
+		acceptedAt := time.UnixMilli(change.AcceptedUnixMilliseconds).UTC().Format(time.RFC3339)
+		fmt.Fprintf(streams.Out, "%d\t%s\t%s\t%s\t%s\n", change.Revision, acceptedAt, change.ChangeId, change.Author, change.SourceCommit)
 	}
 	return nil
 }
