--- a/server/process.go
+++ b/server/process.go
@@ -81,7 +81,7 @@
 		return
 	}
 	router := mux.NewRouter()
-	addOperational(router, func() bool { return true }, newRegistry(collect, extra...), true)
+	addOperationalRoutes(router, func() bool { return true }, newRegistry(collect, extra...), true)
 	for _, addRoute := range addRoutes {
 		addRoute(router)
 	}
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -158,7 +158,7 @@
 	g.watcher.collect(emit)
 	gauge(emit, "gateway_ready", "Whether the gateway accepts new connections.", boolToFloat(g.Ready()))
 	gauge(emit, "gateway_in_flight", "Requests in flight.", float64(g.InFlight()))
-	g.limits.collect(emit)
+	g.admissionMonitor.collect(emit)
 	late, dropped := g.usage.meter.Lost()
 	gauge(emit, "gateway_usage_late", "Requests that were counted too late for their usage window.", float64(late))
 	gauge(emit, "gateway_usage_dropped", "Requests that were not counted because the meter was full.", float64(dropped))
--- a/server/stop.go
+++ b/server/stop.go
@@ -98,7 +98,7 @@
 // shutdown ends all work.
 func (g *Gateway) withWorkDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	limited, cancel := context.WithCancelCause(ctx)
-	detach := context.AfterFunc(g.work, func() { cancel(context.DeadlineExceeded) })
+	detach := context.AfterFunc(g.baseContext, func() { cancel(context.DeadlineExceeded) })
 	return limited, func() {
 		detach()
 		cancel(context.Canceled)
@@ -129,7 +129,7 @@
 	for clock.Now().Before(plan.workDeadline) && g.InFlight() > 0 {
 		time.Sleep(drainPoll)
 	}
-	g.endWork()
+	g.cancelRequests()
 }
 
 // closeTimeout returns the time for writing the last responses, which slow callers may delay.
@@ -165,7 +165,7 @@
 // answered. The request is counted as in flight before the check, so that drain cannot miss it.
 func (g *Gateway) closeConnections(callers http.Handler) http.Handler {
 	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
-		defer g.Begin()()
+		defer g.TrackRequest()()
 		if g.closed.Load() {
 			response.Header().Set("Connection", "close")
 			response.Header().Set("Retry-After", strconv.FormatFloat(RetryAfter.Seconds(), 'f', -1, 64))
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -100,13 +100,13 @@
 	defer clock.Use(machine)()
 	gateway := newTestGateway(time.Now())
 	gateway.Stop(time.Hour)
-	defer gateway.Begin()()
+	defer gateway.TrackRequest()()
 	require.True(t, gateway.canAccept(clock.Now().Add(time.Minute)))
 	machine.Suspend(time.Hour)
 	require.False(t, gateway.canAccept(clock.Now().Add(time.Minute)))
 	// The work deadline has passed, so drain does not wait for the open request.
 	gateway.drain()
-	require.Error(t, gateway.work.Err())
+	require.Error(t, gateway.baseContext.Err())
 }
 
 // probingDirectory is a fake directory. At each report of crashes or usage it checks whether the reporting
@@ -169,7 +169,7 @@
 	started := make(chan struct{})
 	callers := newCallerServer(gateway.closeConnections(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(started)
-		<-gateway.work.Done()
+		<-gateway.baseContext.Done()
 		gateway.usage.record("north", forward.Result{History: []forward.AttemptRecord{{StartedAt: clock.Now()}}})
 	})))
 	serveHTTP(callers, served, &logger)
