--- a/clock/usage_test.go
+++ b/clock/usage_test.go
@@ -43,7 +43,7 @@
 	"server/node.go":             {2, "the wait during a graceful shutdown"},
 	"server/paces.go":            {2, "the interval between records"},
 	"server/record.go":           {5, "the interval between records, and a metric"},
-	"server/spoiled.go":          {1, "the interval between log lines"},
+	"server/heartbeat_log.go":    {1, "the interval between log lines"},
 	"server/watch.go":            {1, "the time that a context leaves for one of several attempts"},
 	"server/tenure.go":           {4, "the interval between checks"},
 }
--- a/server/admission.go
+++ b/server/admission.go
@@ -50,7 +50,7 @@
 // Identify returns the name of the tenant of a call that is not passed on, "" where there
 // are no tenants. Its errors are those of Admit.
 func (g *Gateway) Identify(ctx context.Context, key string) (string, error) {
-	catalog := g.currentConfiguration(ctx)
+	catalog := g.freshCatalog(ctx)
 	if catalog.Version == 0 {
 		return "", replica.ErrUnavailable.New("no configuration is known yet")
 	}
--- a/server/returning_test.go
+++ b/server/backend_return_test.go
@@ -12,18 +12,18 @@
 )
 
 // beating sends a backend's heartbeats to replicas of a directory.
-type beating struct {
+type heartbeatSender struct {
 	t        *testing.T
 	backend  directory.Backend
 	sequence uint64
 }
 
-func newBeating(t *testing.T, id, address string) *beating {
-	return &beating{t: t, backend: directory.Backend{ID: id, Service: "s", Address: address, Zone: "z", Slots: 6}}
+func newHeartbeatSender(t *testing.T, id, address string) *heartbeatSender {
+	return &heartbeatSender{t: t, backend: directory.Backend{ID: id, Service: "s", Address: address, Zone: "z", Slots: 6}}
 }
 
 // beat sends the next heartbeat and tells whether the replica knows the backend as registered.
-func (b *beating) beat(d *Directory) bool {
+func (b *heartbeatSender) send(d *Directory) bool {
 	b.sequence++
 	if _, err := d.Heartbeat(b.t.Context(), Heartbeat{Backend: b.backend, Sequence: b.sequence}); err != nil {
 		return false
@@ -65,7 +65,7 @@
 }
 
 // takeOut has the leader take the backend out as one that nobody hears.
-func takeOut(t *testing.T, members []*fleetMember, id string) {
+func removeSilent(t *testing.T, members []*fleetMember, id string) {
 	t.Helper()
 	remove := directory.Command{RemoveBackend: &directory.RemoveBackend{ID: id}}
 	_, err := leaderOf(t, members).directory.execute(t.Context(), remove)
@@ -75,7 +75,7 @@
 	}
 }
 
-func inUse(d *Directory) uint64 {
+func versionInUse(d *Directory) uint64 {
 	version := uint64(0)
 	d.replica.Do(func() { version = d.machine.VersionInUse() })
 	return version
@@ -85,160 +85,160 @@
 func awaitVersion(t *testing.T, members []*fleetMember) {
 	t.Helper()
 	for _, member := range members {
-		eventually(t, func() bool { return inUse(member.directory) == directory.KnownVersion }, "the version is raised")
+		eventually(t, func() bool { return versionInUse(member.directory) == directory.KnownVersion }, "the version is raised")
 	}
 }
 
 func unprepared(int, *Directory) {}
 
-func asThisBuild(*Directory) {}
+func asCurrentBuild(*Directory) {}
 
 // asEarlierBuild has the replica know no version, as a build before there were any.
 func asEarlierBuild(d *Directory) { d.versions.own = upgrade.VersionReport{} }
 
 // TestTwoHeartbeatsProveALife: one heartbeat, two that come together, two of the same number, and
 // two with a long silence between them prove nothing; two that come at their pace do.
-func TestTwoHeartbeatsProveALife(t *testing.T) {
-	const beat = time.Second
+func TestReturnNeedsTwoHeartbeats(t *testing.T) {
+	const interval = time.Second
 	start := time.UnixMilli(0)
-	gap := time.Duration(returnBeats * float64(beat))
-	r := newReturning()
-	require.False(t, r.note(start, "a", 7, beat))
-	require.False(t, r.note(start.Add(gap-1), "a", 8, beat), "held up together")
-	require.False(t, r.note(start.Add(gap), "a", 7, beat), "the same again")
-	require.True(t, r.note(start.Add(gap), "a", 8, beat))
+	minGap := time.Duration(minReturnIntervals * float64(interval))
+	tracker := newReturnTracker()
+	require.False(t, tracker.record(start, "a", 7, interval))
+	require.False(t, tracker.record(start.Add(minGap-1), "a", 8, interval), "held up together")
+	require.False(t, tracker.record(start.Add(minGap), "a", 7, interval), "the same again")
+	require.True(t, tracker.record(start.Add(minGap), "a", 8, interval))
 
-	require.False(t, r.note(start, "b", 7, beat))
-	require.False(t, r.note(start.Add(silentBeats*beat+1), "b", 8, beat), "too long ago")
-	require.True(t, r.note(start.Add(silentBeats*beat+1+gap), "b", 9, beat))
+	require.False(t, tracker.record(start, "b", 7, interval))
+	require.False(t, tracker.record(start.Add(silentBeats*interval+1), "b", 8, interval), "too long ago")
+	require.True(t, tracker.record(start.Add(silentBeats*interval+1+minGap), "b", 9, interval))
 
-	require.False(t, r.note(start, "c", 7, beat))
-	r.forget("c")
-	require.False(t, r.note(start.Add(gap), "c", 8, beat), "another one held its address meanwhile")
+	require.False(t, tracker.record(start, "c", 7, interval))
+	tracker.forget("c")
+	require.False(t, tracker.record(start.Add(minGap), "c", 8, interval), "another one held its address meanwhile")
 }
 
 // TestLateHeartbeatsBringNobodyBack: a backend was taken out for its silence, and has ended. Its
 // heartbeats, which a cut has held up, come while another one lives at its address: that one stays.
-func TestLateHeartbeatsBringNobodyBack(t *testing.T) {
+func TestLateHeartbeatsDoNotReplaceBackend(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
-	ended, living := newBeating(t, "ended", "10.0.0.1:80"), newBeating(t, "living", "10.0.0.1:80")
+	crashed, running := newHeartbeatSender(t, "ended", "10.0.0.1:80"), newHeartbeatSender(t, "living", "10.0.0.1:80")
 	awaitVersion(t, members)
-	eventually(t, func() bool { return ended.beat(d) }, "it registers")
-	takeOut(t, members, "ended")
-	eventually(t, func() bool { return living.beat(d) }, "the next one at the address registers")
+	eventually(t, func() bool { return crashed.send(d) }, "it registers")
+	removeSilent(t, members, "ended")
+	eventually(t, func() bool { return running.send(d) }, "the next one at the address registers")
 	never(t, 3*d.settings.HeartbeatInterval, func() bool {
-		living.beat(d)
-		return ended.beat(d)
+		running.send(d)
+		return crashed.send(d)
 	}, "the late one is not registered")
-	eventually(t, func() bool { return living.beat(d) }, "the living one is there")
+	eventually(t, func() bool { return running.send(d) }, "the living one is there")
 }
 
 // TestOneLateHeartbeatBringsNobodyBack: nobody is at the address, and one heartbeat comes late.
-func TestOneLateHeartbeatBringsNobodyBack(t *testing.T) {
+func TestSingleLateHeartbeatDoesNotRegister(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
-	ended := newBeating(t, "ended", "10.0.0.1:80")
+	crashed := newHeartbeatSender(t, "ended", "10.0.0.1:80")
 	awaitVersion(t, members)
-	eventually(t, func() bool { return ended.beat(d) }, "it registers")
-	takeOut(t, members, "ended")
-	require.False(t, ended.beat(d))
+	eventually(t, func() bool { return crashed.send(d) }, "it registers")
+	removeSilent(t, members, "ended")
+	require.False(t, crashed.send(d))
 	never(t, 2*d.settings.HeartbeatInterval, func() bool { return isRegistered(d, "ended") }, "one proves nothing")
 }
 
 // TestWhoHasLeftStaysOut: a backend that has said that it leaves may go on sending heartbeats; it is
 // not registered again, also if it had fallen silent before.
-func TestWhoHasLeftStaysOut(t *testing.T) {
+func TestBackendThatLeftIsNotRegisteredAgain(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
-	left, silent := newBeating(t, "left", "10.0.0.1:80"), newBeating(t, "silent", "10.0.0.2:80")
+	left, silent := newHeartbeatSender(t, "left", "10.0.0.1:80"), newHeartbeatSender(t, "silent", "10.0.0.2:80")
 	awaitVersion(t, members)
-	eventually(t, func() bool { return left.beat(d) && silent.beat(d) }, "they register")
-	takeOut(t, members, "silent")
+	eventually(t, func() bool { return left.send(d) && silent.send(d) }, "they register")
+	removeSilent(t, members, "silent")
 	for _, id := range []string{"left", "silent"} {
 		require.NoError(t, d.Leave(t.Context(), directory.Incarnation{Name: id}))
 		eventually(t, func() bool { return !isRegistered(d, id) }, "it has left")
 	}
-	never(t, 3*d.settings.HeartbeatInterval, func() bool { return left.beat(d) || silent.beat(d) }, "they stay out")
+	never(t, 3*d.settings.HeartbeatInterval, func() bool { return left.send(d) || silent.send(d) }, "they stay out")
 }
 
 // TestBackendOutAtOneLeaderIsHeardByTheNext: a backend was taken out for its silence, and the leader
 // that did so is gone as it is heard again.
-func TestBackendOutAtOneLeaderIsHeardByTheNext(t *testing.T) {
+func TestRemovedBackendReturnsToNextLeader(t *testing.T) {
 	members := startMembers(t, unprepared)
-	backend := newBeating(t, "b", "10.0.0.1:80")
+	backend := newHeartbeatSender(t, "b", "10.0.0.1:80")
 	awaitVersion(t, members)
-	eventually(t, func() bool { return backend.beat(members[0].directory) }, "it registers")
-	takeOut(t, members, "b")
-	earlier := leaderOf(t, members)
-	earlier.stop()
+	eventually(t, func() bool { return backend.send(members[0].directory) }, "it registers")
+	removeSilent(t, members, "b")
+	previous := leaderOf(t, members)
+	previous.stop()
 	var others []*fleetMember
 	for _, member := range members {
-		if member != earlier {
+		if member != previous {
 			others = append(others, member)
 		}
 	}
 	next := leaderOf(t, others)
-	eventually(t, func() bool { return backend.beat(next.directory) }, "it is heard by the next")
-	earlier.startAgain(t, asThisBuild)
-	eventually(t, func() bool { return isRegistered(earlier.directory, "b") }, "the earlier one learns of it")
+	eventually(t, func() bool { return backend.send(next.directory) }, "it is heard by the next")
+	previous.startAgain(t, asCurrentBuild)
+	eventually(t, func() bool { return isRegistered(previous.directory, "b") }, "the earlier one learns of it")
 }
 
 // TestSilenceOfAllEnds: all backends of a directory fall silent, are taken out by its own review, and
 // come back with their own heartbeats.
-func TestSilenceOfAllEnds(t *testing.T) {
+func TestAllSilentBackendsReturn(t *testing.T) {
 	members := startMembers(t, func(_ int, d *Directory) { d.settings.HeartbeatInterval = 50 * time.Millisecond })
 	d := members[0].directory
-	var backends []*beating
+	var backends []*heartbeatSender
 	for _, id := range []string{"a", "b", "c"} {
-		backends = append(backends, newBeating(t, id, id+":80"))
+		backends = append(backends, newHeartbeatSender(t, id, id+":80"))
 	}
-	areHeard := func() bool {
-		all := true
+	sendAll := func() bool {
+		allRegistered := true
 		for _, backend := range backends {
-			all = backend.beat(d) && all
+			allRegistered = backend.send(d) && allRegistered
 		}
-		return all
+		return allRegistered
 	}
 	awaitVersion(t, members)
-	eventually(t, areHeard, "they register")
+	eventually(t, sendAll, "they register")
 	eventually(t, func() bool { return d.view.Load().BackendCount() == 0 }, "they are taken out")
-	eventually(t, areHeard, "they are back")
+	eventually(t, sendAll, "they are back")
 }
 
 // mixedMembers runs the replicas of a directory of which one, that does not lead, is of an earlier build.
-func mixedMembers(t *testing.T, prepare func(d *Directory)) (members []*fleetMember, earlier *fleetMember) {
-	asEarlier := func(d *Directory) {
+func mixedMembers(t *testing.T, prepare func(d *Directory)) (members []*fleetMember, outdated *fleetMember) {
+	prepareOutdated := func(d *Directory) {
 		prepare(d)
 		asEarlierBuild(d)
 	}
-	members = startMembers(t, func(_ int, d *Directory) { asEarlier(d) })
-	earlier = leaderOf(t, members)
+	members = startMembers(t, func(_ int, d *Directory) { prepareOutdated(d) })
+	outdated = leaderOf(t, members)
 	for _, member := range members {
-		if member != earlier {
+		if member != outdated {
 			member.startAgain(t, prepare)
 		}
 	}
-	for leaderOf(t, members) == earlier {
-		earlier.startAgain(t, asEarlier)
+	for leaderOf(t, members) == outdated {
+		outdated.startAgain(t, prepareOutdated)
 	}
-	return members, earlier
+	return members, outdated
 }
 
 // TestNobodyIsTakenOutForGoodInAMixedFleet: while one that is taken out could not return, a backend that
 // is not heard for long is only used last, and is itself again once it is heard.
-func TestNobodyIsTakenOutForGoodInAMixedFleet(t *testing.T) {
+func TestSilentBackendIsKeptInMixedFleet(t *testing.T) {
 	members, _ := mixedMembers(t, func(d *Directory) { d.settings.HeartbeatInterval = 50 * time.Millisecond })
-	backend := newBeating(t, "b", "10.0.0.1:80")
+	backend := newHeartbeatSender(t, "b", "10.0.0.1:80")
 	d := leaderOf(t, members).directory
-	eventually(t, func() bool { return backend.beat(d) }, "it registers")
+	eventually(t, func() bool { return backend.send(d) }, "it registers")
 	isSilent := func() bool {
 		known, registered := d.view.Load().Backend("b")
 		return registered && known.Silent
 	}
 	eventually(t, isSilent, "it is not heard")
 	never(t, goneBeats*d.settings.HeartbeatInterval, func() bool { return !isSilent() }, "it is used last, and not taken out")
-	eventually(t, func() bool { return backend.beat(d) }, "it is heard")
+	eventually(t, func() bool { return backend.send(d) }, "it is heard")
 	eventually(t, func() bool {
 		known, _ := d.view.Load().Backend("b")
 		return !known.Silent
@@ -249,36 +249,36 @@
 // commands keep their earlier meaning for all; once it runs this build, the version is raised, under
 // whichever leader, and stays.
 func TestVersionWaitsForAllMembers(t *testing.T) {
-	members, earlier := mixedMembers(t, asThisBuild)
-	backend := newBeating(t, "b", "10.0.0.1:80")
+	members, outdated := mixedMembers(t, asCurrentBuild)
+	backend := newHeartbeatSender(t, "b", "10.0.0.1:80")
 	d := leaderOf(t, members).directory
-	eventually(t, func() bool { return backend.beat(d) }, "it registers")
+	eventually(t, func() bool { return backend.send(d) }, "it registers")
 	isRaised := func() bool {
-		return slices.ContainsFunc(members, func(member *fleetMember) bool { return inUse(member.directory) > 0 })
+		return slices.ContainsFunc(members, func(member *fleetMember) bool { return versionInUse(member.directory) > 0 })
 	}
 	never(t, upgrade.ReportTTL, isRaised, "one member does not know it")
-	takeOut(t, members, "b")
-	never(t, 2*d.settings.HeartbeatInterval, func() bool { return backend.beat(d) }, "it stays out as before")
+	removeSilent(t, members, "b")
+	never(t, 2*d.settings.HeartbeatInterval, func() bool { return backend.send(d) }, "it stays out as before")
 	require.False(t, isRaised())
-	earlier.startAgain(t, asThisBuild)
+	outdated.startAgain(t, asCurrentBuild)
 	awaitVersion(t, members)
-	other := newBeating(t, "c", "10.0.0.2:80")
-	eventually(t, func() bool { return other.beat(d) }, "another one registers")
-	takeOut(t, members, "c")
-	eventually(t, func() bool { return other.beat(d) }, "it comes back")
+	other := newHeartbeatSender(t, "c", "10.0.0.2:80")
+	eventually(t, func() bool { return other.send(d) }, "another one registers")
+	removeSilent(t, members, "c")
+	eventually(t, func() bool { return other.send(d) }, "it comes back")
 }
 
 // TestBackendReturnsToItsAddress: a late heartbeat of a backend that has ended took the address of one
 // that was not heard for a moment. The living one is heard again, and the other one is not.
-func TestBackendReturnsToItsAddress(t *testing.T) {
+func TestBackendReclaimsItsAddress(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
-	living, ended := newBeating(t, "living", "10.0.0.1:80"), newBeating(t, "ended", "10.0.0.1:80")
+	running, crashed := newHeartbeatSender(t, "living", "10.0.0.1:80"), newHeartbeatSender(t, "ended", "10.0.0.1:80")
 	awaitVersion(t, members)
-	eventually(t, func() bool { return living.beat(d) }, "it registers")
+	eventually(t, func() bool { return running.send(d) }, "it registers")
 	// It is not heard now until the other one is taken in.
-	eventually(t, func() bool { return ended.beat(d) }, "the late heartbeat takes the address")
+	eventually(t, func() bool { return crashed.send(d) }, "the late heartbeat takes the address")
 	eventually(t, func() bool { return !isRegistered(d, "living") }, "it is out")
-	eventually(t, func() bool { return living.beat(d) }, "it has its address again")
+	eventually(t, func() bool { return running.send(d) }, "it has its address again")
 	require.False(t, isRegistered(d, "ended"))
 }
--- a/server/copy_age.go
+++ b/server/copy_age.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// questionTimeout bounds the question what a copy misses: some round trips to the
-	// directory's leader.
-	questionTimeout = 250 * time.Millisecond
-	// sendMargin is kept of the limit for the way to the backend, with a new connection.
+	// refreshTimeout limits a refresh of the copy, which takes a few round trips to the directory's
+	// leader.
+	refreshTimeout = 250 * time.Millisecond
+	// sendMargin is reserved for sending the request to the backend over a new connection.
 	sendMargin = 300 * time.Millisecond
-	// askAhead is how long before its limit a copy is asked for, so that nobody waits for the
-	// answer as a rule, and lookInterval the time between two looks at its age.
-	askAhead     = questionTimeout + lookInterval
-	lookInterval = 200 * time.Millisecond
-	// unansweredLife is how long it counts that nobody has answered. The directory is asked again
-	// after unansweredPause, and nobody waits for it: hundreds of processes must not keep a
-	// directory busy that has no leader.
-	unansweredLife  = 1200 * time.Millisecond
-	unansweredPause = 600 * time.Millisecond
+	// refreshAhead is how long before its limit a copy is refreshed, so that requests rarely wait for
+	// it, and ageCheckInterval the time between two checks of its age.
+	refreshAhead     = refreshTimeout + ageCheckInterval
+	ageCheckInterval = 200 * time.Millisecond
+	// unansweredTTL is how long an unanswered refresh counts. The next one may start after
+	// refreshBackoff, without callers that wait for it, to limit the load of many processes on a
+	// directory without a leader.
+	unansweredTTL  = 1200 * time.Millisecond
+	refreshBackoff = 600 * time.Millisecond
 )
 
-// copyState tells whether a copy of the directory may be acted on.
+// copyState classifies a copy of the directory by its age.
 type copyState uint8
 
 const (
-	// copyFresh: it held everything a short time ago.
+	// copyFresh: the copy may be used.
 	copyFresh copyState = iota
-	// copyAging: it may be acted on, and should be asked for.
+	// copyAging: the copy may be used, and should be refreshed.
 	copyAging
-	// copyTooOld: it has to be asked for first.
-	copyTooOld
-	// copyOutOfTouch: it is too old, and no replica has answered just now.
-	copyOutOfTouch
+	// copyStale: the copy must be refreshed before use.
+	copyStale
+	// copyUnreachable: the copy is stale, and no replica answered the last refresh.
+	copyUnreachable
 )
 
 // String returns the state's name in logs.
@@ -41,105 +41,104 @@
 	return [...]string{"fresh", "aging", "too_old", "out_of_touch"}[s]
 }
 
-// copyAge decides whether a copy may be acted on. Times are in milliseconds, see nowMillis. Its
-// methods may be called concurrently.
+// copyAge tracks the age of a copy. Times are in milliseconds, see nowMillis. It is safe for concurrent use.
 type copyAge struct {
-	// limit is the age beyond which the directory is asked first; 0 for none.
+	// limit is the maximum age, including sendMargin; 0 for none.
 	limit time.Duration
-	// provenAt is the newest time at which the copy is known to have held everything, and
-	// unansweredAt when nobody last answered a question.
-	provenAt, unansweredAt atomic.Int64
+	// confirmedAt is the latest time at which the copy is known to have been complete, and
+	// unansweredAt when the last refresh failed, or 0 if one has succeeded since.
+	confirmedAt, unansweredAt atomic.Int64
 }
 
-// state tells whether the copy may be acted on.
+// state returns the copy's state.
 func (a *copyAge) state(now int64) copyState {
 	if a.limit == 0 {
 		return copyFresh
 	}
-	age, most := now-a.provenAt.Load(), (a.limit - sendMargin).Milliseconds()
+	age, maxAge := now-a.confirmedAt.Load(), (a.limit - sendMargin).Milliseconds()
 	switch {
-	case age <= most-askAhead.Milliseconds():
+	case age <= maxAge-refreshAhead.Milliseconds():
 		return copyFresh
-	case age <= most:
+	case age <= maxAge:
 		return copyAging
-	case a.isUnanswered(now, unansweredLife):
-		return copyOutOfTouch
+	case a.isUnanswered(now, unansweredTTL):
+		return copyUnreachable
 	}
-	return copyTooOld
+	return copyStale
 }
 
-// mayAsk tells whether a question that nobody waits for may begin.
-func (a *copyAge) mayAsk(now int64) bool { return !a.isUnanswered(now, unansweredPause) }
+// mayRefresh reports whether a background refresh may start.
+func (a *copyAge) mayRefresh(now int64) bool { return !a.isUnanswered(now, refreshBackoff) }
 
-// isUnanswered tells whether nobody has answered within the time until now.
+// isUnanswered reports whether the last refresh failed, and did so within the duration before now.
 func (a *copyAge) isUnanswered(now int64, within time.Duration) bool {
 	at := a.unansweredAt.Load()
 	return at > 0 && now-at <= within.Milliseconds()
 }
 
-// noteProven notes that the copy held everything at the time.
-func (a *copyAge) noteProven(at int64) {
+// recordConfirmed records that the copy was complete at the time.
+func (a *copyAge) recordConfirmed(at int64) {
 	for {
-		known := a.provenAt.Load()
-		if at <= known || a.provenAt.CompareAndSwap(known, at) {
+		known := a.confirmedAt.Load()
+		if at <= known || a.confirmedAt.CompareAndSwap(known, at) {
 			return
 		}
 	}
 }
 
-// noteQuestionUnanswered notes that nobody has answered.
-func (a *copyAge) noteQuestionUnanswered(now int64) { a.unansweredAt.Store(now) }
+// recordUnanswered records a failed refresh.
+func (a *copyAge) recordUnanswered(now int64) { a.unansweredAt.Store(now) }
 
-// noteQuestionAnswered notes that a question which began at the time has been answered.
-func (a *copyAge) noteQuestionAnswered(began int64) {
+// recordAnswered records the success of a refresh that started at the time.
+func (a *copyAge) recordAnswered(startedAt int64) {
 	a.unansweredAt.Store(0)
-	a.noteProven(began)
+	a.recordConfirmed(startedAt)
 }
 
-// lineProof is how old a replica's proof may be when it sends a line: see evidenceLimit.
-const lineProof = evidenceLimit + evidenceTick
+// maxLineAge is the maximum age of a replica's confirmation when it sends a watch line; see evidenceLimit.
+const maxLineAge = evidenceLimit + evidenceTick
 
-// watchProof tells what the lines of a replica's watches prove. A line may be read long after
-// it was sent, by a process that stood still; but a replica sends the line of a number no earlier
-// than that many intervals after it was asked. Times are in milliseconds.
-type watchProof struct {
+// watchTracker computes how recent a replica's state is from the lines of its watches. A stalled process may
+// read lines long after they were sent, so the tracker uses the earliest time at which the replica can have
+// sent a line: one interval per line after the watch was requested. Times are in milliseconds.
+type watchTracker struct {
 	address string
-	// from is when the replica had begun to prove what it says: it holds watches for a short
-	// time without a proof. 0 until it has said anything.
-	from int64
-	// askedAt is when the watch was asked for, lines counts its lines, and sentAt is a time at
-	// which the newest line of any watch was not sent yet.
-	askedAt, lines, sentAt int64
+	// confirmingSince is when the replica was first heard. It may hold watches for a short time before its
+	// state is confirmed. 0 if it was not heard yet.
+	confirmingSince int64
+	// requestedAt is when the watch was requested, lines counts its lines, and sentAfter is a time
+	// before the latest line of any watch was sent.
+	requestedAt, lines, sentAfter int64
 }
 
-// begin notes that a watch is asked for.
-func (f *watchProof) begin(now int64, address string) {
-	if f.address != address {
-		*f = watchProof{address: address}
+// start records that a watch is requested.
+func (t *watchTracker) start(now int64, address string) {
+	if t.address != address {
+		*t = watchTracker{address: address}
 	}
-	f.askedAt, f.lines = now, 0
+	t.requestedAt, t.lines = now, 0
 }
 
-// end forgets a replica that is left.
-func (f *watchProof) end() { *f = watchProof{} }
-
-// noteLine takes in a line that was read, and returns the time at which the replica is known to
-// have held everything that it has told of, if the line proves that.
-func (f *watchProof) noteLine(now int64) (provenAt int64, proves bool) {
-	f.noteHeard(now)
-	f.sentAt = f.askedAt + f.lines*watchLineInterval.Milliseconds()
-	f.lines++
-	if f.lines == 1 {
-		// The first line says only that the watch has come.
+// reset discards the state when the watcher leaves the replica.
+func (t *watchTracker) reset() { *t = watchTracker{} }
+
+// recordLine records that a line was read. If the line confirms that the replica's state was complete at
+// some time, it returns that time and true.
+func (t *watchTracker) recordLine(now int64) (confirmedAt int64, ok bool) {
+	t.recordReceived(now)
+	t.sentAfter = t.requestedAt + t.lines*watchLineInterval.Milliseconds()
+	t.lines++
+	if t.lines == 1 {
+		// The first line only shows that the watch has started.
 		return 0, false
 	}
-	return f.sentAt - lineProof.Milliseconds(), f.sentAt-f.from >= lineProof.Milliseconds()
+	return t.sentAfter - maxLineAge.Milliseconds(), t.sentAfter-t.confirmingSince >= maxLineAge.Milliseconds()
 }
 
-// noteHeard takes in that the replica has said anything. One that nobody watched for a while
-// begins anew to prove what it says.
-func (f *watchProof) noteHeard(now int64) {
-	if f.lines == 0 && (f.from == 0 || now-f.sentAt > evidenceLinger.Milliseconds()) {
-		f.from = now
+// recordReceived records that data arrived from the replica. After a time without watches, the replica
+// has to confirm its state anew.
+func (t *watchTracker) recordReceived(now int64) {
+	if t.lines == 0 && (t.confirmingSince == 0 || now-t.sentAfter > evidenceLinger.Milliseconds()) {
+		t.confirmingSince = now
 	}
 }
--- a/server/copy_age_test.go
+++ b/server/copy_age_test.go
@@ -14,34 +14,34 @@
 // after that, and acted on again where nobody has answered just now.
 func TestCopyAge(t *testing.T) {
 	const start = int64(1_000_000)
-	most := (testCopyLimit - sendMargin).Milliseconds()
-	early := most - askAhead.Milliseconds()
-	for name, one := range map[string]struct {
+	maxAge := (testCopyLimit - sendMargin).Milliseconds()
+	freshAge := maxAge - refreshAhead.Milliseconds()
+	for name, test := range map[string]struct {
 		age int64
 		// unanswered is how long ago a question was in vain, -1 for never.
 		unanswered int64
 		state      copyState
 		mayAsk     bool
 	}{
-		"fresh":                       {early, -1, copyFresh, true},
-		"aging":                       {early + 1, -1, copyAging, true},
-		"aging and nobody answers":    {most, 0, copyAging, false},
-		"too old":                     {most + 1, -1, copyTooOld, true},
-		"nobody answers":              {most + 1, 0, copyOutOfTouch, false},
-		"nobody answered lately":      {most + 1, unansweredPause.Milliseconds() + 1, copyOutOfTouch, true},
-		"nobody answered a while ago": {most + 1, unansweredLife.Milliseconds() + 1, copyTooOld, true},
+		"fresh":                       {freshAge, -1, copyFresh, true},
+		"aging":                       {freshAge + 1, -1, copyAging, true},
+		"aging and nobody answers":    {maxAge, 0, copyAging, false},
+		"too old":                     {maxAge + 1, -1, copyStale, true},
+		"nobody answers":              {maxAge + 1, 0, copyUnreachable, false},
+		"nobody answered lately":      {maxAge + 1, refreshBackoff.Milliseconds() + 1, copyUnreachable, true},
+		"nobody answered a while ago": {maxAge + 1, unansweredTTL.Milliseconds() + 1, copyStale, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			age := copyAge{limit: testCopyLimit}
-			age.noteProven(start)
-			now := start + one.age
-			if one.unanswered >= 0 {
-				age.noteQuestionUnanswered(now - one.unanswered)
+			age.recordConfirmed(start)
+			now := start + test.age
+			if test.unanswered >= 0 {
+				age.recordUnanswered(now - test.unanswered)
 			}
-			require.Equal(t, one.state, age.state(now), age.state(now).String())
-			require.Equal(t, one.mayAsk, age.mayAsk(now))
-			age.noteQuestionAnswered(now)
-			age.noteProven(start)
+			require.Equal(t, test.state, age.state(now), age.state(now).String())
+			require.Equal(t, test.mayAsk, age.mayRefresh(now))
+			age.recordAnswered(now)
+			age.recordConfirmed(start)
 			require.Equal(t, copyFresh, age.state(now), "what was proven stays")
 		})
 	}
@@ -50,41 +50,41 @@
 }
 
 // watched plays a watch whose lines are read at the times, and returns what the last one proves.
-func watched(followed *watchProof, askedAt int64, readAt ...int64) (provenAt int64, proves bool) {
-	followed.begin(askedAt, "replica")
+func trackWatch(tracker *watchTracker, requestedAt int64, readAt ...int64) (confirmedAt int64, ok bool) {
+	tracker.start(requestedAt, "replica")
 	for _, at := range readAt {
-		provenAt, proves = followed.noteLine(at)
+		confirmedAt, ok = tracker.recordLine(at)
 	}
-	return provenAt, proves
+	return confirmedAt, ok
 }
 
 // TestLinesProve: the lines of a replica that is followed for a while say what it held when they
 // were sent at the earliest, however late they are read.
-func TestLinesProve(t *testing.T) {
+func TestWatchLinesConfirmCopy(t *testing.T) {
 	const start = int64(1_000_000)
-	line, proof := watchLineInterval.Milliseconds(), lineProof.Milliseconds()
-	var followed watchProof
-	_, proves := watched(&followed, start, start)
-	require.False(t, proves, "a first line")
-	_, proves = watched(&followed, start, start, start+line, start+2*line)
-	require.False(t, proves, "a replica holds watches for a while without a proof")
-	at, proves := watched(&followed, start, start, start+line, start+2*line, start+3*line)
-	require.True(t, proves)
-	require.Equal(t, start+3*line-proof, at)
+	line, delay := watchLineInterval.Milliseconds(), maxLineAge.Milliseconds()
+	var tracker watchTracker
+	_, ok := trackWatch(&tracker, start, start)
+	require.False(t, ok, "a first line")
+	_, ok = trackWatch(&tracker, start, start, start+line, start+2*line)
+	require.False(t, ok, "a replica holds watches for a while without a proof")
+	confirmedAt, ok := trackWatch(&tracker, start, start, start+line, start+2*line, start+3*line)
+	require.True(t, ok)
+	require.Equal(t, start+3*line-delay, confirmedAt)
 
 	next := start + 10*line
-	at, proves = watched(&followed, next, next, next+line)
-	require.True(t, proves, "its next watch goes on where the last was")
-	require.Equal(t, next+line-proof, at)
+	confirmedAt, ok = trackWatch(&tracker, next, next, next+line)
+	require.True(t, ok, "its next watch goes on where the last was")
+	require.Equal(t, next+line-delay, confirmedAt)
 
-	woken := next + time.Hour.Milliseconds()
-	at, _ = watched(&followed, next, next, woken, woken, woken)
-	require.Equal(t, next+3*line-proof, at, "lines that were read late")
+	resumed := next + time.Hour.Milliseconds()
+	confirmedAt, _ = trackWatch(&tracker, next, next, resumed, resumed, resumed)
+	require.Equal(t, next+3*line-delay, confirmedAt, "lines that were read late")
 
-	_, proves = watched(&followed, woken, woken, woken+line)
-	require.False(t, proves, "nobody may have watched it meanwhile")
+	_, ok = trackWatch(&tracker, resumed, resumed, resumed+line)
+	require.False(t, ok, "nobody may have watched it meanwhile")
 
-	followed.end()
-	_, proves = watched(&followed, woken, woken, woken+line)
-	require.False(t, proves, "a replica that was left")
+	tracker.reset()
+	_, ok = trackWatch(&tracker, resumed, resumed, resumed+line)
+	require.False(t, ok, "a replica that was left")
 }
--- a/server/renewal_test.go
+++ b/server/copy_refresh_test.go
@@ -25,17 +25,17 @@
 )
 
 // standingDirectory is a directory whose watches stand still: they say nothing. It answers calls.
-type standingDirectory struct {
-	address string
-	mutex   sync.Mutex
-	machine *directory.Machine
-	asked   atomic.Int64
+type stalledDirectory struct {
+	address      string
+	mutex        sync.Mutex
+	machine      *directory.Machine
+	refreshCalls atomic.Int64
 	// answers, if it is set, holds answers back until it is closed.
-	answers chan struct{}
+	releaseAnswers chan struct{}
 }
 
-func newStandingDirectory(t *testing.T, kind routing.Kind, backends ...directory.Backend) *standingDirectory {
-	d := &standingDirectory{machine: directory.NewMachine()}
+func newStalledDirectory(t *testing.T, kind routing.Kind, backends ...directory.Backend) *stalledDirectory {
+	d := &stalledDirectory{machine: directory.NewMachine()}
 	d.apply(directory.Command{PutConfiguration: &directory.PutConfiguration{Configuration: routing.Configuration{
 		Version: 1, Services: []routing.Service{{Name: "s"}},
 		Routes: []routing.Route{{
@@ -46,7 +46,7 @@
 	for _, backend := range backends {
 		d.apply(directory.Command{PutBackend: &backend})
 	}
-	served := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		var call directoryCall
 		if request.URL.Path == directoryCallPath && readCBOR(response, request, &call) {
 			d.answer(response, call)
@@ -54,25 +54,25 @@
 		}
 		<-request.Context().Done()
 	}))
-	t.Cleanup(served.Close)
-	d.address = strings.TrimPrefix(served.URL, "http://")
+	t.Cleanup(server.Close)
+	d.address = strings.TrimPrefix(server.URL, "http://")
 	return d
 }
 
-func (d *standingDirectory) apply(command directory.Command) {
+func (d *stalledDirectory) apply(command directory.Command) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.machine.Apply(command.Encode())
 }
 
-func (d *standingDirectory) answer(response http.ResponseWriter, call directoryCall) {
+func (d *stalledDirectory) answer(response http.ResponseWriter, call directoryCall) {
 	if call.Missed == nil {
 		http.Error(response, "not asked for here", http.StatusServiceUnavailable)
 		return
 	}
-	d.asked.Add(1)
-	if d.answers != nil {
-		<-d.answers
+	d.refreshCalls.Add(1)
+	if d.releaseAnswers != nil {
+		<-d.releaseAnswers
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -81,57 +81,57 @@
 }
 
 // drain has the directory acknowledge that the backend leaves.
-func (d *standingDirectory) drain(backend directory.Backend) {
+func (d *stalledDirectory) drain(backend directory.Backend) {
 	backend.Draining = true
 	d.apply(directory.Command{PutBackend: &backend})
 }
 
 // tellAll has the watcher hold all of the directory, proven now.
-func (d *standingDirectory) tellAll(w *Watcher) {
+func (d *stalledDirectory) sync(w *Watcher) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	w.take(w.Catalog(), d.machine.DeltaFor(directory.Watch{Scope: w.scope()}))
-	w.age.noteProven(nowMillis())
+	w.age.recordConfirmed(nowMillis())
 }
 
-func leaving(id string) directory.Backend {
+func testBackend(id string) directory.Backend {
 	return directory.Backend{ID: id, Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", id[0]), Zone: "z", Slots: 1, Models: []directory.ModelVersion{{Model: "m", Version: 1}}}
 }
 
 // sentBackends is a client that notes to which backends was sent.
-type sentBackends struct {
+type recordingClient struct {
 	mutex sync.Mutex
 	ids   []string
 	// during is called with the number of the send while it is under way.
-	during  func(number int)
+	onSend  func(number int)
 	outcome forward.Outcome
 }
 
-func (s *sentBackends) Send(_ context.Context, backend directory.Backend, _ *forward.Request) forward.Attempt {
+func (s *recordingClient) Send(_ context.Context, backend directory.Backend, _ *forward.Request) forward.Attempt {
 	s.mutex.Lock()
 	s.ids = append(s.ids, backend.ID)
 	number := len(s.ids)
 	s.mutex.Unlock()
-	if s.during != nil {
-		s.during(number)
+	if s.onSend != nil {
+		s.onSend(number)
 	}
 	return forward.Attempt{Outcome: s.outcome, Response: forward.Response{Status: http.StatusOK}}
 }
 
 // standingGateway returns a gateway whose watch stands still after it has told all.
-func standingGateway(t *testing.T, d *standingDirectory, client forward.Client, seeds ...string) *Gateway {
+func newStalledGateway(t *testing.T, d *stalledDirectory, client forward.Client, seeds ...string) *Gateway {
 	gateway := newTestGateway(clock.Now())
 	w := newTestWatcher(t, seeds...)
 	w.scope = func() directory.Scope { return directory.ScopeForwarded }
 	w.age.limit = testCopyLimit
 	gateway.watcher = w
-	gateway.forwarder = forward.New(newCurrentClient(client, w), "z", newGuard(w))
-	d.tellAll(w)
+	gateway.forwarder = forward.New(newFreshClient(client, w), "z", newGuard(w))
+	d.sync(w)
 	return gateway
 }
 
 // pass has the gateway match and pass on a request.
-func pass(t *testing.T, gateway *Gateway) forward.Result {
+func forwardRequest(t *testing.T, gateway *Gateway) forward.Result {
 	route, catalog, err := gateway.Match(t.Context(), "h", "/")
 	require.NoError(t, err)
 	return gateway.Forward(t.Context(), catalog, route, &forward.Request{Method: http.MethodPost, Host: "h", Target: "/", Header: http.Header{}})
@@ -139,25 +139,25 @@
 
 // TestGatewayAsksBeforeItSendsByAnOldCopy: a gateway whose watch stands still sends nothing to a
 // backend whose leaving was acknowledged longer ago than the limit, while any replica answers.
-func TestGatewayAsksBeforeItSendsByAnOldCopy(t *testing.T) {
+func TestGatewayRefreshesStaleCopyBeforeSending(t *testing.T) {
 	for name, kind := range map[string]routing.Kind{"repeatable": routing.Repeatable, "once only": routing.Unrepeatable} {
 		t.Run(name, func(t *testing.T) {
 			source := &clock.Suspendable{}
 			defer clock.Use(source)()
-			d := newStandingDirectory(t, kind, leaving("a"), leaving("b"))
-			dark, _ := darkReplica(t)
-			client := &sentBackends{outcome: forward.Answered}
-			gateway := standingGateway(t, d, client, dark, d.address)
-			d.drain(leaving("a"))
+			d := newStalledDirectory(t, kind, testBackend("a"), testBackend("b"))
+			unresponsive, _ := darkReplica(t)
+			client := &recordingClient{outcome: forward.Answered}
+			gateway := newStalledGateway(t, d, client, unresponsive, d.address)
+			d.drain(testBackend("a"))
 			source.Suspend(testCopyLimit)
 			for range 20 {
-				require.NotNil(t, pass(t, gateway).Response)
+				require.NotNil(t, forwardRequest(t, gateway).Response)
 			}
 			require.NotContains(t, client.ids, "a")
-			require.Equal(t, int64(1), d.asked.Load(), "the answer holds until the copy is old again")
-			d.drain(leaving("b"))
+			require.Equal(t, int64(1), d.refreshCalls.Load(), "the answer holds until the copy is old again")
+			d.drain(testBackend("b"))
 			source.Suspend(testCopyLimit)
-			require.Equal(t, forward.NoBackend, pass(t, gateway).Reason)
+			require.Equal(t, forward.NoBackend, forwardRequest(t, gateway).Reason)
 			require.Len(t, client.ids, 20)
 		})
 	}
@@ -165,77 +165,77 @@
 
 // TestRepeatedSendGoesByTheNewestCopy: a request is not sent again to a backend that has left since
 // the request came.
-func TestRepeatedSendGoesByTheNewestCopy(t *testing.T) {
-	d := newStandingDirectory(t, routing.Repeatable, leaving("a"), leaving("b"))
-	client := &sentBackends{outcome: forward.Refused}
-	gateway := standingGateway(t, d, client, d.address)
-	client.during = func(int) {
-		d.drain(leaving("a"))
-		d.drain(leaving("b"))
-		d.tellAll(gateway.watcher)
+func TestRetryUsesNewestCopy(t *testing.T) {
+	d := newStalledDirectory(t, routing.Repeatable, testBackend("a"), testBackend("b"))
+	client := &recordingClient{outcome: forward.Refused}
+	gateway := newStalledGateway(t, d, client, d.address)
+	client.onSend = func(int) {
+		d.drain(testBackend("a"))
+		d.drain(testBackend("b"))
+		d.sync(gateway.watcher)
 	}
-	require.Nil(t, pass(t, gateway).Response)
+	require.Nil(t, forwardRequest(t, gateway).Response)
 	require.Len(t, client.ids, 1)
 }
 
 // TestFreshCopyAsksNothing: nobody is asked while the copy is fresh.
-func TestFreshCopyAsksNothing(t *testing.T) {
-	d := newStandingDirectory(t, routing.Repeatable, leaving("a"))
-	client := &sentBackends{outcome: forward.Answered}
-	gateway := standingGateway(t, d, client, d.address)
+func TestFreshCopyIsNotRefreshed(t *testing.T) {
+	d := newStalledDirectory(t, routing.Repeatable, testBackend("a"))
+	client := &recordingClient{outcome: forward.Answered}
+	gateway := newStalledGateway(t, d, client, d.address)
 	gateway.watcher.age.limit = time.Hour
 	for range 20 {
-		require.NotNil(t, pass(t, gateway).Response)
+		require.NotNil(t, forwardRequest(t, gateway).Response)
 	}
-	require.Zero(t, d.asked.Load())
+	require.Zero(t, d.refreshCalls.Load())
 }
 
 // TestOneQuestionServesAllRequests: all requests that wait for the copy share one question.
-func TestOneQuestionServesAllRequests(t *testing.T) {
+func TestConcurrentRequestsShareRefresh(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
-	d := newStandingDirectory(t, routing.Repeatable, leaving("a"))
-	d.answers = make(chan struct{})
-	client := &sentBackends{outcome: forward.Answered}
-	gateway := standingGateway(t, d, client, d.address)
+	d := newStalledDirectory(t, routing.Repeatable, testBackend("a"))
+	d.releaseAnswers = make(chan struct{})
+	client := &recordingClient{outcome: forward.Answered}
+	gateway := newStalledGateway(t, d, client, d.address)
 	source.Suspend(testCopyLimit)
-	first := gateway.watcher.ask()
+	first := gateway.watcher.startRefresh()
 	var waiting sync.WaitGroup
 	for range 20 {
-		waiting.Go(func() { require.Same(t, first, gateway.watcher.ask()) })
+		waiting.Go(func() { require.Same(t, first, gateway.watcher.startRefresh()) })
 	}
 	waiting.Wait()
-	close(d.answers)
+	close(d.releaseAnswers)
 	<-first.done
-	require.Equal(t, int64(1), d.asked.Load())
+	require.Equal(t, int64(1), d.refreshCalls.Load())
 }
 
 // TestCutOffGatewayServesWhatMayBeRepeated: a gateway that reaches no replica serves by the newest
 // copy that it has, but for requests that must run at most once: they are refused as not run.
-func TestCutOffGatewayServesWhatMayBeRepeated(t *testing.T) {
-	for name, one := range map[string]struct {
+func TestUnreachableDirectoryRefusesUnrepeatable(t *testing.T) {
+	for name, test := range map[string]struct {
 		kind   routing.Kind
 		served bool
 	}{"repeatable": {routing.Repeatable, true}, "once only": {routing.Unrepeatable, false}} {
 		t.Run(name, func(t *testing.T) {
 			source := &clock.Suspendable{}
 			defer clock.Use(source)()
-			d := newStandingDirectory(t, one.kind, leaving("a"))
-			dark, _ := darkReplica(t)
-			client := &sentBackends{outcome: forward.Answered}
-			gateway := standingGateway(t, d, client, dark)
+			d := newStalledDirectory(t, test.kind, testBackend("a"))
+			unresponsive, _ := darkReplica(t)
+			client := &recordingClient{outcome: forward.Answered}
+			gateway := newStalledGateway(t, d, client, unresponsive)
 			for range 3 {
 				source.Suspend(testCopyLimit)
-				result := pass(t, gateway)
-				require.False(t, result.MayHaveRun && !one.served)
-				<-gateway.watcher.ask().done
-				if one.served {
+				result := forwardRequest(t, gateway)
+				require.False(t, result.MayHaveRun && !test.served)
+				<-gateway.watcher.startRefresh().done
+				if test.served {
 					require.NotNil(t, result.Response)
 				} else {
-					require.Equal(t, outOfTouch, result.Reason)
+					require.Equal(t, directoryUnreachable, result.Reason)
 				}
 			}
-			if !one.served {
+			if !test.served {
 				require.Empty(t, client.ids)
 			}
 			require.Positive(t, gateway.watcher.questionsInVain.Load())
@@ -245,36 +245,36 @@
 
 // TestWatchAnswerFromBeforeIsDropped: what a watch brings that began before a question's answer
 // does not undo it.
-func TestWatchAnswerFromBeforeIsDropped(t *testing.T) {
-	d := newStandingDirectory(t, routing.Repeatable, leaving("a"))
+func TestOutdatedWatchAnswerIsDropped(t *testing.T) {
+	d := newStalledDirectory(t, routing.Repeatable, testBackend("a"))
 	w := newTestWatcher(t, d.address)
-	d.tellAll(w)
+	d.sync(w)
 	before, late := w.Catalog(), d.machine.DeltaSince(w.Catalog().Revision)
-	d.drain(leaving("a"))
-	require.NoError(t, w.renew(t.Context()))
-	renewed := w.Catalog()
+	d.drain(testBackend("a"))
+	require.NoError(t, w.refreshCopy(t.Context()))
+	refreshed := w.Catalog()
 	require.False(t, w.take(before, late))
-	require.Same(t, renewed, w.Catalog())
-	known, _ := renewed.Backend("a")
+	require.Same(t, refreshed, w.Catalog())
+	known, _ := refreshed.Backend("a")
 	require.True(t, known.Draining)
 }
 
 // countedRuns is an engine client that notes on which engines runs have begun.
-type countedRuns struct{ began chan string }
+type recordingEngine struct{ started chan string }
 
-func (c countedRuns) Run(_ context.Context, request runner.Request, _ func(runner.Event)) scheduler.RunEnd {
-	c.began <- request.Backend.ID
+func (c recordingEngine) Run(_ context.Context, request runner.Request, _ func(runner.Event)) scheduler.RunEnd {
+	c.started <- request.Backend.ID
 	return scheduler.Rejected
 }
 
 // standingTenure returns a leadership with a step to run and an open link to a runner, whose watch
 // stands still after it has told all.
-func standingTenure(t *testing.T, d *standingDirectory, runs countedRuns, seeds ...string) *tenure {
+func newStalledTenure(t *testing.T, d *stalledDirectory, runs recordingEngine, seeds ...string) *tenure {
 	logger := zerolog.Nop()
 	w := newTestWatcher(t, seeds...)
 	w.age.limit = testCopyLimit
-	d.tellAll(w)
-	held := httptest.NewServer(runner.NewServer(runs, &logger))
+	d.sync(w)
+	runnerServer := httptest.NewServer(runner.NewServer(runs, &logger))
 	ctx, stop := context.WithCancel(context.Background())
 	executor := &Executor{watcher: w, guard: newGuard(w), metrics: newLedgerMetrics(), logger: &logger}
 	tenured := &tenure{
@@ -285,12 +285,12 @@
 	}
 	t.Cleanup(func() {
 		stop()
-		held.CloseClientConnections()
-		held.Close()
+		runnerServer.CloseClientConnections()
+		runnerServer.Close()
 	})
-	tenured.runners.SetStores([]runner.Store{{Name: "store", Address: strings.TrimPrefix(held.URL, "http://")}})
+	tenured.runners.SetStores([]runner.Store{{Name: "store", Address: strings.TrimPrefix(runnerServer.URL, "http://")}})
 	require.Eventually(t, tenured.runners.Ready, watchSoon, watchInterval)
-	tenured.scheduler.SyncEngines(nowMillis(), []directory.Backend{leaving("a")}, map[string]uint64{"m": 1})
+	tenured.scheduler.SyncEngines(nowMillis(), []directory.Backend{testBackend("a")}, map[string]uint64{"m": 1})
 	tenured.scheduler.AddStep(&ledger.Entry{Step: &ledger.Step{
 		ID: "step", Host: "h", Model: "m", OldestVersion: 1, Wanted: 1, Attempts: 1,
 		DueAt: nowMillis() + time.Hour.Milliseconds(), GiveUpAt: nowMillis() + 2*time.Hour.Milliseconds(),
@@ -300,7 +300,7 @@
 }
 
 // flush has the leadership look for what may begin, with a state that is fresh but for its copy.
-func flushed(t *testing.T, tenured *tenure) {
+func flush(t *testing.T, tenured *tenure) {
 	tenured.fresh.confirmedAt.Store(nowMillis())
 	tenured.ordersAt = time.Now()
 	require.NoError(t, tenured.flush())
@@ -308,42 +308,42 @@
 
 // TestRunnerBeginsNothingByAnOldCopy: a leader whose watch stands still has no run begin on an engine
 // whose leaving was acknowledged longer ago than the limit.
-func TestRunnerBeginsNothingByAnOldCopy(t *testing.T) {
+func TestStaleCopyStartsNoRuns(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
-	d := newStandingDirectory(t, routing.Rollout, leaving("a"))
-	runs := countedRuns{began: make(chan string, 1)}
-	tenured := standingTenure(t, d, runs, d.address)
-	d.drain(leaving("a"))
+	d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
+	runs := recordingEngine{started: make(chan string, 1)}
+	tenured := newStalledTenure(t, d, runs, d.address)
+	d.drain(testBackend("a"))
 	source.Suspend(testCopyLimit)
-	flushed(t, tenured)
+	flush(t, tenured)
 	require.NotNil(t, tenured.awaited)
 	<-tenured.awaited.done
-	flushed(t, tenured)
+	flush(t, tenured)
 	require.Empty(t, tenured.cancels, "what the answer has brought is taken in first")
 	known, _ := tenured.watcher.Catalog().Backend("a")
 	require.True(t, known.Draining)
-	require.Empty(t, runs.began)
+	require.Empty(t, runs.started)
 }
 
 // TestRunnerBeginsByAFreshCopy: a leader has runs begin while its copy is fresh, and after a question
 // that has brought nothing new.
-func TestRunnerBeginsByAFreshCopy(t *testing.T) {
+func TestFreshCopyStartsRuns(t *testing.T) {
 	for name, suspended := range map[string]time.Duration{"fresh": 0, "asked for": testCopyLimit} {
 		t.Run(name, func(t *testing.T) {
 			source := &clock.Suspendable{}
 			defer clock.Use(source)()
-			d := newStandingDirectory(t, routing.Rollout, leaving("a"))
-			runs := countedRuns{began: make(chan string, 1)}
-			tenured := standingTenure(t, d, runs, d.address)
+			d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
+			runs := recordingEngine{started: make(chan string, 1)}
+			tenured := newStalledTenure(t, d, runs, d.address)
 			source.Suspend(suspended)
 			require.Eventually(t, func() bool {
-				flushed(t, tenured)
+				flush(t, tenured)
 				return len(tenured.cancels) == 1
 			}, watchSoon, watchInterval)
 			if suspended == 0 {
 				// A runner that woke as well takes in no start from before.
-				require.Equal(t, "a", <-runs.began)
+				require.Equal(t, "a", <-runs.started)
 			}
 		})
 	}
@@ -351,16 +351,16 @@
 
 // TestCutOffLeaderGoesOn: a leader that reaches no replica of the directory has runs begin by the
 // newest copy that it has.
-func TestCutOffLeaderGoesOn(t *testing.T) {
+func TestUnreachableDirectoryStartsRuns(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
-	d := newStandingDirectory(t, routing.Rollout, leaving("a"))
-	dark, _ := darkReplica(t)
-	runs := countedRuns{began: make(chan string, 1)}
-	tenured := standingTenure(t, d, runs, dark)
+	d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
+	unresponsive, _ := darkReplica(t)
+	runs := recordingEngine{started: make(chan string, 1)}
+	tenured := newStalledTenure(t, d, runs, unresponsive)
 	source.Suspend(testCopyLimit)
 	require.Eventually(t, func() bool {
-		flushed(t, tenured)
+		flush(t, tenured)
 		return len(tenured.cancels) == 1
 	}, watchSoon, watchInterval)
 	require.Positive(t, tenured.watcher.questionsInVain.Load())
@@ -368,19 +368,19 @@
 
 // TestAnyReplicaTellsWhatACopyMisses: a question reaches the directory's leader through whichever
 // replica is known, and brings what has changed.
-func TestAnyReplicaTellsWhatACopyMisses(t *testing.T) {
+func TestRefreshThroughAnyReplica(t *testing.T) {
 	replicas := startFleetDirectory(t)
-	backend := leaving("a")
-	registered := func() bool {
+	backend := testBackend("a")
+	register := func() bool {
 		_, err := replicas[0].Heartbeat(t.Context(), Heartbeat{Backend: backend, Sequence: 1})
 		return err == nil
 	}
-	require.Eventually(t, registered, watchSoon, watchInterval)
+	require.Eventually(t, register, watchSoon, watchInterval)
 	var watchers []*Watcher
 	holds := func(w *Watcher, draining bool) func() bool {
 		return func() bool {
 			known, ok := w.Catalog().Backend("a")
-			return w.renew(t.Context()) == nil && ok && known.Draining == draining
+			return w.refreshCopy(t.Context()) == nil && ok && known.Draining == draining
 		}
 	}
 	for _, replica := range replicas {
@@ -389,13 +389,13 @@
 		require.Eventually(t, holds(w, false), watchSoon, watchInterval)
 	}
 	backend.Draining = true
-	drained := func() bool {
+	drain := func() bool {
 		_, err := replicas[0].Heartbeat(t.Context(), Heartbeat{Backend: backend, Sequence: 2})
 		return err == nil
 	}
-	require.Eventually(t, drained, watchSoon, watchInterval)
+	require.Eventually(t, drain, watchSoon, watchInterval)
 	for _, w := range watchers {
-		require.Eventually(t, func() bool { return w.renew(t.Context()) == nil }, watchSoon, watchInterval)
+		require.Eventually(t, func() bool { return w.refreshCopy(t.Context()) == nil }, watchSoon, watchInterval)
 		known, _ := w.Catalog().Backend("a")
 		require.True(t, known.Draining, "one answer brings it")
 	}
@@ -405,38 +405,38 @@
 	var w Watcher
 	w.catalog.Store(directory.NewCatalog())
 	w.age.limit = time.Hour
-	w.age.noteProven(nowMillis())
+	w.age.recordConfirmed(nowMillis())
 	for b.Loop() {
-		w.awaitCurrent(b.Context(), questionTimeout)
+		w.awaitFreshCopy(b.Context(), refreshTimeout)
 	}
 }
 
 // TestAnswersOfWatchesProve: where changes come without a pause, a watch has no lines that prove
 // anything. A replica that is known to hold everything says so with its answers, at once or after
 // a line, and the copy does not grow old.
-func TestAnswersOfWatchesProve(t *testing.T) {
+func TestWatchAnswersConfirmCopy(t *testing.T) {
 	for _, held := range []bool{false, true} {
 		for _, proved := range []bool{false, true} {
 			t.Run(fmt.Sprintf("held %v, proved %v", held, proved), func(t *testing.T) {
-				served := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
+				server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
 					answer := &watchAnswer{response: response, members: "m", isProved: func() bool { return proved }}
 					if held {
 						answer.hold()
 					}
 					answer.give(directory.Delta{Revision: 8, Version: 3})
 				}))
-				t.Cleanup(served.Close)
+				t.Cleanup(server.Close)
 				w := newTestWatcher(t)
 				w.take(w.Catalog(), directory.Delta{Revision: 7, Full: true, Version: 3})
 				before := nowMillis()
-				require.NoError(t, w.poll(t.Context(), strings.TrimPrefix(served.URL, "http://"), time.Hour))
+				require.NoError(t, w.poll(t.Context(), strings.TrimPrefix(server.URL, "http://"), time.Hour))
 				require.Equal(t, uint64(8), w.Catalog().Revision)
 				if !proved {
-					require.Zero(t, w.age.provenAt.Load())
+					require.Zero(t, w.age.confirmedAt.Load())
 					return
 				}
-				require.GreaterOrEqual(t, w.age.provenAt.Load(), before-lineProof.Milliseconds())
-				require.LessOrEqual(t, w.age.provenAt.Load(), nowMillis()-lineProof.Milliseconds())
+				require.GreaterOrEqual(t, w.age.confirmedAt.Load(), before-maxLineAge.Milliseconds())
+				require.LessOrEqual(t, w.age.confirmedAt.Load(), nowMillis()-maxLineAge.Milliseconds())
 			})
 		}
 	}
@@ -444,16 +444,16 @@
 
 // TestLeaderOfAnEarlierBuildProvesTheCopy: such a leader answers a question with the confirmed
 // revision alone. A copy that has reached it holds everything; of one that has not, nothing is known.
-func TestLeaderOfAnEarlierBuildProvesTheCopy(t *testing.T) {
-	for newer, want := range map[uint64]copyState{0: copyFresh, 1: copyOutOfTouch} {
-		served := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
+func TestRefreshFromEarlierBuild(t *testing.T) {
+	for newer, want := range map[uint64]copyState{0: copyFresh, 1: copyUnreachable} {
+		server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
 			writeCBOR(response, directoryAnswer{Revision: 7 + newer})
 		}))
-		t.Cleanup(served.Close)
-		w := newTestWatcher(t, strings.TrimPrefix(served.URL, "http://"))
+		t.Cleanup(server.Close)
+		w := newTestWatcher(t, strings.TrimPrefix(server.URL, "http://"))
 		w.age.limit = testCopyLimit
 		w.take(w.Catalog(), directory.Delta{Revision: 7, Full: true, Version: 3})
-		require.Equal(t, want, w.awaitCurrent(t.Context(), time.Hour))
+		require.Equal(t, want, w.awaitFreshCopy(t.Context(), time.Hour))
 		require.Equal(t, uint64(7), w.Catalog().Revision)
 		require.Equal(t, uint64(3), w.Catalog().Version)
 	}
--- a/server/demand_test.go
+++ b/server/demand_test.go
@@ -16,8 +16,8 @@
 // TestDemandAsksForNoTrial: a sample that is held back needs no engine, one that runs does, and to
 // count them asks for no trial, which the next send of the kind needs.
 func TestDemandAsksForNoTrial(t *testing.T) {
-	d := newStandingDirectory(t, routing.Rollout, leaving("a"))
-	tenured := standingTenure(t, d, countedRuns{began: make(chan string, 1)}, d.address)
+	d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
+	tenured := newStalledTenure(t, d, recordingEngine{started: make(chan string, 1)}, d.address)
 	sample := &ledger.Sample{ID: "x", Path: "/"}
 	task := &scheduler.Task{Step: &ledger.Step{ID: "step", Host: "h"}, Sample: sample}
 	content := scheduler.SubjectOf("h", "", sample).Content
--- a/server/directory.go
+++ b/server/directory.go
@@ -92,12 +92,12 @@
 	usage         *usageKeeper
 	duties        *dutyKeeper
 	versions      *versionKeeper
-	returning     *returning
+	returning     *returnTracker
 	scale         *scaleKeeper
-	standstill    standstill
-	spoiled       spoiledLog
+	standstill    stallDetector
+	spoiled       invalidHeartbeatLog
 	// suspects belongs to the review.
-	suspects suspectClock
+	suspects suspectTracker
 	// clockTold is when the leader was last told of this machine's clock. It belongs to
 	// the review.
 	clockTold time.Time
@@ -134,7 +134,7 @@
 		metrics: d.metrics, logger: logger,
 	}
 	d.versions = newVersionKeeper(settings.InternalAddress, opened, machine, logger)
-	d.returning = newReturning()
+	d.returning = newReturnTracker()
 	d.scale = &scaleKeeper{settings: settings, duties: d.duties, client: client, metrics: d.metrics, logger: logger}
 	d.scale.begin()
 	d.registrations = &gather[Heartbeat]{carry: d.registerAll}
--- a/server/directory_review.go
+++ b/server/directory_review.go
@@ -64,8 +64,8 @@
 	defer d.mutex.Unlock()
 	if serving && !d.serving {
 		d.heartbeats.reset()
-		d.standstill.begin()
-		d.suspects = suspectClock{}
+		d.standstill.reset()
+		d.suspects = suspectTracker{}
 		d.scale.begin()
 		d.firstStore, d.newestStore = time.Time{}, time.Time{}
 	}
@@ -83,7 +83,7 @@
 // reviewBackends marks or takes out the backends that have fallen silent, all of them in one entry
 // of the log. It goes by the view: whoever registers meanwhile is looked at next time.
 func (d *Directory) reviewBackends(ctx context.Context) {
-	d.noteStandstill()
+	d.checkStall()
 	now := clock.Now()
 	patience := d.patience()
 	var changes []directory.Command
--- a/server/executor.go
+++ b/server/executor.go
@@ -53,7 +53,7 @@
 func newExecutor(settings config.Ledger, watcher *Watcher, engines EngineClient, backends forward.Client, metrics ledgerMetrics, logger *zerolog.Logger) *Executor {
 	guard := newGuard(watcher)
 	return &Executor{
-		settings: settings, watcher: watcher, engines: engines, forwarder: forward.New(newCurrentClient(backends, watcher), settings.Zone, guard), guard: guard,
+		settings: settings, watcher: watcher, engines: engines, forwarder: forward.New(newFreshClient(backends, watcher), settings.Zone, guard), guard: guard,
 		metrics: metrics, orders: duty.NewTracker(), logger: logger,
 	}
 }
@@ -82,7 +82,7 @@
 		Executor: x, context: leadership, replica: opened, machine: machine, term: term,
 		loop: eventloop.New(), scheduler: scheduler.New(),
 		cancels: map[*scheduler.Task]context.CancelFunc{}, progress: map[*scheduler.Task]*runProgress{},
-		checkpointed: map[*scheduler.Task]uint64{}, known: map[string]bool{}, rewards: newRewardLimit(), turns: newKindTurns(),
+		checkpointed: map[*scheduler.Task]uint64{}, known: map[string]bool{}, rewards: newRewardLimit(), turns: newKindLocks(),
 		workingSets: map[string]*scheduler.WorkingSet{},
 		heldBack:    map[quarantine.Fingerprint]bool{}, asking: map[quarantine.Fingerprint]bool{},
 	}
--- a/server/followed_run.go
+++ b/server/followed_run.go
@@ -47,7 +47,7 @@
 	if t.scheduler.IsLoading(assignment.Backend.ID, task.Step.Model) {
 		stall = loadStall
 	}
-	verdict, trial := t.clearedFor(task)
+	verdict, trial := t.checkBeforeRun(task)
 	task.KindSuspected = verdict.KnownKindCrashes > 0
 	return &followedRun{
 		verdict: verdict, trial: trial, tenure: t, assignment: assignment, context: ctx, cancel: cancel, progress: progress,
--- a/server/gateway.go
+++ b/server/gateway.go
@@ -73,7 +73,7 @@
 	gateway := &Gateway{
 		work: work, endWork: endWork,
 		settings: settings, logger: logger, watcher: watcher, guard: guard,
-		forwarder: forward.New(newCurrentClient(backends, watcher), settings.Zone, guard), ledger: newLedgerClient(watcher, settings.Zone, logger),
+		forwarder: forward.New(newFreshClient(backends, watcher), settings.Zone, guard), ledger: newLedgerClient(watcher, settings.Zone, logger),
 		metrics: newGatewayMetrics(), usage: newUsageTeller(settings.Name, watcher), startedAt: time.Now(),
 		limits: newGatewayLimits(logger),
 	}
@@ -84,9 +84,9 @@
 // Run follows the directory until the context ends.
 func (g *Gateway) Run(ctx context.Context) {
 	go g.watcher.Run(ctx)
-	go g.watcher.keepCurrent(ctx)
+	go g.watcher.keepFresh(ctx)
 	go g.usage.run(ctx)
-	go tellCrashes(ctx, g.guard, g.watcher)
+	go reportCrashes(ctx, g.guard, g.watcher)
 	go g.limits.run(ctx)
 	for ctx.Err() == nil {
 		changed := g.watcher.Changed()
@@ -147,7 +147,7 @@
 // Match returns the route of a request. It fails with ErrUnavailable while no
 // configuration is known, and with ErrNotFound if there is no route.
 func (g *Gateway) Match(ctx context.Context, host, path string) (routing.Route, *directory.Catalog, error) {
-	catalog := g.currentConfiguration(ctx)
+	catalog := g.freshCatalog(ctx)
 	if catalog.Version == 0 {
 		return routing.Route{}, catalog, replica.ErrUnavailable.New("no configuration is known yet")
 	}
@@ -166,8 +166,8 @@
 	if g.take(request) {
 		limited, cancel := g.untilWorkEnds(ctx)
 		defer cancel()
-		if result = g.refuseOutOfTouch(limited, route); result.Reason == "" {
-			result = g.forwarder.Do(limited, g.newest(catalog), route, request)
+		if result = g.refuseIfUnreachable(limited, route); result.Reason == "" {
+			result = g.forwarder.Do(limited, g.newestCatalog(catalog), route, request)
 		}
 	}
 	g.noteRequest(catalog, route, request, result, started)
@@ -182,8 +182,8 @@
 	if g.take(request) {
 		limited, cancel := g.untilWorkEnds(ctx)
 		defer cancel()
-		if result = g.refuseOutOfTouch(limited, route); result.Reason == "" {
-			result = g.forwarder.Stream(limited, g.newest(catalog), route, request, sink)
+		if result = g.refuseIfUnreachable(limited, route); result.Reason == "" {
+			result = g.forwarder.Stream(limited, g.newestCatalog(catalog), route, request, sink)
 		}
 	}
 	g.noteRequest(catalog, route, request, result, started)
@@ -216,7 +216,7 @@
 		line.Send()
 	}
 	if result.Reason == forward.Quarantined {
-		logHeldBack(g.logger, request.ID, request.Content().Fingerprint())
+		logQuarantined(g.logger, request.ID, request.Content().Fingerprint())
 	}
 	line := event.RequestEnded.On(g.logger).Str("request", request.ID).Str("route", route.Name).
 		Uint("attempts", uint64(result.Attempts)).Int("ms", took.Milliseconds()).
--- a/server/gateway_copy.go
+++ b/server/gateway_copy.go
@@ -8,37 +8,36 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// outOfTouch is the reason of a request that must not be repeated, at a gateway whose copy of the
-// directory is too old while no replica answers.
-const outOfTouch forward.Reason = "out_of_touch"
+// directoryUnreachable is the reason for rejecting a request that must not be repeated, while the gateway's
+// copy of the directory is stale and no replica answers.
+const directoryUnreachable forward.Reason = "out_of_touch"
 
-// currentConfiguration returns the directory as the gateway knows it, after the directory was asked
-// where the copy is too old.
-func (g *Gateway) currentConfiguration(ctx context.Context) *directory.Catalog {
+// freshCatalog returns the gateway's copy of the directory, after refreshing it if it is stale.
+func (g *Gateway) freshCatalog(ctx context.Context) *directory.Catalog {
 	g.firstConfiguration(ctx)
-	g.watcher.awaitCurrent(ctx, copyPatience)
+	g.watcher.awaitFreshCopy(ctx, maxCopyWait)
 	return g.watcher.Catalog()
 }
 
-// newest returns the newest copy, for a request that was matched by another one: its body may have
-// taken long to come.
-func (g *Gateway) newest(matched *directory.Catalog) *directory.Catalog {
+// newestCatalog returns the newest copy, which may be newer than the one that the request was matched with:
+// its body may have taken long to arrive.
+func (g *Gateway) newestCatalog(matched *directory.Catalog) *directory.Catalog {
 	if newest := g.watcher.Catalog(); newest.Revision > matched.Revision {
 		return newest
 	}
 	return matched
 }
 
-// refuseOutOfTouch returns the result of a request that must not be sent by a copy that is too old,
-// without a reason for one that may be sent.
-func (g *Gateway) refuseOutOfTouch(ctx context.Context, route routing.Route) forward.Result {
-	if isRepeatable(route) || g.watcher.awaitCurrent(ctx, questionTimeout) != copyOutOfTouch {
+// refuseIfUnreachable returns the result for a request that must not be repeated if the copy is stale and the
+// directory is unreachable. Otherwise the result has no reason, and the request may be sent.
+func (g *Gateway) refuseIfUnreachable(ctx context.Context, route routing.Route) forward.Result {
+	if isRepeatable(route) || g.watcher.awaitFreshCopy(ctx, refreshTimeout) != copyUnreachable {
 		return forward.Result{}
 	}
-	return forward.Result{Reason: outOfTouch}
+	return forward.Result{Reason: directoryUnreachable}
 }
 
-// isRepeatable tells whether a request of the route is served elsewhere if its backend ends.
+// isRepeatable reports whether a request of the route is retried on another backend if its backend crashes.
 func isRepeatable(route routing.Route) bool {
 	return route.Kind == routing.Repeatable || route.Kind == routing.Streaming && route.Resumable
 }
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -127,7 +127,7 @@
 
 // handleHeartbeats commits, on the leader, what heartbeats change, in one entry of the log.
 func (d *Directory) handleHeartbeats(ctx context.Context, heartbeats []Heartbeat) error {
-	d.noteStandstill()
+	d.checkStall()
 	sound := d.noteHeartbeats(heartbeats)
 	known := make([]registered, len(sound))
 	if !d.replica.Do(func() {
@@ -140,7 +140,7 @@
 	var changes []directory.Command
 	for position, heartbeat := range sound {
 		heartbeat.keepUnread(known[position].named)
-		if change, isNews := d.register(known[position], heartbeat); isNews {
+		if change, isNews := d.registrationCommand(known[position], heartbeat); isNews {
 			changes = append(changes, change)
 		}
 	}
@@ -157,7 +157,7 @@
 	var sound []Heartbeat
 	for _, heartbeat := range heartbeats {
 		if heartbeat.Backend.Born > latest {
-			d.NoteSpoiled(Spoiled{Writer: heartbeat.Backend.ID, Field: "born", Reason: "in the future"})
+			d.RecordInvalidHeartbeat(InvalidHeartbeat{Backend: heartbeat.Backend.ID, Field: "born", Reason: "in the future"})
 			continue
 		}
 		if d.heartbeats.note(now, heartbeat.Backend.ID, heartbeat.Sequence) {
--- a/server/ledger.go
+++ b/server/ledger.go
@@ -61,7 +61,7 @@
 	l.watcher.age.limit = settings.CopyLimit
 	l.metrics = newLedgerMetrics()
 	l.executor = newExecutor(settings, l.watcher, engines, backends, l.metrics, logger)
-	l.runs = runner.NewServer(&guardedEngine{engine: engines, guard: l.executor.guard, hasEnded: l.executor.forwarder.HasCrashed}, logger)
+	l.runs = runner.NewServer(&guardedEngine{engine: engines, guard: l.executor.guard, hasCrashed: l.executor.forwarder.HasCrashed}, logger)
 	return l
 }
 
@@ -84,7 +84,7 @@
 	httpServer := newHTTPServer(router)
 	serveHTTP(httpServer, internal, l.logger)
 	go l.maintain(watchContext, opened)
-	go tellCrashes(watchContext, l.executor.guard, l.watcher)
+	go reportCrashes(watchContext, l.executor.guard, l.watcher)
 	go l.executor.run(watchContext, opened, l.machine)
 	err = opened.Run(ctx)
 	l.finish(httpServer)
@@ -97,7 +97,7 @@
 func (l *Ledger) finish(httpServer *http.Server) {
 	httpServer.Close()
 	l.runs.Close()
-	tellNews(context.Background(), l.executor.guard, l.watcher)
+	sendCrashReport(context.Background(), l.executor.guard, l.watcher)
 }
 
 // Status returns the replica's status, or nil before it has one.
--- a/server/quarantine.go
+++ b/server/quarantine.go
@@ -14,24 +14,23 @@
 )
 
 const (
-	// crashGather is how long a crash waits for others before it is told: requests that ran on
-	// one backend break within a millisecond or two.
-	crashGather = 10 * time.Millisecond
-	// crashRetry is the pause after news that could not be told, and crashTimeout bounds one
-	// telling.
-	crashRetry   = 100 * time.Millisecond
-	crashTimeout = time.Second
+	// crashReportDelay is how long a crash waits to be reported together with others: requests on
+	// one backend fail within a millisecond or two of its crash.
+	crashReportDelay = 10 * time.Millisecond
+	// crashReportRetryDelay is the delay after a report that failed, and crashReportTimeout limits
+	// one report.
+	crashReportRetryDelay = 100 * time.Millisecond
+	crashReportTimeout    = time.Second
 )
 
-// quarantineCall tells what a process has seen of requests that may crash backends, or asks
-// for the trial of one.
+// quarantineCall reports a process's observations of suspects, or requests a trial of one.
 type quarantineCall struct {
 	Crashes   []quarantine.Crash       `cbor:"1,keyasint,omitempty"`
 	Answered  []quarantine.Fingerprint `cbor:"2,keyasint,omitempty"`
 	TakeTrial quarantine.Fingerprint   `cbor:"3,keyasint,omitempty"`
 }
 
-// newGuard returns a process's guard, which goes by the directory's record.
+// newGuard returns a process's guard, which uses the directory's record of suspects.
 func newGuard(watcher *Watcher) *quarantine.Guard {
 	return quarantine.NewGuard(quarantine.SharedRecord{
 		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return watcher.Catalog().Suspects },
@@ -46,49 +45,49 @@
 	}, clock.Now)
 }
 
-// tellCrashes tells the directory what the guard has seen until the context ends. What is not
-// taken is told again.
-func tellCrashes(ctx context.Context, guard *quarantine.Guard, watcher *Watcher) {
+// reportCrashes reports the guard's observations to the directory until the context ends. Reports that
+// fail are repeated.
+func reportCrashes(ctx context.Context, guard *quarantine.Guard, watcher *Watcher) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-guard.ReportReady:
 		}
-		sleep(ctx, crashGather)
-		if !tellNews(ctx, guard, watcher) {
-			sleep(ctx, crashRetry)
+		sleep(ctx, crashReportDelay)
+		if !sendCrashReport(ctx, guard, watcher) {
+			sleep(ctx, crashReportRetryDelay)
 		}
 	}
 }
 
-// tellNews tells the directory what there is to tell, and whether it was taken. It is also what
-// a process does last at a planned stop.
-func tellNews(ctx context.Context, guard *quarantine.Guard, watcher *Watcher) bool {
-	news := guard.TakeReport()
-	if news.IsEmpty() {
+// sendCrashReport sends the pending observations to the directory, and reports whether that succeeded.
+// A process also calls it last in a graceful shutdown.
+func sendCrashReport(ctx context.Context, guard *quarantine.Guard, watcher *Watcher) bool {
+	report := guard.TakeReport()
+	if report.IsEmpty() {
 		return true
 	}
-	limited, cancel := context.WithTimeout(ctx, crashTimeout)
+	limited, cancel := context.WithTimeout(ctx, crashReportTimeout)
 	defer cancel()
-	_, err := watcher.call(limited, directoryCall{Quarantine: &quarantineCall{Crashes: news.Crashes, Answered: news.Answered}})
+	_, err := watcher.call(limited, directoryCall{Quarantine: &quarantineCall{Crashes: report.Crashes, Answered: report.Answered}})
 	if err != nil {
-		event.QuarantineCallFailed.On(watcher.logger).Uint("crashes", uint64(len(news.Crashes))).Err(err).Send()
-		guard.RequeueReport(news)
+		event.QuarantineCallFailed.On(watcher.logger).Uint("crashes", uint64(len(report.Crashes))).Err(err).Send()
+		guard.RequeueReport(report)
 	}
 	return err == nil
 }
 
-// handleQuarantine carries out a call about suspects, on the directory's leader.
+// handleQuarantine executes a call about suspects on the directory's leader.
 func (d *Directory) handleQuarantine(ctx context.Context, call *quarantineCall, answer *directoryAnswer) error {
-	crashes := crashesKnown(call.Crashes, d.versions.inUse.Load())
+	crashes := crashesForVersion(call.Crashes, d.versions.inUse.Load())
 	result, err := d.execute(ctx, directory.Command{Crashes: crashes, Answered: call.Answered, TakeTrial: call.TakeTrial})
 	if err != nil {
 		return err
 	}
 	answer.Granted = result.Granted
 	for _, crash := range call.Crashes {
-		d.logSuspect(crash)
+		d.logCrash(crash)
 	}
 	if result.Granted {
 		event.TrialStarted.On(d.logger).Str("content", string(call.TakeTrial)).Send()
@@ -96,19 +95,19 @@
 	return nil
 }
 
-// crashesKnown returns the crashes in the form that every member reads alike in the version in use.
-func crashesKnown(crashes []quarantine.Crash, inUse uint64) []quarantine.Crash {
-	if inUse >= directory.CrashReportVersion {
+// crashesForVersion returns the crashes without the fields that members of the version do not know.
+func crashesForVersion(crashes []quarantine.Crash, version uint64) []quarantine.Crash {
+	if version >= directory.CrashReportVersion {
 		return crashes
 	}
-	known := slices.Clone(crashes)
-	for position := range known {
-		known[position].Exact = false
+	converted := slices.Clone(crashes)
+	for position := range converted {
+		converted[position].Exact = false
 	}
-	return known
+	return converted
 }
 
-func (d *Directory) logSuspect(crash quarantine.Crash) {
+func (d *Directory) logCrash(crash quarantine.Crash) {
 	var suspect quarantine.Suspect
 	d.replica.Do(func() { suspect, _, _ = d.machine.Suspect(crash.Fingerprint) })
 	event.CrashReported.On(d.logger).Str("content", string(crash.Fingerprint)).Str("backend", crash.Backend).
@@ -116,115 +115,114 @@
 		Uint("held", boolToUint(suspect.IsQuarantined())).Send()
 }
 
-// suspectClock remembers since when this leader has known each suspect as it is. A new leader
-// counts anew, so that a change of the leader or a pause of its clock makes waits longer and
-// never shorter.
-type suspectClock struct {
-	since map[quarantine.Fingerprint]suspectSince
+// suspectTracker stores how long this leader has known each suspect in its current state. A new leader
+// starts at zero, so a leader change or a stopped clock can only lengthen delays.
+type suspectTracker struct {
+	suspects map[quarantine.Fingerprint]trackedSuspect
 }
 
-type suspectSince struct {
-	revision uint64
-	at       time.Time
-	suspect  quarantine.Suspect
-	// thirdAt is when the third end was seen, zero if this leader has not seen it come, and early
-	// the number of ends right after it.
-	thirdAt time.Time
-	early   int
-	// trying is how many trials were offered of which nothing has come: their ends are to come.
-	trying int
+type trackedSuspect struct {
+	revision  uint64
+	changedAt time.Time
+	suspect   quarantine.Suspect
+	// thresholdAt is when this leader saw the suspect reach CrashThreshold, or zero. graceCrashes is the
+	// number of later crashes within CrashGracePeriod.
+	thresholdAt  time.Time
+	graceCrashes int
+	// pendingTrials counts the offered trials after which no crash has been reported yet.
+	pendingTrials int
 }
 
-// newSuspectSince returns what a leader knows of a suspect that it has not looked at before: a trial
-// may be under way.
-func newSuspectSince(suspect quarantine.Suspect) suspectSince {
-	return suspectSince{trying: min(suspect.Trials, 1)}
+// newTrackedSuspect returns the state of a suspect that is new to this leader. If it had trials, one
+// may still be running.
+func newTrackedSuspect(suspect quarantine.Suspect) trackedSuspect {
+	return trackedSuspect{pendingTrials: min(suspect.Trials, 1)}
 }
 
-// noteTrials takes in which trials were offered, and which have ended their backends.
-func (s *suspectSince) noteTrials(before, suspect quarantine.Suspect) {
+// recordTrials updates pendingTrials with the trials offered and the backends crashed since before.
+func (s *trackedSuspect) recordTrials(before, suspect quarantine.Suspect) {
 	offered := suspect.Trials - before.Trials
-	ended := len(suspect.Ended) - len(before.Ended)
-	s.trying = max(s.trying+offered-ended, 0)
+	crashed := len(suspect.Ended) - len(before.Ended)
+	s.pendingTrials = max(s.pendingTrials+offered-crashed, 0)
 }
 
-// noteEnds takes in how many backends have ended under the suspect, which was known before.
-func (s *suspectSince) noteEnds(now time.Time, before, suspect quarantine.Suspect) {
-	_, had := before.CrashesAfterThreshold()
-	ends, third := suspect.CrashesAfterThreshold()
-	if third && !had {
-		s.thirdAt = now
+// recordCrashes updates thresholdAt and graceCrashes with the crashes since before.
+func (s *trackedSuspect) recordCrashes(now time.Time, before, suspect quarantine.Suspect) {
+	_, reachedBefore := before.CrashesAfterThreshold()
+	crashes, reached := suspect.CrashesAfterThreshold()
+	if reached && !reachedBefore {
+		s.thresholdAt = now
 	}
-	if !s.thirdAt.IsZero() && now.Sub(s.thirdAt) <= quarantine.CrashGracePeriod {
-		s.early = ends
+	if !s.thresholdAt.IsZero() && now.Sub(s.thresholdAt) <= quarantine.CrashGracePeriod {
+		s.graceCrashes = crashes
 	}
 }
 
-// uncounted returns how many of the ends so far the bound does not count, less those that it will
-// count once the trials under way have ended their backends.
-func (s *suspectSince) uncounted() int { return s.early - s.trying }
+// exemptCrashes returns the argument of TrialDelay: the crashes that the send budget does not count, minus
+// those expected of pending trials.
+func (s *trackedSuspect) exemptCrashes() int { return s.graceCrashes - s.pendingTrials }
 
-// due returns the suspects that are to be tried or forgotten, and forgets those that are gone.
-func (c *suspectClock) due(now time.Time, suspects map[quarantine.Fingerprint]suspectAt) (try, forget []directory.SuspectRevision) {
-	known := make(map[quarantine.Fingerprint]suspectSince, len(suspects))
-	for fingerprint, one := range suspects {
-		since, ok := c.since[fingerprint]
+// due returns the suspects whose trial is to be offered and those to be forgotten, and drops the state of
+// removed suspects.
+func (c *suspectTracker) due(now time.Time, suspects map[quarantine.Fingerprint]suspectVersion) (offer, forget []directory.SuspectRevision) {
+	tracked := make(map[quarantine.Fingerprint]trackedSuspect, len(suspects))
+	for fingerprint, current := range suspects {
+		entry, ok := c.suspects[fingerprint]
 		if ok {
-			since.noteEnds(now, since.suspect, one.suspect)
-			since.noteTrials(since.suspect, one.suspect)
+			entry.recordCrashes(now, entry.suspect, current.suspect)
+			entry.recordTrials(entry.suspect, current.suspect)
 		} else {
-			since = newSuspectSince(one.suspect)
+			entry = newTrackedSuspect(current.suspect)
 		}
-		if !ok || since.revision != one.revision {
-			since.revision, since.at = one.revision, now
+		if !ok || entry.revision != current.revision {
+			entry.revision, entry.changedAt = current.revision, now
 		}
-		since.suspect = one.suspect
-		known[fingerprint] = since
-		at := directory.SuspectRevision{Fingerprint: fingerprint, Revision: one.revision}
-		switch age := now.Sub(since.at); {
-		case !one.suspect.IsQuarantined() && age >= quarantine.ForgetAfter:
-			forget = append(forget, at)
-		case one.suspect.IsQuarantined() && !one.suspect.Offered && age >= one.suspect.TrialDelay(since.uncounted()):
-			try = append(try, at)
+		entry.suspect = current.suspect
+		tracked[fingerprint] = entry
+		revision := directory.SuspectRevision{Fingerprint: fingerprint, Revision: current.revision}
+		switch age := now.Sub(entry.changedAt); {
+		case !current.suspect.IsQuarantined() && age >= quarantine.ForgetAfter:
+			forget = append(forget, revision)
+		case current.suspect.IsQuarantined() && !current.suspect.Offered && age >= current.suspect.TrialDelay(entry.exemptCrashes()):
+			offer = append(offer, revision)
 		}
 	}
-	c.since = known
-	return try, forget
+	c.suspects = tracked
+	return offer, forget
 }
 
-// suspectAt is a suspect with the revision of its last change.
-type suspectAt struct {
+// suspectVersion is a suspect and the revision of its last change.
+type suspectVersion struct {
 	suspect  quarantine.Suspect
 	revision uint64
 }
 
-// reviewSuspects offers trials of requests that are held back and forgets suspects, on the
-// leader.
+// reviewSuspects offers trials of quarantined requests and forgets old suspects, on the leader.
 func (d *Directory) reviewSuspects(ctx context.Context) {
-	suspects := map[quarantine.Fingerprint]suspectAt{}
+	suspects := map[quarantine.Fingerprint]suspectVersion{}
 	d.replica.Do(func() {
 		d.machine.Suspects(func(suspect quarantine.Suspect, revision uint64) {
-			suspects[suspect.Fingerprint] = suspectAt{suspect: suspect, revision: revision}
+			suspects[suspect.Fingerprint] = suspectVersion{suspect: suspect, revision: revision}
 		})
 	})
-	try, forget := d.suspects.due(clock.Now(), suspects)
-	for _, one := range try {
-		event.TrialOffered.On(d.logger).Str("content", string(one.Fingerprint)).Send()
-		d.executeOrLog(ctx, directory.Command{OfferTrial: &one})
+	offer, forget := d.suspects.due(clock.Now(), suspects)
+	for _, suspect := range offer {
+		event.TrialOffered.On(d.logger).Str("content", string(suspect.Fingerprint)).Send()
+		d.executeOrLog(ctx, directory.Command{OfferTrial: &suspect})
 	}
-	for _, one := range forget {
-		d.executeOrLog(ctx, directory.Command{ForgetSuspect: &one})
+	for _, suspect := range forget {
+		d.executeOrLog(ctx, directory.Command{ForgetSuspect: &suspect})
 	}
 }
 
-// executeOrLog carries out a command of the leader's review, which tries again what fails.
+// executeOrLog executes a command of the leader's review, which retries failed commands.
 func (d *Directory) executeOrLog(ctx context.Context, command directory.Command) {
 	if _, err := d.execute(ctx, command); err != nil {
 		event.LeaderUpdateFailed.On(d.logger).Err(err).Send()
 	}
 }
 
-// logHeldBack says that a request was refused because it crashes backends.
-func logHeldBack(logger *zerolog.Logger, request string, content quarantine.Fingerprint) {
+// logQuarantined logs that a request was rejected because it is quarantined.
+func logQuarantined(logger *zerolog.Logger, request string, content quarantine.Fingerprint) {
 	event.RequestQuarantined.On(logger).Str("request", request).Str("content", string(content)).Send()
 }
--- a/server/quarantine_bound_test.go
+++ b/server/quarantine_bound_test.go
@@ -22,153 +22,155 @@
 // leader changes, and the next one has what the directory knows and adopts the runs under way.
 
 const (
-	boundEngines = 4
-	boundRunners = 2
+	modelEngineCount = 4
+	modelRunnerCount = 2
 	// boundDeadly and boundSound are the numbers of samples that end engines and of others.
-	boundDeadly, boundSound = 4, 3
+	crashingSampleCount, harmlessSampleCount = 4, 3
 	// boundSends is how many sends the users allow later than boundTime after the third end.
-	boundSends = 3
-	boundTime  = 3 * time.Second
+	sendBudget      = 3
+	sendBudgetDelay = 3 * time.Second
 )
 
-type boundSample struct {
-	subject quarantine.Subject
-	deadly  bool
-	run     *boundRun
+type modelSample struct {
+	subject  quarantine.Subject
+	crashing bool
+	run      *modelRun
 }
 
 // boundRun is a run under way, as its leader and its runner know it.
-type boundRun struct {
-	sample *boundSample
-	engine *boundEngine
+type modelRun struct {
+	sample *modelSample
+	engine *modelEngine
 	runner *quarantine.Guard
 	// leaderKnew and runnerKnew are what was known as the run began.
-	leaderKnew, runnerKnew quarantine.Verdict
+	leaderVerdict, runnerVerdict quarantine.Verdict
 	// suspected is set if engines had ended under the kind as the run began.
 	suspected bool
 }
 
-type boundEngine struct {
+type modelEngine struct {
 	id   string
-	runs []*boundRun
+	runs []*modelRun
 }
 
-type boundWorld struct {
-	t       *rapid.T
-	now     time.Time
-	machine *directory.Machine
-	clock   suspectClock
-	view    *directory.Catalog
-	leader  *quarantine.Guard
-	runners []*quarantine.Guard
-	engines []*boundEngine
-	samples []*boundSample
-	started int
+type quarantineModel struct {
+	t           *rapid.T
+	now         time.Time
+	machine     *directory.Machine
+	tracker     suspectTracker
+	catalog     *directory.Catalog
+	leader      *quarantine.Guard
+	runners     []*quarantine.Guard
+	engines     []*modelEngine
+	samples     []*modelSample
+	engineCount int
 	// after counts the sends since the last answer whose leader knew of three ends.
-	after map[quarantine.Fingerprint]int
+	budgetedSends map[quarantine.Fingerprint]int
 	// thirdAt holds when the directory heard of the third end.
-	thirdAt map[quarantine.Fingerprint]time.Time
+	thresholdAt map[quarantine.Fingerprint]time.Time
 }
 
-func newBoundWorld(t *rapid.T) *boundWorld {
-	w := &boundWorld{
-		t: t, now: time.UnixMilli(0), machine: directory.NewMachine(), view: directory.NewCatalog(),
-		after: map[quarantine.Fingerprint]int{}, thirdAt: map[quarantine.Fingerprint]time.Time{},
+func newQuarantineModel(t *rapid.T) *quarantineModel {
+	m := &quarantineModel{
+		t: t, now: time.UnixMilli(0), machine: directory.NewMachine(), catalog: directory.NewCatalog(),
+		budgetedSends: map[quarantine.Fingerprint]int{}, thresholdAt: map[quarantine.Fingerprint]time.Time{},
 	}
-	w.leader = w.newGuard()
-	for range boundRunners {
-		w.runners = append(w.runners, w.newGuard())
+	m.leader = m.newGuard()
+	for range modelRunnerCount {
+		m.runners = append(m.runners, m.newGuard())
 	}
-	for range boundEngines {
-		w.engines = append(w.engines, w.newEngine())
+	for range modelEngineCount {
+		m.engines = append(m.engines, m.newEngine())
 	}
 	shared := rapid.Bool().Draw(t, "sound samples are of the deadly kind")
-	for number := range boundDeadly {
-		w.addSample(fmt.Sprint("deadly-", number), "deadly kind", true)
+	for number := range crashingSampleCount {
+		m.addSample(fmt.Sprint("deadly-", number), "deadly kind", true)
 	}
-	for number := range boundSound {
+	for number := range harmlessSampleCount {
 		kind := fmt.Sprint("kind-", number)
 		if shared {
 			kind = "deadly kind"
 		}
-		w.addSample(fmt.Sprint("sound-", number), kind, false)
+		m.addSample(fmt.Sprint("sound-", number), kind, false)
 	}
-	return w
+	return m
 }
 
-func (w *boundWorld) addSample(name, kind string, deadly bool) {
+func (m *quarantineModel) addSample(name, kind string, crashing bool) {
 	subject := quarantine.Subject{Content: quarantine.Fingerprint(name), Kind: quarantine.Fingerprint(kind)}
-	w.samples = append(w.samples, &boundSample{subject: subject, deadly: deadly})
+	m.samples = append(m.samples, &modelSample{subject: subject, crashing: crashing})
 }
 
-func (w *boundWorld) newGuard() *quarantine.Guard {
+func (m *quarantineModel) newGuard() *quarantine.Guard {
 	return quarantine.NewGuard(quarantine.SharedRecord{
-		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return w.view.Suspects },
+		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return m.catalog.Suspects },
 		TakeTrial: func(_ context.Context, fingerprint quarantine.Fingerprint) bool {
-			return w.apply(directory.Command{TakeTrial: fingerprint}).Granted
+			return m.apply(directory.Command{TakeTrial: fingerprint}).Granted
 		},
-	}, func() time.Time { return w.now })
+	}, func() time.Time { return m.now })
 }
 
-func (w *boundWorld) newEngine() *boundEngine {
-	w.started++
-	return &boundEngine{id: fmt.Sprint("engine-", w.started)}
+func (m *quarantineModel) newEngine() *modelEngine {
+	m.engineCount++
+	return &modelEngine{id: fmt.Sprint("engine-", m.engineCount)}
 }
 
-func (w *boundWorld) apply(command directory.Command) directory.Result {
-	result, err := directory.DecodeResult(w.machine.Apply(command.Encode()))
-	require.NoError(w.t, err)
+func (m *quarantineModel) apply(command directory.Command) directory.Result {
+	result, err := directory.DecodeResult(m.machine.Apply(command.Encode()))
+	require.NoError(m.t, err)
 	return result
 }
 
 // tell has the directory hear a process's news.
-func (w *boundWorld) tell(guard *quarantine.Guard) {
-	news := guard.TakeReport()
-	w.apply(directory.Command{Crashes: news.Crashes, Answered: news.Answered})
-	for _, crash := range news.Crashes {
-		suspect, _, _ := w.machine.Suspect(crash.Fingerprint)
-		if _, third := suspect.CrashesAfterThreshold(); third && w.thirdAt[crash.Fingerprint].IsZero() {
-			w.thirdAt[crash.Fingerprint] = w.now
+func (m *quarantineModel) report(guard *quarantine.Guard) {
+	report := guard.TakeReport()
+	m.apply(directory.Command{Crashes: report.Crashes, Answered: report.Answered})
+	for _, crash := range report.Crashes {
+		suspect, _, _ := m.machine.Suspect(crash.Fingerprint)
+		if _, reached := suspect.CrashesAfterThreshold(); reached && m.thresholdAt[crash.Fingerprint].IsZero() {
+			m.thresholdAt[crash.Fingerprint] = m.now
 		}
 	}
-	for _, answered := range news.Answered {
-		delete(w.thirdAt, answered)
-		delete(w.after, answered)
+	for _, answered := range report.Answered {
+		delete(m.thresholdAt, answered)
+		delete(m.budgetedSends, answered)
 	}
 }
 
 // learn has the processes hear of the directory's record.
-func (w *boundWorld) learn() { w.view = w.view.With(w.machine.DeltaSince(w.view.Revision)) }
+func (m *quarantineModel) syncCatalog() {
+	m.catalog = m.catalog.With(m.machine.DeltaSince(m.catalog.Revision))
+}
 
 // send sends a sample to an engine, if it may be sent.
-func (w *boundWorld) send() {
-	sample := rapid.SampledFrom(w.samples).Draw(w.t, "sample")
+func (m *quarantineModel) send() {
+	sample := rapid.SampledFrom(m.samples).Draw(m.t, "sample")
 	if sample.run != nil {
 		return
 	}
-	verdict := w.leader.CheckSubject(sample.subject)
-	if verdict.Quarantined && verdict.TrialOffered && w.leader.TakeTrial(context.Background(), verdict.Fingerprint) {
-		w.leader.Permit(sample.subject.Content)
-		w.learn()
-		verdict = w.leader.CheckSubject(sample.subject)
+	verdict := m.leader.CheckSubject(sample.subject)
+	if verdict.Quarantined && verdict.TrialOffered && m.leader.TakeTrial(context.Background(), verdict.Fingerprint) {
+		m.leader.Permit(sample.subject.Content)
+		m.syncCatalog()
+		verdict = m.leader.CheckSubject(sample.subject)
 	}
-	if verdict.Quarantined || verdict.KnownKindCrashes > 0 && w.triesKind(sample.subject.Kind) {
+	if verdict.Quarantined || verdict.KnownKindCrashes > 0 && m.runsSuspectedKind(sample.subject.Kind) {
 		return
 	}
-	trial := w.leader.UsePermit(sample.subject.Content)
-	w.count(sample.subject, trial)
-	run := &boundRun{sample: sample, leaderKnew: verdict, suspected: verdict.KnownKindCrashes > 0}
-	run.runner = rapid.SampledFrom(w.runners).Draw(w.t, "runner")
+	trial := m.leader.UsePermit(sample.subject.Content)
+	m.checkSend(sample.subject, trial)
+	run := &modelRun{sample: sample, leaderVerdict: verdict, suspected: verdict.KnownKindCrashes > 0}
+	run.runner = rapid.SampledFrom(m.runners).Draw(m.t, "runner")
 	engine := guardedEngine{guard: run.runner}
-	run.runnerKnew = engine.judge(runner.Request{KnownCrashes: verdict.KnownCrashes, KnownKindCrashes: verdict.KnownKindCrashes}, sample.subject)
-	run.engine = rapid.SampledFrom(w.engines).Draw(w.t, "engine")
+	run.runnerVerdict = engine.check(runner.Request{KnownCrashes: verdict.KnownCrashes, KnownKindCrashes: verdict.KnownKindCrashes}, sample.subject)
+	run.engine = rapid.SampledFrom(m.engines).Draw(m.t, "engine")
 	run.engine.runs = append(run.engine.runs, run)
 	sample.run = run
 }
 
 // triesKind tells whether a sample of the kind runs that was suspected as its run began.
-func (w *boundWorld) triesKind(kind quarantine.Fingerprint) bool {
-	for _, sample := range w.samples {
+func (m *quarantineModel) runsSuspectedKind(kind quarantine.Fingerprint) bool {
+	for _, sample := range m.samples {
 		if sample.run != nil && sample.run.suspected && sample.subject.Kind == kind {
 			return true
 		}
@@ -177,114 +179,114 @@
 }
 
 // count holds the send to the bound.
-func (w *boundWorld) count(subject quarantine.Subject, trial bool) {
-	content, kind := w.view.Suspects[subject.Content], w.view.Suspects[subject.Kind]
-	require.False(w.t, content.Crashes >= quarantine.CrashThreshold && !trial, "%s was sent after its third end", subject.Content)
+func (m *quarantineModel) checkSend(subject quarantine.Subject, trial bool) {
+	content, kind := m.catalog.Suspects[subject.Content], m.catalog.Suspects[subject.Kind]
+	require.False(m.t, content.Crashes >= quarantine.CrashThreshold && !trial, "%s was sent after its third end", subject.Content)
 	for _, suspect := range []quarantine.Suspect{content, kind} {
-		if w.now.Sub(w.thirdAt[suspect.Fingerprint]) <= boundTime {
+		if m.now.Sub(m.thresholdAt[suspect.Fingerprint]) <= sendBudgetDelay {
 			continue
 		}
 		if len(suspect.Ended) >= quarantine.CrashThreshold && (suspect.Fingerprint == subject.Content || len(suspect.Of) > 1) {
-			w.after[suspect.Fingerprint]++
-			require.LessOrEqual(w.t, w.after[suspect.Fingerprint], boundSends, "%v", suspect)
+			m.budgetedSends[suspect.Fingerprint]++
+			require.LessOrEqual(m.t, m.budgetedSends[suspect.Fingerprint], sendBudget, "%v", suspect)
 		}
 	}
 }
 
 // end ends the engine with all that runs there. Runner and leader are heard in any order.
-func (w *boundWorld) end(engine *boundEngine) {
+func (m *quarantineModel) crashEngine(engine *modelEngine) {
 	for _, run := range engine.runs {
 		run.sample.run = nil
-		run.runner.RecordCrash(run.sample.subject, engine.id, run.runnerKnew)
-		w.leader.RecordCrash(run.sample.subject, engine.id, run.leaderKnew)
+		run.runner.RecordCrash(run.sample.subject, engine.id, run.runnerVerdict)
+		m.leader.RecordCrash(run.sample.subject, engine.id, run.leaderVerdict)
 	}
-	engine.runs, engine.id = nil, w.newEngine().id
-	told := append([]*quarantine.Guard{w.leader}, w.runners...)
-	for _, guard := range rapid.Permutation(told).Draw(w.t, "told by") {
-		w.tell(guard)
+	engine.runs, engine.id = nil, m.newEngine().id
+	guards := append([]*quarantine.Guard{m.leader}, m.runners...)
+	for _, guard := range rapid.Permutation(guards).Draw(m.t, "told by") {
+		m.report(guard)
 	}
 }
 
 // crash ends an engine that runs a deadly sample.
-func (w *boundWorld) crash() {
-	engine := rapid.SampledFrom(w.engines).Draw(w.t, "engine")
+func (m *quarantineModel) crashByRun() {
+	engine := rapid.SampledFrom(m.engines).Draw(m.t, "engine")
 	for _, run := range engine.runs {
-		if run.sample.deadly {
-			w.end(engine)
+		if run.sample.crashing {
+			m.crashEngine(engine)
 			return
 		}
 	}
 }
 
 // answer has an engine answer a sound sample.
-func (w *boundWorld) answer() {
-	engine := rapid.SampledFrom(w.engines).Draw(w.t, "engine")
+func (m *quarantineModel) respond() {
+	engine := rapid.SampledFrom(m.engines).Draw(m.t, "engine")
 	for position, run := range engine.runs {
-		if run.sample.deadly {
+		if run.sample.crashing {
 			continue
 		}
 		engine.runs = append(engine.runs[:position:position], engine.runs[position+1:]...)
 		run.sample.run = nil
-		w.leader.RecordResponse(run.sample.subject)
-		w.tell(w.leader)
+		m.leader.RecordResponse(run.sample.subject)
+		m.report(m.leader)
 		return
 	}
 }
 
 // lead has another process lead, which adopts the runs. It takes longer than news of the directory.
-func (w *boundWorld) lead() {
-	w.learn()
-	w.leader = w.newGuard()
-	for _, sample := range w.samples {
+func (m *quarantineModel) changeLeader() {
+	m.syncCatalog()
+	m.leader = m.newGuard()
+	for _, sample := range m.samples {
 		if sample.run == nil {
 			continue
 		}
-		sample.run.leaderKnew = w.leader.CheckSubject(sample.subject)
-		sample.run.suspected = sample.run.leaderKnew.KnownKindCrashes > 0
+		sample.run.leaderVerdict = m.leader.CheckSubject(sample.subject)
+		sample.run.suspected = sample.run.leaderVerdict.KnownKindCrashes > 0
 	}
 }
 
 // wait lets time pass, and has the directory's leader offer trials.
-func (w *boundWorld) wait() {
-	for range rapid.IntRange(1, 32).Draw(w.t, "reviews") {
-		w.now = w.now.Add(reviewInterval)
-		w.review()
+func (m *quarantineModel) advance() {
+	for range rapid.IntRange(1, 32).Draw(m.t, "reviews") {
+		m.now = m.now.Add(reviewInterval)
+		m.review()
 	}
-	w.learn()
+	m.syncCatalog()
 }
 
 // review is that of the directory's leader.
-func (w *boundWorld) review() {
-	suspects := map[quarantine.Fingerprint]suspectAt{}
-	w.machine.Suspects(func(suspect quarantine.Suspect, revision uint64) {
-		suspects[suspect.Fingerprint] = suspectAt{suspect: suspect, revision: revision}
+func (m *quarantineModel) review() {
+	suspects := map[quarantine.Fingerprint]suspectVersion{}
+	m.machine.Suspects(func(suspect quarantine.Suspect, revision uint64) {
+		suspects[suspect.Fingerprint] = suspectVersion{suspect: suspect, revision: revision}
 	})
-	try, _ := w.clock.due(w.now, suspects)
-	for _, one := range try {
-		w.apply(directory.Command{OfferTrial: &one})
+	offer, _ := m.tracker.due(m.now, suspects)
+	for _, suspect := range offer {
+		m.apply(directory.Command{OfferTrial: &suspect})
 	}
 }
 
 // lose has engines end together, by a loss of power.
-func (w *boundWorld) lose() {
-	for _, engine := range w.engines {
-		if rapid.Bool().Draw(w.t, "lost") {
-			w.end(engine)
+func (m *quarantineModel) crashTogether() {
+	for _, engine := range m.engines {
+		if rapid.Bool().Draw(m.t, "lost") {
+			m.crashEngine(engine)
 		}
 	}
 }
 
 // boundCases is how many cases are drawn at the least: fewer miss what takes several ends in turn.
-const boundCases = 10_000
+const minCases = 10_000
 
 // checkOften checks the property with boundCases cases or more.
-func checkOften(t *testing.T, property func(*rapid.T)) {
-	cases := flag.Lookup("rapid.checks")
-	given := cases.Value.String()
-	if asked, err := strconv.Atoi(given); err == nil && asked < boundCases {
-		require.NoError(t, cases.Value.Set(strconv.Itoa(boundCases)))
+func checkWithMinCases(t *testing.T, property func(*rapid.T)) {
+	checks := flag.Lookup("rapid.checks")
+	previous := checks.Value.String()
+	if requested, err := strconv.Atoi(previous); err == nil && requested < minCases {
+		require.NoError(t, checks.Value.Set(strconv.Itoa(minCases)))
 	}
-	defer func() { require.NoError(t, cases.Value.Set(given)) }()
+	defer func() { require.NoError(t, checks.Value.Set(previous)) }()
 	rapid.Check(t, property)
 }
 
@@ -292,25 +294,25 @@
 // that come again, and whatever shares an engine, a leader that knows of the third end under a
 // sample, or under samples of its kind, sends three more at the most.
 func TestNothingIsSentBeyondTheBound(t *testing.T) {
-	checkOften(t, keepToTheBound)
+	checkWithMinCases(t, checkSendBudget)
 }
 
 // TestSendsAfterLossesKeepToTheBound is the same for one case, drawn by another seed, in which engines
 // are lost between trials.
-func TestSendsAfterLossesKeepToTheBound(t *testing.T) {
+func TestSendBudgetAfterEngineLosses(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.failfile", "testdata/bound-after-losses.fail"))
 	defer func() { require.NoError(t, flag.Set("rapid.failfile", "")) }()
-	rapid.Check(t, keepToTheBound)
+	rapid.Check(t, checkSendBudget)
 }
 
 // keepToTheBound plays a world of its own.
-func keepToTheBound(t *rapid.T) {
-	w := newBoundWorld(t)
+func checkSendBudget(t *rapid.T) {
+	m := newQuarantineModel(t)
 	actions := map[string]func(){
-		"send": w.send, "crash": w.crash, "answer": w.answer, "lead": w.lead, "wait": w.wait, "lose": w.lose, "learn": w.learn,
+		"send": m.send, "crash": m.crashByRun, "answer": m.respond, "lead": m.changeLeader, "wait": m.advance, "lose": m.crashTogether, "learn": m.syncCatalog,
 	}
-	often := []string{"send", "send", "send", "crash", "crash", "crash", "learn", "learn", "wait", "wait", "answer", "lead", "lose"}
+	weighted := []string{"send", "send", "send", "crash", "crash", "crash", "learn", "learn", "wait", "wait", "answer", "lead", "lose"}
 	for range rapid.IntRange(1, 100).Draw(t, "steps") {
-		actions[rapid.SampledFrom(often).Draw(t, "action")]()
+		actions[rapid.SampledFrom(weighted).Draw(t, "action")]()
 	}
 }
--- a/server/quarantine_simulation_test.go
+++ b/server/quarantine_simulation_test.go
@@ -31,14 +31,14 @@
 	simAttempts = 2
 	// simContact is how long a gateway must have been in touch to be held to the bound, and
 	// simLate how long after the third crash sends count, in milliseconds.
-	simContact, simLate = 3000, 3000
-	simEnd              = 90_000
+	simMinConnected, simGracePeriod = 3000, 3000
+	simEnd                          = 90_000
 	// simNews is how long after the directory has taken in a crash a gateway in touch must know
 	// of it, in milliseconds.
-	simNews = 100
+	simMaxSyncDelay = 100
 	// simContents is the number of deadly contents with even seeds.
-	simContents = 20
-	simService  = "s"
+	simCrashingContents = 20
+	simService          = "s"
 )
 
 type simEvent struct {
@@ -62,75 +62,75 @@
 
 // simRun is one attempt at a backend.
 type simRun struct {
-	gateway *simGateway
-	life    int
-	verdict quarantine.Verdict
-	subject quarantine.Subject
-	ended   func(answered bool)
+	gateway      *simGateway
+	gatewayStart int
+	verdict      quarantine.Verdict
+	subject      quarantine.Subject
+	onEnd        func(answered bool)
 }
 
 type simBackend struct {
 	id, address string
 	// keepsName is set on one that starts again under the name that it had.
-	keepsName bool
-	life      directory.Incarnation
-	up        bool
-	runs      map[*simRun]bool
+	keepsAddressAsName bool
+	incarnation        directory.Incarnation
+	up                 bool
+	runs               map[*simRun]bool
 }
 
 type simGateway struct {
-	guard *quarantine.Guard
-	view  *directory.Catalog
+	guard   *quarantine.Guard
+	catalog *directory.Catalog
 	// life counts the starts, and cutUntil and touchedFrom say when it hears the directory.
-	life                  int
-	cutUntil, touchedFrom int64
+	starts                  int
+	cutUntil, connectedFrom int64
 	// startedAt is when it started last.
 	startedAt int64
 }
 
 type simulation struct {
-	random   *rand.Rand
-	now      int64
-	events   simEvents
-	order    int64
-	machine  *directory.Machine
-	clock    suspectClock
-	leaderAt int64
-	gateways []*simGateway
-	backends []*simBackend
-	started  int
+	random        *rand.Rand
+	now           int64
+	events        simEvents
+	order         int64
+	machine       *directory.Machine
+	tracker       suspectTracker
+	leaderSince   int64
+	gateways      []*simGateway
+	backends      []*simBackend
+	backendStarts int
 	// knownAt is when the directory took in the end of each backend.
-	knownAt map[string]int64
+	crashReportedAt map[string]int64
 	// overdrawn counts suspects that were sent although too many backends were away by what their
 	// gateway must have known.
-	overdrawn int
-	oneKind   bool
-	crashes   int
-	thirdAt   int64
-	late      int
-	unserved  map[quarantine.Fingerprint]int64
+	overLimit   int
+	oneKind     bool
+	crashes     int
+	thresholdAt int64
+	lateSends   int
+	unserved    map[quarantine.Fingerprint]int64
 }
 
-const simDeadlyKind = quarantine.Fingerprint("deadly kind")
+const simCrashingKind = quarantine.Fingerprint("deadly kind")
 
 // drawDeadly returns a deadly request.
-func (s *simulation) drawDeadly() quarantine.Subject {
+func (s *simulation) randomCrashingSubject() quarantine.Subject {
 	if s.oneKind {
-		return quarantine.Subject{Content: "deadly-0", Kind: simDeadlyKind}
+		return quarantine.Subject{Content: "deadly-0", Kind: simCrashingKind}
 	}
-	return quarantine.Subject{Content: quarantine.Fingerprint(fmt.Sprint("deadly-", s.random.IntN(simContents))), Kind: simDeadlyKind}
+	return quarantine.Subject{Content: quarantine.Fingerprint(fmt.Sprint("deadly-", s.random.IntN(simCrashingContents))), Kind: simCrashingKind}
 }
 
 // sound returns the numbered sound request.
-func (s *simulation) sound(number int) quarantine.Subject {
+func (s *simulation) harmlessSubject(number int) quarantine.Subject {
 	kind := quarantine.Fingerprint("sound kind")
 	if s.oneKind {
-		kind = simDeadlyKind
+		kind = simCrashingKind
 	}
 	return quarantine.Subject{Content: quarantine.Fingerprint(fmt.Sprint("sound-", number)), Kind: kind}
 }
 
-func isDeadly(subject quarantine.Subject) bool {
+func isCrashing(subject quarantine.Subject) bool {
 	return strings.HasPrefix(string(subject.Content), "deadly-")
 }
 
@@ -143,7 +143,9 @@
 
 func (s *simulation) time() time.Time { return time.UnixMilli(s.now) }
 
-func (s *simulation) hears(g *simGateway) bool { return s.now >= g.cutUntil && s.now >= s.leaderAt }
+func (s *simulation) isConnected(g *simGateway) bool {
+	return s.now >= g.cutUntil && s.now >= s.leaderSince
+}
 
 func (s *simulation) apply(command directory.Command) directory.Result {
 	result, err := directory.DecodeResult(s.machine.Apply(command.Encode()))
@@ -155,120 +157,120 @@
 
 // startGateway starts a gateway or starts it anew: it knows what the directory confirms.
 func (s *simulation) startGateway(g *simGateway) {
-	g.life++
+	g.starts++
 	g.startedAt = s.now
-	g.view, g.touchedFrom = directory.NewCatalog(), s.now+simContact
+	g.catalog, g.connectedFrom = directory.NewCatalog(), s.now+simMinConnected
 	g.guard = quarantine.NewGuard(quarantine.SharedRecord{
-		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return g.view.Suspects },
+		Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return g.catalog.Suspects },
 		TakeTrial: func(_ context.Context, fingerprint quarantine.Fingerprint) bool {
-			return s.hears(g) && s.apply(directory.Command{TakeTrial: fingerprint}).Granted
+			return s.isConnected(g) && s.apply(directory.Command{TakeTrial: fingerprint}).Granted
 		},
 	}, s.time)
-	g.view = g.view.With(s.machine.DeltaSince(0))
-	s.follow(g, g.life)
-	s.tell(g, g.life)
+	g.catalog = g.catalog.With(s.machine.DeltaSince(0))
+	s.syncCatalog(g, g.starts)
+	s.report(g, g.starts)
 }
 
 // follow has the gateway learn what has changed, a little late.
-func (s *simulation) follow(g *simGateway, life int) {
+func (s *simulation) syncCatalog(g *simGateway, start int) {
 	s.after(s.between(5, 60), func() {
-		if g.life != life {
+		if g.starts != start {
 			return
 		}
-		if s.hears(g) {
-			g.view = g.view.With(s.machine.DeltaSince(g.view.Revision))
+		if s.isConnected(g) {
+			g.catalog = g.catalog.With(s.machine.DeltaSince(g.catalog.Revision))
 		}
-		s.follow(g, life)
+		s.syncCatalog(g, start)
 	})
 }
 
 // tell has the gateway tell what it has seen.
-func (s *simulation) tell(g *simGateway, life int) {
+func (s *simulation) report(g *simGateway, start int) {
 	s.after(s.between(10, 20), func() {
-		if g.life != life {
+		if g.starts != start {
 			return
 		}
-		if news := g.guard.TakeReport(); s.hears(g) {
-			s.apply(directory.Command{Crashes: news.Crashes, Answered: news.Answered})
-			s.noteKnown(news)
-		} else if !news.IsEmpty() {
-			g.guard.RequeueReport(news)
+		if report := g.guard.TakeReport(); s.isConnected(g) {
+			s.apply(directory.Command{Crashes: report.Crashes, Answered: report.Answered})
+			s.recordReported(report)
+		} else if !report.IsEmpty() {
+			g.guard.RequeueReport(report)
 		}
-		s.tell(g, life)
+		s.report(g, start)
 	})
 }
 
 // noteKnown notes which backends' ends the directory has taken in.
-func (s *simulation) noteKnown(news quarantine.Report) {
-	for _, crash := range news.Crashes {
-		if _, known := s.knownAt[crash.Backend]; !known {
-			s.knownAt[crash.Backend] = s.now
+func (s *simulation) recordReported(report quarantine.Report) {
+	for _, crash := range report.Crashes {
+		if _, known := s.crashReportedAt[crash.Backend]; !known {
+			s.crashReportedAt[crash.Backend] = s.now
 		}
 	}
 }
 
 // mustKnow returns how many backends are away of which the gateway must know, and tells whether
 // it has been in touch for long enough.
-func (s *simulation) mustKnow(g *simGateway) (away int, inTouch bool) {
-	inTouch = s.now >= max(g.cutUntil, s.leaderAt, g.startedAt)+simNews
-	named := directory.NewCatalog().With(s.machine.DeltaSince(0))
-	for _, b := range named.Backends(simService) {
-		at, known := s.knownAt[b.ID]
-		if known && at+simNews <= s.now && named.HasCrashed(b.ID) {
-			away++
+func (s *simulation) knownUnavailable(g *simGateway) (unavailable int, connected bool) {
+	connected = s.now >= max(g.cutUntil, s.leaderSince, g.startedAt)+simMaxSyncDelay
+	catalog := directory.NewCatalog().With(s.machine.DeltaSince(0))
+	for _, b := range catalog.Backends(simService) {
+		at, known := s.crashReportedAt[b.ID]
+		if known && at+simMaxSyncDelay <= s.now && catalog.HasCrashed(b.ID) {
+			unavailable++
 		}
 	}
-	return away, inTouch
+	return unavailable, connected
 }
 
 // review is the leader's.
 func (s *simulation) review() {
-	if s.now >= s.leaderAt {
-		suspects := map[quarantine.Fingerprint]suspectAt{}
+	if s.now >= s.leaderSince {
+		suspects := map[quarantine.Fingerprint]suspectVersion{}
 		s.machine.Suspects(func(suspect quarantine.Suspect, revision uint64) {
-			suspects[suspect.Fingerprint] = suspectAt{suspect: suspect, revision: revision}
+			suspects[suspect.Fingerprint] = suspectVersion{suspect: suspect, revision: revision}
 		})
-		try, forget := s.clock.due(s.time(), suspects)
-		for _, one := range try {
-			s.apply(directory.Command{OfferTrial: &one})
+		offer, forget := s.tracker.due(s.time(), suspects)
+		for _, suspect := range offer {
+			s.apply(directory.Command{OfferTrial: &suspect})
 		}
-		for _, one := range forget {
-			s.apply(directory.Command{ForgetSuspect: &one})
+		for _, suspect := range forget {
+			s.apply(directory.Command{ForgetSuspect: &suspect})
 		}
 	}
 	s.after(reviewInterval.Milliseconds(), s.review)
 }
 
 func (s *simulation) startBackend(b *simBackend) {
-	s.started++
-	life := directory.Incarnation{Name: fmt.Sprint("b", s.started)}
-	if b.keepsName {
-		life = directory.Incarnation{Name: b.address, StartTime: s.now + 1}
+	s.backendStarts++
+	incarnation := directory.Incarnation{Name: fmt.Sprint("b", s.backendStarts)}
+	if b.keepsAddressAsName {
+		incarnation = directory.Incarnation{Name: b.address, StartTime: s.now + 1}
 	}
-	earlier := b.life
-	b.life, b.id, b.up, b.runs = life, life.ID(), true, map[*simRun]bool{}
-	s.register(b, life)
-	if b.keepsName && earlier.Name != "" {
+	previous := b.incarnation
+	b.incarnation, b.id, b.up, b.runs = incarnation, incarnation.ID(), true, map[*simRun]bool{}
+	s.register(b, incarnation)
+	if b.keepsAddressAsName && previous.Name != "" {
 		// A heartbeat of the life before comes late, after this one's or before it.
-		s.after(s.between(0, 3000), func() { s.put(b, earlier) })
+		s.after(s.between(0, 3000), func() { s.put(b, previous) })
 	}
 }
 
 // register has the backend's heartbeat reach the directory once there is a leader.
-func (s *simulation) register(b *simBackend, life directory.Incarnation) {
-	if b.life != life {
+func (s *simulation) register(b *simBackend, incarnation directory.Incarnation) {
+	if b.incarnation != incarnation {
 		return
 	}
-	if s.now < s.leaderAt {
-		s.after(s.leaderAt-s.now, func() { s.register(b, life) })
+	if s.now < s.leaderSince {
+		s.after(s.leaderSince-s.now, func() { s.register(b, incarnation) })
 		return
 	}
-	s.put(b, life)
+	s.put(b, incarnation)
 }
 
 // put registers a life of the backend.
-func (s *simulation) put(b *simBackend, life directory.Incarnation) {
-	backend := directory.Backend{Service: simService, Address: b.address, Slots: 1}.WithIncarnation(life)
+func (s *simulation) put(b *simBackend, incarnation directory.Incarnation) {
+	backend := directory.Backend{Service: simService, Address: b.address, Slots: 1}.WithIncarnation(incarnation)
 	s.apply(directory.Command{PutBackend: &backend})
 }
 
@@ -277,37 +279,37 @@
 	b.up = false
 	s.crashes++
 	if s.crashes == quarantine.CrashThreshold {
-		s.thirdAt = s.now
+		s.thresholdAt = s.now
 	}
 	for run := range b.runs {
-		if run.gateway.life == run.life {
+		if run.gateway.starts == run.gatewayStart {
 			run.gateway.guard.RecordCrash(run.subject, b.id, run.verdict)
 		}
-		s.after(1, func() { run.ended(false) })
+		s.after(1, func() { run.onEnd(false) })
 	}
 	s.after(s.between(800, 4000), func() { s.startBackend(b) })
 }
 
 // send sends a request to up to simAttempts backends, and calls done with whether it is served.
-func (s *simulation) send(g *simGateway, subject quarantine.Subject, left int, trial bool, done func(bool)) {
+func (s *simulation) send(g *simGateway, subject quarantine.Subject, attempts int, trial bool, done func(bool)) {
 	verdict := g.guard.CheckSubject(subject)
-	spared := forward.MaxSuspectBackends(g.view, g.guard, simService) <= 0
-	if verdict.Quarantined && verdict.TrialOffered && !trial && !spared {
+	noCapacity := forward.MaxSuspectBackends(g.catalog, g.guard, simService) <= 0
+	if verdict.Quarantined && verdict.TrialOffered && !trial && !noCapacity {
 		if trial = g.guard.TakeTrial(context.Background(), verdict.Fingerprint); trial {
-			left = 1
+			attempts = 1
 		}
 	}
 	b := s.choose(g, verdict.IsSuspect())
-	if verdict.Quarantined && !trial || left == 0 || !b.up || verdict.IsSuspect() && spared {
+	if verdict.Quarantined && !trial || attempts == 0 || !b.up || verdict.IsSuspect() && noCapacity {
 		done(false)
 		return
 	}
-	if away, inTouch := s.mustKnow(g); verdict.IsSuspect() && inTouch && away >= quarantine.MaxUnavailable(simBackends) {
-		s.overdrawn++
+	if unavailable, connected := s.knownUnavailable(g); verdict.IsSuspect() && connected && unavailable >= quarantine.MaxUnavailable(simBackends) {
+		s.overLimit++
 	}
-	run := &simRun{gateway: g, life: g.life, subject: subject, verdict: verdict}
-	run.ended = func(answered bool) {
-		if g.life != run.life {
+	run := &simRun{gateway: g, gatewayStart: g.starts, subject: subject, verdict: verdict}
+	run.onEnd = func(answered bool) {
+		if g.starts != run.gatewayStart {
 			done(false)
 			return
 		}
@@ -320,13 +322,13 @@
 			done(false)
 			return
 		}
-		s.send(g, subject, left-1, false, done)
+		s.send(g, subject, attempts-1, false, done)
 	}
 	b.runs[run] = true
 	id := b.id
-	if isDeadly(subject) {
-		if s.thirdAt > 0 && s.now > s.thirdAt+simLate && s.now >= g.touchedFrom {
-			s.late++
+	if isCrashing(subject) {
+		if s.thresholdAt > 0 && s.now > s.thresholdAt+simGracePeriod && s.now >= g.connectedFrom {
+			s.lateSends++
 		}
 		s.after(s.between(20, 150), func() {
 			if b.up && b.id == id {
@@ -338,7 +340,7 @@
 	s.after(s.between(10, 60), func() {
 		if b.up && b.id == id && b.runs[run] {
 			delete(b.runs, run)
-			run.ended(true)
+			run.onEnd(true)
 		}
 	})
 }
@@ -346,9 +348,9 @@
 // choose returns the backend for a request: for a suspect the first that is not away.
 func (s *simulation) choose(g *simGateway, suspect bool) *simBackend {
 	if suspect {
-		ends := forward.KnownCrashedBackends(g.view, g.guard)
+		crashed := forward.KnownCrashedBackends(g.catalog, g.guard)
 		for _, b := range s.backends {
-			if !ends.Has(b.id) {
+			if !crashed.Has(b.id) {
 				return b
 			}
 		}
@@ -357,28 +359,28 @@
 }
 
 // deadlyComes has the deadly request come again.
-func (s *simulation) deadlyComes() {
-	s.send(s.gateways[s.random.IntN(simGateways)], s.drawDeadly(), simAttempts, false, func(bool) {})
-	s.after(s.between(30, 1500), s.deadlyComes)
+func (s *simulation) sendCrashing() {
+	s.send(s.gateways[s.random.IntN(simGateways)], s.randomCrashingSubject(), simAttempts, false, func(bool) {})
+	s.after(s.between(30, 1500), s.sendCrashing)
 }
 
 // soundComes has a sound request come, and again until it is served.
-func (s *simulation) soundComes(number int) {
-	subject := s.sound(number)
+func (s *simulation) sendHarmless(number int) {
+	subject := s.harmlessSubject(number)
 	s.unserved[subject.Content] = s.now
-	var try func()
-	try = func() {
+	var attempt func()
+	attempt = func() {
 		s.send(s.gateways[s.random.IntN(simGateways)], subject, simAttempts, false, func(served bool) {
 			if served {
 				delete(s.unserved, subject.Content)
 				return
 			}
-			s.after(s.between(50, 400), try)
+			s.after(s.between(50, 400), attempt)
 		})
 	}
-	try()
+	attempt()
 	if s.now < simEnd {
-		s.after(s.between(10, 90), func() { s.soundComes(number + 1) })
+		s.after(s.between(10, 90), func() { s.sendHarmless(number + 1) })
 	}
 }
 
@@ -388,11 +390,11 @@
 	switch s.random.IntN(3) {
 	case 0:
 		g.cutUntil = s.now + s.between(500, 6000)
-		g.touchedFrom = g.cutUntil + simContact
+		g.connectedFrom = g.cutUntil + simMinConnected
 	case 1:
 		s.startGateway(g)
 	case 2:
-		s.clock, s.leaderAt = suspectClock{}, s.now+s.between(100, 1500)
+		s.tracker, s.leaderSince = suspectTracker{}, s.now+s.between(100, 1500)
 	}
 	s.after(s.between(500, 6000), s.fault)
 }
@@ -400,10 +402,10 @@
 func newSimulation(seed uint64) *simulation {
 	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 0)), machine: directory.NewMachine(), oneKind: seed%2 == 1,
-		unserved: map[quarantine.Fingerprint]int64{}, knownAt: map[string]int64{},
+		unserved: map[quarantine.Fingerprint]int64{}, crashReportedAt: map[string]int64{},
 	}
 	for number := range simBackends {
-		b := &simBackend{address: fmt.Sprint("address-", number), keepsName: number%2 == 0}
+		b := &simBackend{address: fmt.Sprint("address-", number), keepsAddressAsName: number%2 == 0}
 		s.startBackend(b)
 		s.backends = append(s.backends, b)
 	}
@@ -413,8 +415,8 @@
 		s.startGateway(g)
 	}
 	s.review()
-	s.soundComes(0)
-	s.after(s.between(0, 5000), s.deadlyComes)
+	s.sendHarmless(0)
+	s.after(s.between(0, 5000), s.sendCrashing)
 	s.after(s.between(0, 5000), s.fault)
 	return s
 }
@@ -429,7 +431,7 @@
 
 // simPatience is how long after the last sound request all are served, in milliseconds: a sound
 // one that was held back waits for a trial of its own.
-const simPatience = 15_000
+const simServeTimeout = 15_000
 
 var simSeeds = flag.Uint64("quarantine.seeds", 40, "seeds of the simulation of the quarantine")
 
@@ -439,10 +441,10 @@
 func TestQuarantineUnderFaults(t *testing.T) {
 	for seed := range *simSeeds {
 		s := newSimulation(seed)
-		s.runUntil(simEnd + simPatience)
+		s.runUntil(simEnd + simServeTimeout)
 		require.GreaterOrEqual(t, s.crashes, quarantine.CrashThreshold, "seed %d", seed)
-		require.LessOrEqual(t, s.late, 3, "seed %d: %d ended in all", seed, s.crashes)
-		require.Zero(t, s.overdrawn, "seed %d", seed)
+		require.LessOrEqual(t, s.lateSends, 3, "seed %d: %d ended in all", seed, s.crashes)
+		require.Zero(t, s.overLimit, "seed %d", seed)
 		require.Empty(t, s.unserved, "seed %d", seed)
 	}
 }
--- a/server/quarantine_test.go
+++ b/server/quarantine_test.go
@@ -12,43 +12,43 @@
 
 // TestSuspectsAreTriedAndForgottenInTime: waits count from when this leader learnt of the
 // suspect as it is; a new leader counts anew, and never too early.
-func TestSuspectsAreTriedAndForgottenInTime(t *testing.T) {
+func TestSuspectTrialAndExpiryTimes(t *testing.T) {
 	now := time.Now()
-	held := quarantine.Suspect{Fingerprint: "held", Crashes: quarantine.CrashThreshold}
-	doubtful := quarantine.Suspect{Fingerprint: "doubtful", Crashes: 1}
-	suspects := map[quarantine.Fingerprint]suspectAt{
-		"held": {suspect: held, revision: 1}, "doubtful": {suspect: doubtful, revision: 2},
+	quarantined := quarantine.Suspect{Fingerprint: "held", Crashes: quarantine.CrashThreshold}
+	suspected := quarantine.Suspect{Fingerprint: "doubtful", Crashes: 1}
+	suspects := map[quarantine.Fingerprint]suspectVersion{
+		"held": {suspect: quarantined, revision: 1}, "doubtful": {suspect: suspected, revision: 2},
 	}
-	clock := suspectClock{}
-	try, forget := clock.due(now, suspects)
-	require.Empty(t, try)
+	tracker := suspectTracker{}
+	offer, forget := tracker.due(now, suspects)
+	require.Empty(t, offer)
 	require.Empty(t, forget)
-	now = now.Add(held.TrialDelay(0))
-	try, forget = clock.due(now, suspects)
-	require.Len(t, try, 1)
-	require.Equal(t, quarantine.Fingerprint("held"), try[0].Fingerprint)
+	now = now.Add(quarantined.TrialDelay(0))
+	offer, forget = tracker.due(now, suspects)
+	require.Len(t, offer, 1)
+	require.Equal(t, quarantine.Fingerprint("held"), offer[0].Fingerprint)
 	require.Empty(t, forget)
-	suspects["held"] = suspectAt{suspect: held.WithTrialOffered(), revision: 3}
-	try, _ = clock.due(now.Add(time.Hour), suspects)
-	require.Empty(t, try, "a trial that nobody has taken is offered already")
-	_, forget = clock.due(now.Add(quarantine.ForgetAfter), suspects)
+	suspects["held"] = suspectVersion{suspect: quarantined.WithTrialOffered(), revision: 3}
+	offer, _ = tracker.due(now.Add(time.Hour), suspects)
+	require.Empty(t, offer, "a trial that nobody has taken is offered already")
+	_, forget = tracker.due(now.Add(quarantine.ForgetAfter), suspects)
 	require.Len(t, forget, 1)
 	require.Equal(t, quarantine.Fingerprint("doubtful"), forget[0].Fingerprint)
-	next := suspectClock{}
-	_, forget = next.due(now.Add(quarantine.ForgetAfter), suspects)
+	nextLeader := suspectTracker{}
+	_, forget = nextLeader.due(now.Add(quarantine.ForgetAfter), suspects)
 	require.Empty(t, forget)
 }
 
 // TestEarlyEndsWereSentEarly: what ended within the time, as the leader's reviews see it, was sent
 // before the users count.
-func TestEarlyEndsWereSentEarly(t *testing.T) {
-	require.Less(t, quarantine.CrashGracePeriod+2*reviewInterval, boundTime)
+func TestGracePeriodEndsBeforeBudgetApplies(t *testing.T) {
+	require.Less(t, quarantine.CrashGracePeriod+2*reviewInterval, sendBudgetDelay)
 }
 
 // TestEndsRightAfterTheThirdLeaveTheBoundWhole: a kind that ended one more backend within two seconds
 // of the third is tried three times, one that did so later, or whose third end this leader has not
 // seen come, twice.
-func TestEndsRightAfterTheThirdLeaveTheBoundWhole(t *testing.T) {
+func TestCrashesInGracePeriodAreExempt(t *testing.T) {
 	cases := []struct {
 		name      string
 		after     time.Duration
@@ -59,14 +59,14 @@
 		{name: "later", after: quarantine.CrashGracePeriod + time.Second, trials: 2},
 		{name: "a new leader", after: time.Second, newLeader: true, trials: 2},
 	}
-	for _, one := range cases {
-		now, clock, revision := time.Now(), suspectClock{}, uint64(0)
+	for _, test := range cases {
+		now, tracker, revision := time.Now(), suspectTracker{}, uint64(0)
 		suspect := quarantine.Suspect{}
 		due := func() bool {
-			try, _ := clock.due(now, map[quarantine.Fingerprint]suspectAt{"kind": {suspect: suspect, revision: revision}})
-			return len(try) > 0
+			offer, _ := tracker.due(now, map[quarantine.Fingerprint]suspectVersion{"kind": {suspect: suspect, revision: revision}})
+			return len(offer) > 0
 		}
-		end := func() {
+		recordCrash := func() {
 			revision++
 			crash := quarantine.Crash{
 				Fingerprint: "kind", Backend: fmt.Sprint(revision), Known: suspect.Crashes, Of: quarantine.Fingerprint(fmt.Sprint(revision / 4)),
@@ -74,13 +74,13 @@
 			suspect, _ = suspect.WithCrash(crash)
 			due()
 		}
-		end()
-		end()
-		end()
-		now = now.Add(one.after)
-		end()
-		if one.newLeader {
-			clock = suspectClock{}
+		recordCrash()
+		recordCrash()
+		recordCrash()
+		now = now.Add(test.after)
+		recordCrash()
+		if test.newLeader {
+			tracker = suspectTracker{}
 		}
 		trials := 0
 		for range 60 {
@@ -88,9 +88,9 @@
 			if due() {
 				trials++
 				suspect = suspect.WithTrialOffered().WithTrialTaken()
-				end()
+				recordCrash()
 			}
 		}
-		require.Equal(t, one.trials, trials, one.name)
+		require.Equal(t, test.trials, trials, test.name)
 	}
 }
--- a/server/held_sample.go
+++ b/server/quarantined_sample.go
@@ -10,9 +10,9 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// isHeldBack tells whether the task's sample crashes the engines that run it. Its trial, if one
-// is offered, is asked for beside the loop.
-func (t *tenure) isHeldBack(task *scheduler.Task) bool {
+// isQuarantined reports whether the task's sample is quarantined. If a trial is offered, it requests it
+// outside the event loop.
+func (t *tenure) isQuarantined(task *scheduler.Task) bool {
 	if t.guard.IsIdle() {
 		return false
 	}
@@ -26,13 +26,13 @@
 	}
 	if verdict.TrialOffered && !t.asking[verdict.Fingerprint] {
 		t.asking[verdict.Fingerprint] = true
-		go t.askForTrial(verdict)
+		go t.takeTrial(verdict)
 	}
 	return true
 }
 
-// isPostponed tells whether an engine has ended under the task's sample, and too many are away for
-// it to run on another one now.
+// isPostponed reports whether the task's sample is a suspect that must wait, because too many backends
+// are unavailable after crashes.
 func (t *tenure) isPostponed(task *scheduler.Task, services []string) bool {
 	if t.guard.IsIdle() {
 		task.KindSuspected = false
@@ -43,17 +43,17 @@
 	return verdict.IsSuspect() && t.forwarder.PostponesSuspects(t.catalog, services)
 }
 
-// askForTrial asks for a trial, which is the sample's alone also if it is that of its kind.
-func (t *tenure) askForTrial(verdict quarantine.Verdict) {
+// takeTrial requests a trial. A trial of a kind also permits only this sample.
+func (t *tenure) takeTrial(verdict quarantine.Verdict) {
 	if t.guard.TakeTrial(t.context, verdict.Fingerprint) {
 		t.guard.Permit(verdict.Subject.Content)
 	}
 	t.loop.Submit(func() { delete(t.asking, verdict.Fingerprint) })
 }
 
-// clearedFor returns what is known of a sample whose run begins, and whether the run is a trial:
-// a permit is used up.
-func (t *tenure) clearedFor(task *scheduler.Task) (verdict quarantine.Verdict, trial bool) {
+// checkBeforeRun returns the verdict on a sample that is about to run, and whether the run is a trial,
+// which uses up its permit.
+func (t *tenure) checkBeforeRun(task *scheduler.Task) (verdict quarantine.Verdict, trial bool) {
 	if t.guard.IsIdle() {
 		return quarantine.Verdict{}, false
 	}
@@ -62,30 +62,30 @@
 	return t.guard.CheckSubject(subject), trial
 }
 
-// guardedEngine runs samples and learns which of them crash the engines that run them. It
-// belongs to the runner, which is not lost with the leader.
+// guardedEngine runs samples and records which of them crash their engines. It belongs to the runner and
+// therefore survives a change of the leader.
 type guardedEngine struct {
-	engine   runner.Engine
-	guard    *quarantine.Guard
-	hasEnded func(ctx context.Context, backend directory.Backend) bool
+	engine     runner.Engine
+	guard      *quarantine.Guard
+	hasCrashed func(ctx context.Context, backend directory.Backend) bool
 }
 
-// judge returns what is known of the sample that is to run. The leader may know of more crashes
-// than the runner, and the other way round.
-func (g *guardedEngine) judge(request runner.Request, subject quarantine.Subject) quarantine.Verdict {
+// check returns the verdict on a sample that is about to run, with the higher of the crash counts known to
+// the leader and to the runner.
+func (g *guardedEngine) check(request runner.Request, subject quarantine.Subject) quarantine.Verdict {
 	verdict := g.guard.CheckSubject(subject)
 	verdict.KnownCrashes, verdict.KnownKindCrashes = max(verdict.KnownCrashes, request.KnownCrashes), max(verdict.KnownKindCrashes, request.KnownKindCrashes)
 	return verdict
 }
 
-// Run implements runner.Engine. A run that breaks off by the engine's end has crashed.
-func (g *guardedEngine) Run(ctx context.Context, request runner.Request, each func(runner.Event)) scheduler.RunEnd {
+// Run implements runner.Engine. It returns Crashed if the run broke off because the engine crashed.
+func (g *guardedEngine) Run(ctx context.Context, request runner.Request, onEvent func(runner.Event)) scheduler.RunEnd {
 	verdict := quarantine.Verdict{KnownCrashes: request.KnownCrashes, KnownKindCrashes: request.KnownKindCrashes}
 	if !g.guard.IsIdle() {
-		verdict = g.judge(request, scheduler.SubjectOf(request.Host, request.Tenant, request.Sample))
+		verdict = g.check(request, scheduler.SubjectOf(request.Host, request.Tenant, request.Sample))
 	}
-	end := g.engine.Run(ctx, request, each)
-	if end != scheduler.Broken || ctx.Err() != nil || !g.hasEnded(ctx, request.Backend) {
+	end := g.engine.Run(ctx, request, onEvent)
+	if end != scheduler.Broken || ctx.Err() != nil || !g.hasCrashed(ctx, request.Backend) {
 		return end
 	}
 	g.guard.RecordCrash(scheduler.SubjectOf(request.Host, request.Tenant, request.Sample), request.Backend.ID, verdict)
--- a/server/held_sample_test.go
+++ b/server/quarantined_sample_test.go
@@ -24,7 +24,7 @@
 // TestRunnerTellsACrashAsItsLeaderKnew: the leader has learnt of a crash that the runner has not
 // heard of yet, and sends the next sample of the kind. Both tell of its end, and whoever is heard
 // first, it counts.
-func TestRunnerTellsACrashAsItsLeaderKnew(t *testing.T) {
+func TestRunnerReportsCrashWithLeaderVerdict(t *testing.T) {
 	request := runner.Request{
 		Backend: directory.Backend{ID: "second"}, Host: "host", Sample: &ledger.Sample{ID: "two", Path: "/deadly"},
 	}
@@ -33,30 +33,30 @@
 		leader, follower := quarantine.NewGuard(quarantine.SharedRecord{}, clock.Now), quarantine.NewGuard(quarantine.SharedRecord{}, clock.Now)
 		leader.RecordCrash(quarantine.Subject{Content: "one", Kind: subject.Kind}, "first", quarantine.Verdict{})
 		follower.RecordCrash(quarantine.Subject{Content: "other", Kind: "other"}, "third", quarantine.Verdict{})
-		told := leader.TakeReport().Crashes
+		reported := leader.TakeReport().Crashes
 		verdict := leader.CheckSubject(subject)
 		request.KnownCrashes, request.KnownKindCrashes = verdict.KnownCrashes, verdict.KnownKindCrashes
-		hasEnded := func(context.Context, directory.Backend) bool { return true }
-		engine := guardedEngine{engine: brokenEngine{}, guard: follower, hasEnded: hasEnded}
+		hasCrashed := func(context.Context, directory.Backend) bool { return true }
+		engine := guardedEngine{engine: brokenEngine{}, guard: follower, hasCrashed: hasCrashed}
 		require.Equal(t, scheduler.Crashed, engine.Run(context.Background(), request, func(runner.Event) {}))
 		leader.RecordCrash(subject, "second", verdict)
 		if runnerFirst {
-			told = append(told, follower.TakeReport().Crashes...)
+			reported = append(reported, follower.TakeReport().Crashes...)
 		}
-		told = append(append(told, leader.TakeReport().Crashes...), follower.TakeReport().Crashes...)
+		reported = append(append(reported, leader.TakeReport().Crashes...), follower.TakeReport().Crashes...)
 		machine := directory.NewMachine()
-		machine.Apply(directory.Command{Crashes: told}.Encode())
+		machine.Apply(directory.Command{Crashes: reported}.Encode())
 		suspect, _, _ := machine.Suspect(subject.Kind)
 		require.Equal(t, 2, suspect.Crashes, "runner first: %v", runnerFirst)
 	}
 }
 
 // TestRunnerTellsACrashAsItKnewItself: a new leader may know less than the runner.
-func TestRunnerTellsACrashAsItKnewItself(t *testing.T) {
+func TestRunnerReportsCrashWithOwnVerdict(t *testing.T) {
 	subject := quarantine.Subject{Content: "one", Kind: "kind"}
 	guard := quarantine.NewGuard(quarantine.SharedRecord{}, clock.Now)
 	guard.RecordCrash(subject, "first", quarantine.Verdict{})
 	engine := guardedEngine{guard: guard}
-	verdict := engine.judge(runner.Request{}, subject)
+	verdict := engine.check(runner.Request{}, subject)
 	require.Equal(t, []int{1, 1}, []int{verdict.KnownCrashes, verdict.KnownKindCrashes})
 }
--- a/server/score.go
+++ b/server/score.go
@@ -112,10 +112,10 @@
 	}
 	if verdict := t.guard.CheckContent(request.Content()); verdict.KnownKindCrashes > 0 {
 		kind := verdict.Subject.Kind
-		if !t.turns.take(kind) {
+		if !t.turns.tryLock(kind) {
 			return forward.Result{Reason: forward.Postponed}
 		}
-		defer t.turns.leave(kind)
+		defer t.turns.unlock(kind)
 	}
 	return t.forwarder.Do(ctx, catalog, route, request)
 }
--- a/server/silence_test.go
+++ b/server/silence_test.go
@@ -10,11 +10,11 @@
 
 // TestBackendOutlivesALongSilence: a backend that was cut off for so long that it was taken out, and
 // never said that it leaves, serves again once it is heard.
-func TestBackendOutlivesALongSilence(t *testing.T) {
+func TestSilentBackendReturnsAfterRemoval(t *testing.T) {
 	replicas := startFleetDirectory(t)
 	backend := directory.Backend{ID: "b", Service: "s", Address: "10.0.0.1:80", Zone: "z", Slots: 6}
 	sequence := uint64(0)
-	isHeard := func() bool {
+	sendHeartbeat := func() bool {
 		sequence++
 		if _, err := replicas[0].Heartbeat(t.Context(), Heartbeat{Backend: backend, Sequence: sequence}); err != nil {
 			return false
@@ -22,8 +22,8 @@
 		_, registered := replicas[0].view.Load().Backend("b")
 		return registered
 	}
-	require.Eventually(t, isHeard, watchSoon, watchInterval)
-	isTakenOut := func() bool {
+	require.Eventually(t, sendHeartbeat, watchSoon, watchInterval)
+	removeBackend := func() bool {
 		for _, d := range replicas {
 			if d.Status().Leading {
 				_, err := d.execute(t.Context(), directory.Command{RemoveBackend: &directory.RemoveBackend{ID: "b"}})
@@ -32,11 +32,11 @@
 		}
 		return false
 	}
-	require.Eventually(t, isTakenOut, watchSoon, watchInterval)
-	isGone := func() bool {
+	require.Eventually(t, removeBackend, watchSoon, watchInterval)
+	isRemoved := func() bool {
 		_, registered := replicas[0].view.Load().Backend("b")
 		return !registered
 	}
-	require.Eventually(t, isGone, watchSoon, watchInterval)
-	require.Eventually(t, isHeard, watchSoon, watchInterval, "it is heard again, and well")
+	require.Eventually(t, isRemoved, watchSoon, watchInterval)
+	require.Eventually(t, sendHeartbeat, watchSoon, watchInterval, "it is heard again, and well")
 }
--- a/server/stop.go
+++ b/server/stop.go
@@ -141,7 +141,7 @@
 	limited, cancel := context.WithTimeout(context.Background(), clock.Until(g.plan.Load().tellBy))
 	defer cancel()
 	g.usage.finish(limited)
-	tellNews(limited, g.guard, g.watcher)
+	sendCrashReport(limited, g.guard, g.watcher)
 }
 
 // shutDown ends the server's connections, each after the answer that is being written. What is
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -53,7 +53,7 @@
 	// fresh tells whether the loop's state may be decided by.
 	fresh freshness
 	// awaited is the question about the directory whose end the loop looks at, or nil.
-	awaited *question
+	awaited *copyRefresh
 	// ordersAt is when loads were last looked for; the zero time has them looked for now.
 	ordersAt time.Time
 	// aheadAt is when runs ahead were last looked for.
@@ -63,7 +63,7 @@
 	// rewards bounds the reward calls under way.
 	rewards *rewardLimit
 	// turns lets reward calls of suspected kinds go one at a time.
-	turns *kindTurns
+	turns *kindLocks
 	// recordedPaces are those that the ledger holds, and pacesAt is when they were
 	// last looked at.
 	recordedPaces map[string]float64
@@ -288,7 +288,7 @@
 
 // servicesOf tells the services that may run the task's sample now.
 func (t *tenure) servicesOf(task *scheduler.Task) ([]string, bool) {
-	if t.isHeldBack(task) {
+	if t.isQuarantined(task) {
 		return nil, false
 	}
 	services, ok := t.routeOf(task)
--- a/server/tenure_copy.go
+++ b/server/tenure_copy.go
@@ -5,18 +5,18 @@
 // knows: its runs may be repeated.
 func (t *tenure) copyIsCurrent(now int64) bool {
 	switch t.watcher.age.state(now) {
-	case copyTooOld:
-		t.awaitQuestion(t.watcher.ask())
+	case copyStale:
+		t.awaitQuestion(t.watcher.startRefresh())
 		return false
-	case copyAging, copyOutOfTouch:
-		t.watcher.askAside()
+	case copyAging, copyUnreachable:
+		t.watcher.refreshInBackground()
 	}
 	// What an answer has brought is taken in by the loop.
 	return t.catalog == t.watcher.Catalog()
 }
 
 // awaitQuestion has the loop look again when the question has ended.
-func (t *tenure) awaitQuestion(asked *question) {
+func (t *tenure) awaitQuestion(asked *copyRefresh) {
 	if t.awaited == asked {
 		return
 	}
--- a/server/watch.go
+++ b/server/watch.go
@@ -57,9 +57,9 @@
 	// age tells whether the copy may be acted on, and followed what the lines of its watch prove;
 	// followed belongs to Run.
 	age      copyAge
-	followed watchProof
+	followed watchTracker
 	// asked is the question that is under way, or nil. The counters are of those that have ended.
-	asked                      *question
+	asked                      *copyRefresh
 	questions, questionsInVain atomic.Uint64
 	// outOfTouch is set once it was logged that no replica answers, until one does.
 	outOfTouch atomic.Bool
@@ -105,7 +105,7 @@
 			}
 			continue
 		}
-		w.followed.end()
+		w.followed.reset()
 		position++
 		failures++
 		awayFrom = clock.Now()
@@ -221,7 +221,7 @@
 		return err
 	}
 	asked := nowMillis()
-	w.followed.begin(asked, address)
+	w.followed.start(asked, address)
 	response, err := w.client.Do(request)
 	if err != nil {
 		return err
@@ -231,7 +231,7 @@
 		return replica.ErrUnavailable.New("%s answered %d", address, response.StatusCode)
 	}
 	noteHeard()
-	w.followed.noteHeard(nowMillis())
+	w.followed.recordReceived(nowMillis())
 	body, err := readWatch(response.Body, func() {
 		noteHeard()
 		w.syncedAt.Store(nowMillis())
@@ -257,16 +257,16 @@
 	switch {
 	case before.Revision == 0:
 		// A process that knows nothing is told all that was acknowledged when it asked.
-		w.age.noteProven(asked)
+		w.age.recordConfirmed(asked)
 	case proved:
-		w.age.noteProven(asked - lineProof.Milliseconds())
+		w.age.recordConfirmed(asked - maxLineAge.Milliseconds())
 	}
 }
 
 // noteLine takes in a line of the watch.
 func (w *Watcher) noteLine() {
-	if at, proves := w.followed.noteLine(nowMillis()); proves {
-		w.age.noteProven(at)
+	if at, proves := w.followed.recordLine(nowMillis()); proves {
+		w.age.recordConfirmed(at)
 	}
 }
 
--- a/server/watch_test.go
+++ b/server/watch_test.go
@@ -316,7 +316,7 @@
 	w := newTestWatcher(t, dark, address)
 	w.leader = dark
 	for range 3 {
-		limited, cancel := context.WithTimeout(t.Context(), crashTimeout)
+		limited, cancel := context.WithTimeout(t.Context(), crashReportTimeout)
 		answer, err := w.call(limited, directoryCall{Newest: true})
 		cancel()
 		require.NoError(t, err)
