--- a/server/backend_return_test.go
+++ b/server/backend_return_test.go
@@ -11,7 +11,7 @@
 	"github.com/dillchute/dillchute/upgrade"
 )
 
-// beating sends a backend's heartbeats to replicas of a directory.
+// heartbeatSender sends a backend's heartbeats to replicas of a directory.
 type heartbeatSender struct {
 	t        *testing.T
 	backend  directory.Backend
@@ -22,7 +22,7 @@
 	return &heartbeatSender{t: t, backend: directory.Backend{ID: id, Service: "s", Address: address, Zone: "z", Slots: 6}}
 }
 
-// beat sends the next heartbeat and tells whether the replica knows the backend as registered.
+// send sends the next heartbeat and reports whether the backend is registered at the replica.
 func (b *heartbeatSender) send(d *Directory) bool {
 	b.sequence++
 	if _, err := d.Heartbeat(b.t.Context(), Heartbeat{Backend: b.backend, Sequence: b.sequence}); err != nil {
@@ -36,16 +36,16 @@
 	return registered
 }
 
-// eventually waits for what takes far less than watchSoon.
-func eventually(t *testing.T, condition func() bool, why string) {
+// eventually requires that the condition holds within watchSoon.
+func eventually(t *testing.T, condition func() bool, message string) {
 	t.Helper()
-	require.Eventually(t, condition, watchSoon, watchInterval, why)
+	require.Eventually(t, condition, watchSoon, watchInterval, message)
 }
 
-// never requires that the condition does not come about for that long.
-func never(t *testing.T, duration time.Duration, condition func() bool, why string) {
+// never requires that the condition does not hold at any time during the duration.
+func never(t *testing.T, duration time.Duration, condition func() bool, message string) {
 	t.Helper()
-	require.Never(t, condition, duration, watchInterval, why)
+	require.Never(t, condition, duration, watchInterval, message)
 }
 
 // leaderOf returns the replica that leads and serves.
@@ -60,18 +60,18 @@
 			}
 		}
 		return false
-	}, "a replica leads")
+	}, "no replica leads")
 	return leader
 }
 
-// takeOut has the leader take the backend out as one that nobody hears.
+// removeSilent has the leader remove the backend as silent.
 func removeSilent(t *testing.T, members []*fleetMember, id string) {
 	t.Helper()
 	remove := directory.Command{RemoveBackend: &directory.RemoveBackend{ID: id}}
 	_, err := leaderOf(t, members).directory.execute(t.Context(), remove)
 	require.NoError(t, err)
 	for _, member := range members {
-		eventually(t, func() bool { return !isRegistered(member.directory, id) }, "it is out")
+		eventually(t, func() bool { return !isRegistered(member.directory, id) }, "the backend is not removed")
 	}
 }
 
@@ -85,7 +85,7 @@
 func awaitVersion(t *testing.T, members []*fleetMember) {
 	t.Helper()
 	for _, member := range members {
-		eventually(t, func() bool { return versionInUse(member.directory) == directory.KnownVersion }, "the version is raised")
+		eventually(t, func() bool { return versionInUse(member.directory) == directory.KnownVersion }, "the version is not raised")
 	}
 }
 
@@ -93,82 +93,83 @@
 
 func asCurrentBuild(*Directory) {}
 
-// asEarlierBuild has the replica know no version, as a build before there were any.
+// asEarlierBuild makes the replica report no version, like a build without versions.
 func asEarlierBuild(d *Directory) { d.versions.own = upgrade.VersionReport{} }
 
-// TestTwoHeartbeatsProveALife: one heartbeat, two that come together, two of the same number, and
-// two with a long silence between them prove nothing; two that come at their pace do.
+// TestReturnNeedsTwoHeartbeats checks that a backend returns only after two different heartbeats that are
+// neither too close nor too far apart.
 func TestReturnNeedsTwoHeartbeats(t *testing.T) {
 	const interval = time.Second
 	start := time.UnixMilli(0)
 	minGap := time.Duration(minReturnIntervals * float64(interval))
 	tracker := newReturnTracker()
 	require.False(t, tracker.record(start, "a", 7, interval))
-	require.False(t, tracker.record(start.Add(minGap-1), "a", 8, interval), "held up together")
-	require.False(t, tracker.record(start.Add(minGap), "a", 7, interval), "the same again")
+	require.False(t, tracker.record(start.Add(minGap-1), "a", 8, interval), "too close together")
+	require.False(t, tracker.record(start.Add(minGap), "a", 7, interval), "the same heartbeat again")
 	require.True(t, tracker.record(start.Add(minGap), "a", 8, interval))
 
 	require.False(t, tracker.record(start, "b", 7, interval))
-	require.False(t, tracker.record(start.Add(silentBeats*interval+1), "b", 8, interval), "too long ago")
+	require.False(t, tracker.record(start.Add(silentBeats*interval+1), "b", 8, interval), "too far apart")
 	require.True(t, tracker.record(start.Add(silentBeats*interval+1+minGap), "b", 9, interval))
 
 	require.False(t, tracker.record(start, "c", 7, interval))
 	tracker.forget("c")
-	require.False(t, tracker.record(start.Add(minGap), "c", 8, interval), "another one held its address meanwhile")
+	require.False(t, tracker.record(start.Add(minGap), "c", 8, interval), "the first heartbeat was dropped")
 }
 
-// TestLateHeartbeatsBringNobodyBack: a backend was taken out for its silence, and has ended. Its
-// heartbeats, which a cut has held up, come while another one lives at its address: that one stays.
+// TestLateHeartbeatsDoNotReplaceBackend checks that delayed heartbeats of a crashed backend, removed as
+// silent, do not replace the backend that now runs at its address.
 func TestLateHeartbeatsDoNotReplaceBackend(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
 	crashed, running := newHeartbeatSender(t, "ended", "10.0.0.1:80"), newHeartbeatSender(t, "living", "10.0.0.1:80")
 	awaitVersion(t, members)
-	eventually(t, func() bool { return crashed.send(d) }, "it registers")
+	eventually(t, func() bool { return crashed.send(d) }, "the backend does not register")
 	removeSilent(t, members, "ended")
-	eventually(t, func() bool { return running.send(d) }, "the next one at the address registers")
+	eventually(t, func() bool { return running.send(d) }, "the next backend at the address does not register")
 	never(t, 3*d.settings.HeartbeatInterval, func() bool {
 		running.send(d)
 		return crashed.send(d)
-	}, "the late one is not registered")
-	eventually(t, func() bool { return running.send(d) }, "the living one is there")
+	}, "the crashed backend is registered")
+	eventually(t, func() bool { return running.send(d) }, "the running backend is not registered")
 }
 
-// TestOneLateHeartbeatBringsNobodyBack: nobody is at the address, and one heartbeat comes late.
+// TestSingleLateHeartbeatDoesNotRegister checks that one delayed heartbeat does not register a removed
+// backend.
 func TestSingleLateHeartbeatDoesNotRegister(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
 	crashed := newHeartbeatSender(t, "ended", "10.0.0.1:80")
 	awaitVersion(t, members)
-	eventually(t, func() bool { return crashed.send(d) }, "it registers")
+	eventually(t, func() bool { return crashed.send(d) }, "the backend does not register")
 	removeSilent(t, members, "ended")
 	require.False(t, crashed.send(d))
-	never(t, 2*d.settings.HeartbeatInterval, func() bool { return isRegistered(d, "ended") }, "one proves nothing")
+	never(t, 2*d.settings.HeartbeatInterval, func() bool { return isRegistered(d, "ended") }, "one heartbeat registers the backend")
 }
 
-// TestWhoHasLeftStaysOut: a backend that has said that it leaves may go on sending heartbeats; it is
-// not registered again, also if it had fallen silent before.
+// TestBackendThatLeftIsNotRegisteredAgain checks that a backend which announced that it leaves is not
+// registered again by later heartbeats, even if it had been removed as silent before.
 func TestBackendThatLeftIsNotRegisteredAgain(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
 	left, silent := newHeartbeatSender(t, "left", "10.0.0.1:80"), newHeartbeatSender(t, "silent", "10.0.0.2:80")
 	awaitVersion(t, members)
-	eventually(t, func() bool { return left.send(d) && silent.send(d) }, "they register")
+	eventually(t, func() bool { return left.send(d) && silent.send(d) }, "the backends do not register")
 	removeSilent(t, members, "silent")
 	for _, id := range []string{"left", "silent"} {
 		require.NoError(t, d.Leave(t.Context(), directory.Incarnation{Name: id}))
-		eventually(t, func() bool { return !isRegistered(d, id) }, "it has left")
+		eventually(t, func() bool { return !isRegistered(d, id) }, "the backend is still registered after it left")
 	}
-	never(t, 3*d.settings.HeartbeatInterval, func() bool { return left.send(d) || silent.send(d) }, "they stay out")
+	never(t, 3*d.settings.HeartbeatInterval, func() bool { return left.send(d) || silent.send(d) }, "a backend that left is registered again")
 }
 
-// TestBackendOutAtOneLeaderIsHeardByTheNext: a backend was taken out for its silence, and the leader
-// that did so is gone as it is heard again.
+// TestRemovedBackendReturnsToNextLeader checks that a removed backend returns after the leader that removed
+// it has stopped.
 func TestRemovedBackendReturnsToNextLeader(t *testing.T) {
 	members := startMembers(t, unprepared)
 	backend := newHeartbeatSender(t, "b", "10.0.0.1:80")
 	awaitVersion(t, members)
-	eventually(t, func() bool { return backend.send(members[0].directory) }, "it registers")
+	eventually(t, func() bool { return backend.send(members[0].directory) }, "the backend does not register")
 	removeSilent(t, members, "b")
 	previous := leaderOf(t, members)
 	previous.stop()
@@ -179,13 +180,12 @@
 		}
 	}
 	next := leaderOf(t, others)
-	eventually(t, func() bool { return backend.send(next.directory) }, "it is heard by the next")
+	eventually(t, func() bool { return backend.send(next.directory) }, "the next leader does not register the backend")
 	previous.startAgain(t, asCurrentBuild)
-	eventually(t, func() bool { return isRegistered(previous.directory, "b") }, "the earlier one learns of it")
+	eventually(t, func() bool { return isRegistered(previous.directory, "b") }, "the restarted replica does not receive the backend")
 }
 
-// TestSilenceOfAllEnds: all backends of a directory fall silent, are taken out by its own review, and
-// come back with their own heartbeats.
+// TestAllSilentBackendsReturn checks that backends return after all of them were removed as silent.
 func TestAllSilentBackendsReturn(t *testing.T) {
 	members := startMembers(t, func(_ int, d *Directory) { d.settings.HeartbeatInterval = 50 * time.Millisecond })
 	d := members[0].directory
@@ -201,12 +201,12 @@
 		return allRegistered
 	}
 	awaitVersion(t, members)
-	eventually(t, sendAll, "they register")
-	eventually(t, func() bool { return d.view.Load().BackendCount() == 0 }, "they are taken out")
-	eventually(t, sendAll, "they are back")
+	eventually(t, sendAll, "the backends do not register")
+	eventually(t, func() bool { return d.view.Load().BackendCount() == 0 }, "the backends are not removed")
+	eventually(t, sendAll, "the backends do not return")
 }
 
-// mixedMembers runs the replicas of a directory of which one, that does not lead, is of an earlier build.
+// mixedMembers starts the replicas of a directory, of which one that does not lead is of an earlier build.
 func mixedMembers(t *testing.T, prepare func(d *Directory)) (members []*fleetMember, outdated *fleetMember) {
 	prepareOutdated := func(d *Directory) {
 		prepare(d)
@@ -225,60 +225,59 @@
 	return members, outdated
 }
 
-// TestNobodyIsTakenOutForGoodInAMixedFleet: while one that is taken out could not return, a backend that
-// is not heard for long is only used last, and is itself again once it is heard.
+// TestSilentBackendIsKeptInMixedFleet checks that a silent backend is only marked, not removed, while a
+// member of an earlier build would not let it return.
 func TestSilentBackendIsKeptInMixedFleet(t *testing.T) {
 	members, _ := mixedMembers(t, func(d *Directory) { d.settings.HeartbeatInterval = 50 * time.Millisecond })
 	backend := newHeartbeatSender(t, "b", "10.0.0.1:80")
 	d := leaderOf(t, members).directory
-	eventually(t, func() bool { return backend.send(d) }, "it registers")
+	eventually(t, func() bool { return backend.send(d) }, "the backend does not register")
 	isSilent := func() bool {
 		known, registered := d.view.Load().Backend("b")
 		return registered && known.Silent
 	}
-	eventually(t, isSilent, "it is not heard")
-	never(t, goneBeats*d.settings.HeartbeatInterval, func() bool { return !isSilent() }, "it is used last, and not taken out")
-	eventually(t, func() bool { return backend.send(d) }, "it is heard")
+	eventually(t, isSilent, "the backend is not marked silent")
+	never(t, goneBeats*d.settings.HeartbeatInterval, func() bool { return !isSilent() }, "the backend is removed or no longer silent")
+	eventually(t, func() bool { return backend.send(d) }, "the heartbeat is not recorded")
 	eventually(t, func() bool {
 		known, _ := d.view.Load().Backend("b")
 		return !known.Silent
-	}, "it is itself again")
+	}, "the backend is still marked silent")
 }
 
-// TestVersionWaitsForAllMembers: while a member is of a build that does not know the newest version,
-// commands keep their earlier meaning for all; once it runs this build, the version is raised, under
-// whichever leader, and stays.
+// TestVersionWaitsForAllMembers checks that the version is not raised while a member is of an earlier build,
+// and removed backends do not return until then.
 func TestVersionWaitsForAllMembers(t *testing.T) {
 	members, outdated := mixedMembers(t, asCurrentBuild)
 	backend := newHeartbeatSender(t, "b", "10.0.0.1:80")
 	d := leaderOf(t, members).directory
-	eventually(t, func() bool { return backend.send(d) }, "it registers")
+	eventually(t, func() bool { return backend.send(d) }, "the backend does not register")
 	isRaised := func() bool {
 		return slices.ContainsFunc(members, func(member *fleetMember) bool { return versionInUse(member.directory) > 0 })
 	}
-	never(t, upgrade.ReportTTL, isRaised, "one member does not know it")
+	never(t, upgrade.ReportTTL, isRaised, "the version is raised although one member does not know it")
 	removeSilent(t, members, "b")
-	never(t, 2*d.settings.HeartbeatInterval, func() bool { return backend.send(d) }, "it stays out as before")
+	never(t, 2*d.settings.HeartbeatInterval, func() bool { return backend.send(d) }, "the removed backend returns before the version is raised")
 	require.False(t, isRaised())
 	outdated.startAgain(t, asCurrentBuild)
 	awaitVersion(t, members)
 	other := newHeartbeatSender(t, "c", "10.0.0.2:80")
-	eventually(t, func() bool { return other.send(d) }, "another one registers")
+	eventually(t, func() bool { return other.send(d) }, "another backend does not register")
 	removeSilent(t, members, "c")
-	eventually(t, func() bool { return other.send(d) }, "it comes back")
+	eventually(t, func() bool { return other.send(d) }, "the removed backend does not return")
 }
 
-// TestBackendReturnsToItsAddress: a late heartbeat of a backend that has ended took the address of one
-// that was not heard for a moment. The living one is heard again, and the other one is not.
+// TestBackendReclaimsItsAddress checks that a running backend gets its address back after a delayed heartbeat
+// of a crashed one has taken it.
 func TestBackendReclaimsItsAddress(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
 	running, crashed := newHeartbeatSender(t, "living", "10.0.0.1:80"), newHeartbeatSender(t, "ended", "10.0.0.1:80")
 	awaitVersion(t, members)
-	eventually(t, func() bool { return running.send(d) }, "it registers")
-	// It is not heard now until the other one is taken in.
-	eventually(t, func() bool { return crashed.send(d) }, "the late heartbeat takes the address")
-	eventually(t, func() bool { return !isRegistered(d, "living") }, "it is out")
-	eventually(t, func() bool { return running.send(d) }, "it has its address again")
+	eventually(t, func() bool { return running.send(d) }, "the backend does not register")
+	// The running backend is silent until the crashed one is registered.
+	eventually(t, func() bool { return crashed.send(d) }, "the delayed heartbeat does not take the address")
+	eventually(t, func() bool { return !isRegistered(d, "living") }, "the backend is not removed")
+	eventually(t, func() bool { return running.send(d) }, "the running backend does not get its address back")
 	require.False(t, isRegistered(d, "ended"))
 }
--- a/server/copy_refresh_test.go
+++ b/server/copy_refresh_test.go
@@ -24,13 +24,13 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// standingDirectory is a directory whose watches stand still: they say nothing. It answers calls.
+// stalledDirectory is a directory whose watches send nothing, but which answers calls.
 type stalledDirectory struct {
 	address      string
 	mutex        sync.Mutex
 	machine      *directory.Machine
 	refreshCalls atomic.Int64
-	// answers, if it is set, holds answers back until it is closed.
+	// releaseAnswers, if not nil, delays answers until it is closed.
 	releaseAnswers chan struct{}
 }
 
@@ -67,7 +67,7 @@
 
 func (d *stalledDirectory) answer(response http.ResponseWriter, call directoryCall) {
 	if call.Missed == nil {
-		http.Error(response, "not asked for here", http.StatusServiceUnavailable)
+		http.Error(response, "unsupported call", http.StatusServiceUnavailable)
 		return
 	}
 	d.refreshCalls.Add(1)
@@ -80,13 +80,13 @@
 	writeCBOR(response, directoryAnswer{Leader: d.address, Revision: delta.Revision, Missed: &delta})
 }
 
-// drain has the directory acknowledge that the backend leaves.
+// drain records that the backend is draining.
 func (d *stalledDirectory) drain(backend directory.Backend) {
 	backend.Draining = true
 	d.apply(directory.Command{PutBackend: &backend})
 }
 
-// tellAll has the watcher hold all of the directory, proven now.
+// sync updates the watcher's copy, and confirms it as of now.
 func (d *stalledDirectory) sync(w *Watcher) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -98,11 +98,11 @@
 	return directory.Backend{ID: id, Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", id[0]), Zone: "z", Slots: 1, Models: []directory.ModelVersion{{Model: "m", Version: 1}}}
 }
 
-// sentBackends is a client that notes to which backends was sent.
+// recordingClient records the backends that requests are sent to.
 type recordingClient struct {
 	mutex sync.Mutex
 	ids   []string
-	// during is called with the number of the send while it is under way.
+	// onSend is called during each send with its number.
 	onSend  func(number int)
 	outcome forward.Outcome
 }
@@ -118,7 +118,7 @@
 	return forward.Attempt{Outcome: s.outcome, Response: forward.Response{Status: http.StatusOK}}
 }
 
-// standingGateway returns a gateway whose watch stands still after it has told all.
+// newStalledGateway returns a gateway with a complete copy, whose watch has stalled since.
 func newStalledGateway(t *testing.T, d *stalledDirectory, client forward.Client, seeds ...string) *Gateway {
 	gateway := newTestGateway(clock.Now())
 	w := newTestWatcher(t, seeds...)
@@ -130,15 +130,15 @@
 	return gateway
 }
 
-// pass has the gateway match and pass on a request.
+// forwardRequest has the gateway match and forward a request.
 func forwardRequest(t *testing.T, gateway *Gateway) forward.Result {
 	route, catalog, err := gateway.Match(t.Context(), "h", "/")
 	require.NoError(t, err)
 	return gateway.Forward(t.Context(), catalog, route, &forward.Request{Method: http.MethodPost, Host: "h", Target: "/", Header: http.Header{}})
 }
 
-// TestGatewayAsksBeforeItSendsByAnOldCopy: a gateway whose watch stands still sends nothing to a
-// backend whose leaving was acknowledged longer ago than the limit, while any replica answers.
+// TestGatewayRefreshesStaleCopyBeforeSending checks that a gateway with a stalled watch sends nothing to a
+// backend that left before its copy became stale, while any replica answers.
 func TestGatewayRefreshesStaleCopyBeforeSending(t *testing.T) {
 	for name, kind := range map[string]routing.Kind{"repeatable": routing.Repeatable, "once only": routing.Unrepeatable} {
 		t.Run(name, func(t *testing.T) {
@@ -154,7 +154,7 @@
 				require.NotNil(t, forwardRequest(t, gateway).Response)
 			}
 			require.NotContains(t, client.ids, "a")
-			require.Equal(t, int64(1), d.refreshCalls.Load(), "the answer holds until the copy is old again")
+			require.Equal(t, int64(1), d.refreshCalls.Load(), "a refresh is not repeated while the copy is fresh")
 			d.drain(testBackend("b"))
 			source.Suspend(testCopyLimit)
 			require.Equal(t, forward.NoBackend, forwardRequest(t, gateway).Reason)
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestRepeatedSendGoesByTheNewestCopy: a request is not sent again to a backend that has left since
-// the request came.
+// TestRetryUsesNewestCopy checks that a request is not retried on a backend that left after the request
+// arrived.
 func TestRetryUsesNewestCopy(t *testing.T) {
 	d := newStalledDirectory(t, routing.Repeatable, testBackend("a"), testBackend("b"))
 	client := &recordingClient{outcome: forward.Refused}
@@ -178,7 +178,7 @@
 	require.Len(t, client.ids, 1)
 }
 
-// TestFreshCopyAsksNothing: nobody is asked while the copy is fresh.
+// TestFreshCopyIsNotRefreshed checks that requests start no refresh while the copy is fresh.
 func TestFreshCopyIsNotRefreshed(t *testing.T) {
 	d := newStalledDirectory(t, routing.Repeatable, testBackend("a"))
 	client := &recordingClient{outcome: forward.Answered}
@@ -190,7 +190,7 @@
 	require.Zero(t, d.refreshCalls.Load())
 }
 
-// TestOneQuestionServesAllRequests: all requests that wait for the copy share one question.
+// TestConcurrentRequestsShareRefresh checks that concurrent requests wait for the same refresh.
 func TestConcurrentRequestsShareRefresh(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
@@ -210,8 +210,8 @@
 	require.Equal(t, int64(1), d.refreshCalls.Load())
 }
 
-// TestCutOffGatewayServesWhatMayBeRepeated: a gateway that reaches no replica serves by the newest
-// copy that it has, but for requests that must run at most once: they are refused as not run.
+// TestUnreachableDirectoryRefusesUnrepeatable checks that a gateway which reaches no replica serves
+// repeatable requests from its stale copy and rejects others without running them.
 func TestUnreachableDirectoryRefusesUnrepeatable(t *testing.T) {
 	for name, test := range map[string]struct {
 		kind   routing.Kind
@@ -243,8 +243,7 @@
 	}
 }
 
-// TestWatchAnswerFromBeforeIsDropped: what a watch brings that began before a question's answer
-// does not undo it.
+// TestOutdatedWatchAnswerIsDropped checks that the answer to a watch does not overwrite a later refresh.
 func TestOutdatedWatchAnswerIsDropped(t *testing.T) {
 	d := newStalledDirectory(t, routing.Repeatable, testBackend("a"))
 	w := newTestWatcher(t, d.address)
@@ -259,7 +258,7 @@
 	require.True(t, known.Draining)
 }
 
-// countedRuns is an engine client that notes on which engines runs have begun.
+// recordingEngine sends the IDs of the backends on which runs start, and rejects the runs.
 type recordingEngine struct{ started chan string }
 
 func (c recordingEngine) Run(_ context.Context, request runner.Request, _ func(runner.Event)) scheduler.RunEnd {
@@ -267,8 +266,8 @@
 	return scheduler.Rejected
 }
 
-// standingTenure returns a leadership with a step to run and an open link to a runner, whose watch
-// stands still after it has told all.
+// newStalledTenure returns a leadership with a step to run, a connected runner and a complete copy, whose
+// watch has stalled since.
 func newStalledTenure(t *testing.T, d *stalledDirectory, runs recordingEngine, seeds ...string) *tenure {
 	logger := zerolog.Nop()
 	w := newTestWatcher(t, seeds...)
@@ -299,15 +298,15 @@
 	return tenured
 }
 
-// flush has the leadership look for what may begin, with a state that is fresh but for its copy.
+// flush has the leadership start runs, with a state that is fresh except for its copy.
 func flush(t *testing.T, tenured *tenure) {
 	tenured.fresh.confirmedAt.Store(nowMillis())
 	tenured.ordersAt = time.Now()
 	require.NoError(t, tenured.flush())
 }
 
-// TestRunnerBeginsNothingByAnOldCopy: a leader whose watch stands still has no run begin on an engine
-// whose leaving was acknowledged longer ago than the limit.
+// TestStaleCopyStartsNoRuns checks that a leader with a stalled watch starts no run on an engine that left
+// before its copy became stale.
 func TestStaleCopyStartsNoRuns(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
@@ -320,14 +319,14 @@
 	require.NotNil(t, tenured.awaited)
 	<-tenured.awaited.done
 	flush(t, tenured)
-	require.Empty(t, tenured.cancels, "what the answer has brought is taken in first")
+	require.Empty(t, tenured.cancels, "the refreshed copy is applied first")
 	known, _ := tenured.watcher.Catalog().Backend("a")
 	require.True(t, known.Draining)
 	require.Empty(t, runs.started)
 }
 
-// TestRunnerBeginsByAFreshCopy: a leader has runs begin while its copy is fresh, and after a question
-// that has brought nothing new.
+// TestFreshCopyStartsRuns checks that a leader starts runs while its copy is fresh, and after a refresh
+// without changes.
 func TestFreshCopyStartsRuns(t *testing.T) {
 	for name, suspended := range map[string]time.Duration{"fresh": 0, "asked for": testCopyLimit} {
 		t.Run(name, func(t *testing.T) {
@@ -342,15 +341,15 @@
 				return len(tenured.cancels) == 1
 			}, watchSoon, watchInterval)
 			if suspended == 0 {
-				// A runner that woke as well takes in no start from before.
+				// A runner that was suspended as well ignores starts from before.
 				require.Equal(t, "a", <-runs.started)
 			}
 		})
 	}
 }
 
-// TestCutOffLeaderGoesOn: a leader that reaches no replica of the directory has runs begin by the
-// newest copy that it has.
+// TestUnreachableDirectoryStartsRuns checks that a leader which reaches no replica of the directory starts
+// runs from its stale copy.
 func TestUnreachableDirectoryStartsRuns(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
@@ -366,8 +365,8 @@
 	require.Positive(t, tenured.watcher.questionsInVain.Load())
 }
 
-// TestAnyReplicaTellsWhatACopyMisses: a question reaches the directory's leader through whichever
-// replica is known, and brings what has changed.
+// TestRefreshThroughAnyReplica checks that a refresh through any replica returns what the directory's
+// leader has acknowledged.
 func TestRefreshThroughAnyReplica(t *testing.T) {
 	replicas := startFleetDirectory(t)
 	backend := testBackend("a")
@@ -397,7 +396,7 @@
 	for _, w := range watchers {
 		require.Eventually(t, func() bool { return w.refreshCopy(t.Context()) == nil }, watchSoon, watchInterval)
 		known, _ := w.Catalog().Backend("a")
-		require.True(t, known.Draining, "one answer brings it")
+		require.True(t, known.Draining, "one refresh returns the change")
 	}
 }
 
@@ -411,9 +410,8 @@
 	}
 }
 
-// TestAnswersOfWatchesProve: where changes come without a pause, a watch has no lines that prove
-// anything. A replica that is known to hold everything says so with its answers, at once or after
-// a line, and the copy does not grow old.
+// TestWatchAnswersConfirmCopy checks that answers of a confirmed replica keep the copy fresh. While changes
+// arrive without pause, watches have no lines that could do so.
 func TestWatchAnswersConfirmCopy(t *testing.T) {
 	for _, held := range []bool{false, true} {
 		for _, proved := range []bool{false, true} {
@@ -442,8 +440,8 @@
 	}
 }
 
-// TestLeaderOfAnEarlierBuildProvesTheCopy: such a leader answers a question with the confirmed
-// revision alone. A copy that has reached it holds everything; of one that has not, nothing is known.
+// TestRefreshFromEarlierBuild checks that an answer with only the confirmed revision confirms a copy that has
+// reached it, and no other.
 func TestRefreshFromEarlierBuild(t *testing.T) {
 	for newer, want := range map[uint64]copyState{0: copyFresh, 1: copyUnreachable} {
 		server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
--- a/server/quarantine_bound_test.go
+++ b/server/quarantine_bound_test.go
@@ -17,16 +17,18 @@
 	"github.com/dillchute/dillchute/runner"
 )
 
-// The world here plays a ledger's leaders, their runner, the directory and engines, in any order
-// and in virtual time. Some samples end each engine that runs them, with all that runs there; the
-// leader changes, and the next one has what the directory knows and adopts the runs under way.
+// The model runs the leaders of a ledger, its runners, the directory and engines in random order and virtual
+// time. Some samples crash each engine that runs them, and so end all runs on it. A new leader starts from
+// the directory's record and adopts the running samples.
 
 const (
 	modelEngineCount = 4
 	modelRunnerCount = 2
-	// boundDeadly and boundSound are the numbers of samples that end engines and of others.
+	// crashingSampleCount and harmlessSampleCount are the numbers of samples that crash engines and
+	// that do not.
 	crashingSampleCount, harmlessSampleCount = 4, 3
-	// boundSends is how many sends the users allow later than boundTime after the third end.
+	// sendBudget is the maximum number of sends later than sendBudgetDelay after the threshold was
+	// reached.
 	sendBudget      = 3
 	sendBudgetDelay = 3 * time.Second
 )
@@ -37,14 +39,14 @@
 	run      *modelRun
 }
 
-// boundRun is a run under way, as its leader and its runner know it.
+// modelRun is a running sample.
 type modelRun struct {
 	sample *modelSample
 	engine *modelEngine
 	runner *quarantine.Guard
-	// leaderKnew and runnerKnew are what was known as the run began.
+	// leaderVerdict and runnerVerdict are those on which the run started.
 	leaderVerdict, runnerVerdict quarantine.Verdict
-	// suspected is set if engines had ended under the kind as the run began.
+	// suspected is set if the kind had crashes when the run started.
 	suspected bool
 }
 
@@ -64,9 +66,9 @@
 	engines     []*modelEngine
 	samples     []*modelSample
 	engineCount int
-	// after counts the sends since the last answer whose leader knew of three ends.
+	// budgetedSends counts the sends that use up the budget, since the last response.
 	budgetedSends map[quarantine.Fingerprint]int
-	// thirdAt holds when the directory heard of the third end.
+	// thresholdAt is when the directory recorded the crash that reached the threshold.
 	thresholdAt map[quarantine.Fingerprint]time.Time
 }
 
@@ -121,7 +123,7 @@
 	return result
 }
 
-// tell has the directory hear a process's news.
+// report applies a guard's report to the directory.
 func (m *quarantineModel) report(guard *quarantine.Guard) {
 	report := guard.TakeReport()
 	m.apply(directory.Command{Crashes: report.Crashes, Answered: report.Answered})
@@ -137,12 +139,12 @@
 	}
 }
 
-// learn has the processes hear of the directory's record.
+// syncCatalog updates the processes' copy of the directory.
 func (m *quarantineModel) syncCatalog() {
 	m.catalog = m.catalog.With(m.machine.DeltaSince(m.catalog.Revision))
 }
 
-// send sends a sample to an engine, if it may be sent.
+// send sends a sample to an engine if that is allowed.
 func (m *quarantineModel) send() {
 	sample := rapid.SampledFrom(m.samples).Draw(m.t, "sample")
 	if sample.run != nil {
@@ -168,7 +170,7 @@
 	sample.run = run
 }
 
-// triesKind tells whether a sample of the kind runs that was suspected as its run began.
+// runsSuspectedKind reports whether a sample of the kind is running that was suspected when its run started.
 func (m *quarantineModel) runsSuspectedKind(kind quarantine.Fingerprint) bool {
 	for _, sample := range m.samples {
 		if sample.run != nil && sample.run.suspected && sample.subject.Kind == kind {
@@ -178,10 +180,10 @@
 	return false
 }
 
-// count holds the send to the bound.
+// checkSend checks the send against the budget.
 func (m *quarantineModel) checkSend(subject quarantine.Subject, trial bool) {
 	content, kind := m.catalog.Suspects[subject.Content], m.catalog.Suspects[subject.Kind]
-	require.False(m.t, content.Crashes >= quarantine.CrashThreshold && !trial, "%s was sent after its third end", subject.Content)
+	require.False(m.t, content.Crashes >= quarantine.CrashThreshold && !trial, "%s was sent after it reached the crash threshold", subject.Content)
 	for _, suspect := range []quarantine.Suspect{content, kind} {
 		if m.now.Sub(m.thresholdAt[suspect.Fingerprint]) <= sendBudgetDelay {
 			continue
@@ -193,7 +195,7 @@
 	}
 }
 
-// end ends the engine with all that runs there. Runner and leader are heard in any order.
+// crashEngine crashes the engine with all its runs. The leader and the runners report it in any order.
 func (m *quarantineModel) crashEngine(engine *modelEngine) {
 	for _, run := range engine.runs {
 		run.sample.run = nil
@@ -207,7 +209,7 @@
 	}
 }
 
-// crash ends an engine that runs a deadly sample.
+// crashByRun crashes an engine if it runs a crashing sample.
 func (m *quarantineModel) crashByRun() {
 	engine := rapid.SampledFrom(m.engines).Draw(m.t, "engine")
 	for _, run := range engine.runs {
@@ -218,7 +220,7 @@
 	}
 }
 
-// answer has an engine answer a sound sample.
+// respond completes a harmless run.
 func (m *quarantineModel) respond() {
 	engine := rapid.SampledFrom(m.engines).Draw(m.t, "engine")
 	for position, run := range engine.runs {
@@ -233,7 +235,7 @@
 	}
 }
 
-// lead has another process lead, which adopts the runs. It takes longer than news of the directory.
+// changeLeader starts a new leader, which adopts the running samples. It has received the latest directory.
 func (m *quarantineModel) changeLeader() {
 	m.syncCatalog()
 	m.leader = m.newGuard()
@@ -246,7 +248,7 @@
 	}
 }
 
-// wait lets time pass, and has the directory's leader offer trials.
+// advance advances the time, with reviews of the directory's leader.
 func (m *quarantineModel) advance() {
 	for range rapid.IntRange(1, 32).Draw(m.t, "reviews") {
 		m.now = m.now.Add(reviewInterval)
@@ -255,7 +257,7 @@
 	m.syncCatalog()
 }
 
-// review is that of the directory's leader.
+// review is the review of the directory's leader.
 func (m *quarantineModel) review() {
 	suspects := map[quarantine.Fingerprint]suspectVersion{}
 	m.machine.Suspects(func(suspect quarantine.Suspect, revision uint64) {
@@ -267,7 +269,7 @@
 	}
 }
 
-// lose has engines end together, by a loss of power.
+// crashTogether crashes several engines, as a loss of power does.
 func (m *quarantineModel) crashTogether() {
 	for _, engine := range m.engines {
 		if rapid.Bool().Draw(m.t, "lost") {
@@ -276,10 +278,10 @@
 	}
 }
 
-// boundCases is how many cases are drawn at the least: fewer miss what takes several ends in turn.
+// minCases is the minimum number of cases: fewer rarely reach sequences of several crashes.
 const minCases = 10_000
 
-// checkOften checks the property with boundCases cases or more.
+// checkWithMinCases checks the property with at least minCases cases.
 func checkWithMinCases(t *testing.T, property func(*rapid.T)) {
 	checks := flag.Lookup("rapid.checks")
 	previous := checks.Value.String()
@@ -290,22 +292,20 @@
 	rapid.Check(t, property)
 }
 
-// TestNothingIsSentBeyondTheBound: whatever the order of ends, answers, leaders, losses and steps
-// that come again, and whatever shares an engine, a leader that knows of the third end under a
-// sample, or under samples of its kind, sends three more at the most.
+// TestNothingIsSentBeyondTheBound checks that, in any order of events, a leader that knows that a content or
+// a kind has reached the threshold sends it at most sendBudget more times.
 func TestNothingIsSentBeyondTheBound(t *testing.T) {
 	checkWithMinCases(t, checkSendBudget)
 }
 
-// TestSendsAfterLossesKeepToTheBound is the same for one case, drawn by another seed, in which engines
-// are lost between trials.
+// TestSendBudgetAfterEngineLosses replays a saved case in which engines crash together between trials.
 func TestSendBudgetAfterEngineLosses(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.failfile", "testdata/bound-after-losses.fail"))
 	defer func() { require.NoError(t, flag.Set("rapid.failfile", "")) }()
 	rapid.Check(t, checkSendBudget)
 }
 
-// keepToTheBound plays a world of its own.
+// checkSendBudget runs random actions on a model, whose sends check the budget.
 func checkSendBudget(t *rapid.T) {
 	m := newQuarantineModel(t)
 	actions := map[string]func(){
--- a/server/quarantine_simulation_test.go
+++ b/server/quarantine_simulation_test.go
@@ -17,26 +17,25 @@
 	"github.com/dillchute/dillchute/quarantine"
 )
 
-// The simulation here plays gateways, the directory and backends in virtual time, with the
-// quarantine's real cores: the directory's machine, each gateway's guard, the room for suspects,
-// and the leader's clock of suspects. Deadly requests come again and again at any gateway and end
-// each backend that runs them, with whatever else runs there; sound requests come all the time.
-// With even seeds many contents are deadly, all of one kind; with odd seeds one is, and all sound
-// requests are of its kind. Gateways are cut off from the directory and start anew, and the
-// directory changes its leader.
+// The simulation runs gateways, the directory and backends in virtual time, with the real code of the
+// directory's machine, the guards, the limit on suspects and the leader's tracker. Crashing requests are
+// repeated at any gateway and crash each backend that runs them, with all requests there; harmless requests
+// arrive all the time. With even seeds there are many crashing contents of one kind; with odd seeds there is
+// one, and all harmless requests are of its kind. Gateways restart and lose their connections to the
+// directory, and its leader changes.
 
 const (
 	simGateways = 4
 	simBackends = 4
 	simAttempts = 2
-	// simContact is how long a gateway must have been in touch to be held to the bound, and
-	// simLate how long after the third crash sends count, in milliseconds.
+	// simMinConnected is how long a gateway must have been connected, and simGracePeriod how long ago the
+	// crash threshold was reached, before sends are limited. Times are in milliseconds.
 	simMinConnected, simGracePeriod = 3000, 3000
 	simEnd                          = 90_000
-	// simNews is how long after the directory has taken in a crash a gateway in touch must know
-	// of it, in milliseconds.
+	// simMaxSyncDelay is how long after the directory recorded a crash a connected gateway must know
+	// of it.
 	simMaxSyncDelay = 100
-	// simContents is the number of deadly contents with even seeds.
+	// simCrashingContents is the number of crashing contents with even seeds.
 	simCrashingContents = 20
 	simService          = "s"
 )
@@ -60,7 +59,7 @@
 	return last
 }
 
-// simRun is one attempt at a backend.
+// simRun is one attempt on a backend.
 type simRun struct {
 	gateway      *simGateway
 	gatewayStart int
@@ -71,7 +70,7 @@
 
 type simBackend struct {
 	id, address string
-	// keepsName is set on one that starts again under the name that it had.
+	// keepsAddressAsName is set if all incarnations have the same name.
 	keepsAddressAsName bool
 	incarnation        directory.Incarnation
 	up                 bool
@@ -81,10 +80,11 @@
 type simGateway struct {
 	guard   *quarantine.Guard
 	catalog *directory.Catalog
-	// life counts the starts, and cutUntil and touchedFrom say when it hears the directory.
+	// starts counts the starts. The gateway is disconnected until cutUntil, and sends are limited from
+	// connectedFrom.
 	starts                  int
 	cutUntil, connectedFrom int64
-	// startedAt is when it started last.
+	// startedAt is the time of the last start.
 	startedAt int64
 }
 
@@ -99,10 +99,10 @@
 	gateways      []*simGateway
 	backends      []*simBackend
 	backendStarts int
-	// knownAt is when the directory took in the end of each backend.
+	// crashReportedAt is when the directory recorded the crash of each backend.
 	crashReportedAt map[string]int64
-	// overdrawn counts suspects that were sent although too many backends were away by what their
-	// gateway must have known.
+	// overLimit counts suspects that were sent although their gateway must have known that too many
+	// backends were unavailable.
 	overLimit   int
 	oneKind     bool
 	crashes     int
@@ -113,7 +113,7 @@
 
 const simCrashingKind = quarantine.Fingerprint("deadly kind")
 
-// drawDeadly returns a deadly request.
+// randomCrashingSubject returns a crashing request.
 func (s *simulation) randomCrashingSubject() quarantine.Subject {
 	if s.oneKind {
 		return quarantine.Subject{Content: "deadly-0", Kind: simCrashingKind}
@@ -121,7 +121,7 @@
 	return quarantine.Subject{Content: quarantine.Fingerprint(fmt.Sprint("deadly-", s.random.IntN(simCrashingContents))), Kind: simCrashingKind}
 }
 
-// sound returns the numbered sound request.
+// harmlessSubject returns the numbered harmless request.
 func (s *simulation) harmlessSubject(number int) quarantine.Subject {
 	kind := quarantine.Fingerprint("sound kind")
 	if s.oneKind {
@@ -150,12 +150,12 @@
 func (s *simulation) apply(command directory.Command) directory.Result {
 	result, err := directory.DecodeResult(s.machine.Apply(command.Encode()))
 	if err != nil {
-		panic("a result must decode: " + err.Error())
+		panic("decode result: " + err.Error())
 	}
 	return result
 }
 
-// startGateway starts a gateway or starts it anew: it knows what the directory confirms.
+// startGateway starts or restarts a gateway, which loads the directory.
 func (s *simulation) startGateway(g *simGateway) {
 	g.starts++
 	g.startedAt = s.now
@@ -171,7 +171,7 @@
 	s.report(g, g.starts)
 }
 
-// follow has the gateway learn what has changed, a little late.
+// syncCatalog updates the gateway's copy of the directory periodically.
 func (s *simulation) syncCatalog(g *simGateway, start int) {
 	s.after(s.between(5, 60), func() {
 		if g.starts != start {
@@ -184,7 +184,7 @@
 	})
 }
 
-// tell has the gateway tell what it has seen.
+// report sends the gateway's reports periodically.
 func (s *simulation) report(g *simGateway, start int) {
 	s.after(s.between(10, 20), func() {
 		if g.starts != start {
@@ -200,7 +200,7 @@
 	})
 }
 
-// noteKnown notes which backends' ends the directory has taken in.
+// recordReported records when the directory recorded crashes.
 func (s *simulation) recordReported(report quarantine.Report) {
 	for _, crash := range report.Crashes {
 		if _, known := s.crashReportedAt[crash.Backend]; !known {
@@ -209,8 +209,8 @@
 	}
 }
 
-// mustKnow returns how many backends are away of which the gateway must know, and tells whether
-// it has been in touch for long enough.
+// knownUnavailable returns how many backends are unavailable of which the gateway must know, and whether it
+// has been connected for long enough.
 func (s *simulation) knownUnavailable(g *simGateway) (unavailable int, connected bool) {
 	connected = s.now >= max(g.cutUntil, s.leaderSince, g.startedAt)+simMaxSyncDelay
 	catalog := directory.NewCatalog().With(s.machine.DeltaSince(0))
@@ -223,7 +223,7 @@
 	return unavailable, connected
 }
 
-// review is the leader's.
+// review is the periodic review of the directory's leader.
 func (s *simulation) review() {
 	if s.now >= s.leaderSince {
 		suspects := map[quarantine.Fingerprint]suspectVersion{}
@@ -251,12 +251,12 @@
 	b.incarnation, b.id, b.up, b.runs = incarnation, incarnation.ID(), true, map[*simRun]bool{}
 	s.register(b, incarnation)
 	if b.keepsAddressAsName && previous.Name != "" {
-		// A heartbeat of the life before comes late, after this one's or before it.
+		// A heartbeat of the previous incarnation arrives late, before or after this one's.
 		s.after(s.between(0, 3000), func() { s.put(b, previous) })
 	}
 }
 
-// register has the backend's heartbeat reach the directory once there is a leader.
+// register registers the backend once the directory has a leader.
 func (s *simulation) register(b *simBackend, incarnation directory.Incarnation) {
 	if b.incarnation != incarnation {
 		return
@@ -268,13 +268,13 @@
 	s.put(b, incarnation)
 }
 
-// put registers a life of the backend.
+// put registers an incarnation of the backend.
 func (s *simulation) put(b *simBackend, incarnation directory.Incarnation) {
 	backend := directory.Backend{Service: simService, Address: b.address, Slots: 1}.WithIncarnation(incarnation)
 	s.apply(directory.Command{PutBackend: &backend})
 }
 
-// crash ends a backend with all that runs on it.
+// crash crashes a backend with all its runs.
 func (s *simulation) crash(b *simBackend) {
 	b.up = false
 	s.crashes++
@@ -290,7 +290,7 @@
 	s.after(s.between(800, 4000), func() { s.startBackend(b) })
 }
 
-// send sends a request to up to simAttempts backends, and calls done with whether it is served.
+// send sends a request to up to simAttempts backends, and calls done with whether it got a response.
 func (s *simulation) send(g *simGateway, subject quarantine.Subject, attempts int, trial bool, done func(bool)) {
 	verdict := g.guard.CheckSubject(subject)
 	noCapacity := forward.MaxSuspectBackends(g.catalog, g.guard, simService) <= 0
@@ -345,7 +345,7 @@
 	})
 }
 
-// choose returns the backend for a request: for a suspect the first that is not away.
+// choose returns a random backend, or for a suspect the first one that is not known to have crashed.
 func (s *simulation) choose(g *simGateway, suspect bool) *simBackend {
 	if suspect {
 		crashed := forward.KnownCrashedBackends(g.catalog, g.guard)
@@ -358,13 +358,13 @@
 	return s.backends[s.random.IntN(len(s.backends))]
 }
 
-// deadlyComes has the deadly request come again.
+// sendCrashing sends crashing requests periodically.
 func (s *simulation) sendCrashing() {
 	s.send(s.gateways[s.random.IntN(simGateways)], s.randomCrashingSubject(), simAttempts, false, func(bool) {})
 	s.after(s.between(30, 1500), s.sendCrashing)
 }
 
-// soundComes has a sound request come, and again until it is served.
+// sendHarmless sends a harmless request, retries it until it gets a response, and schedules the next one.
 func (s *simulation) sendHarmless(number int) {
 	subject := s.harmlessSubject(number)
 	s.unserved[subject.Content] = s.now
@@ -384,7 +384,7 @@
 	}
 }
 
-// fault cuts a gateway off, starts one anew, or takes the leader away.
+// fault disconnects or restarts a gateway, or removes the leader.
 func (s *simulation) fault() {
 	g := s.gateways[s.random.IntN(simGateways)]
 	switch s.random.IntN(3) {
@@ -429,21 +429,21 @@
 	}
 }
 
-// simPatience is how long after the last sound request all are served, in milliseconds: a sound
-// one that was held back waits for a trial of its own.
+// simServeTimeout is how long after the last harmless request all must have responses, in milliseconds. A
+// quarantined one waits for its own trial.
 const simServeTimeout = 15_000
 
-var simSeeds = flag.Uint64("quarantine.seeds", 40, "seeds of the simulation of the quarantine")
+var simSeeds = flag.Uint64("quarantine.seeds", 40, "number of seeds of the quarantine simulation")
 
-// TestQuarantineUnderFaults: in each run few sends of deadly requests come late from gateways in
-// touch, no suspect is sent while too many backends are away, as far as its gateway must know, and
-// each sound request is served in the end.
+// TestQuarantineUnderFaults checks that few crashing requests are sent after the threshold by connected
+// gateways, no suspect is sent while too many backends are known to be unavailable, and each harmless request
+// gets a response in the end.
 func TestQuarantineUnderFaults(t *testing.T) {
 	for seed := range *simSeeds {
 		s := newSimulation(seed)
 		s.runUntil(simEnd + simServeTimeout)
 		require.GreaterOrEqual(t, s.crashes, quarantine.CrashThreshold, "seed %d", seed)
-		require.LessOrEqual(t, s.lateSends, 3, "seed %d: %d ended in all", seed, s.crashes)
+		require.LessOrEqual(t, s.lateSends, 3, "seed %d: %d crashes in total", seed, s.crashes)
 		require.Zero(t, s.overLimit, "seed %d", seed)
 		require.Empty(t, s.unserved, "seed %d", seed)
 	}
--- a/server/quarantine_test.go
+++ b/server/quarantine_test.go
@@ -10,8 +10,8 @@
 	"github.com/dillchute/dillchute/quarantine"
 )
 
-// TestSuspectsAreTriedAndForgottenInTime: waits count from when this leader learnt of the
-// suspect as it is; a new leader counts anew, and never too early.
+// TestSuspectTrialAndExpiryTimes checks that trials and removals are due after their delays, which start
+// anew with a new leader.
 func TestSuspectTrialAndExpiryTimes(t *testing.T) {
 	now := time.Now()
 	quarantined := quarantine.Suspect{Fingerprint: "held", Crashes: quarantine.CrashThreshold}
@@ -30,7 +30,7 @@
 	require.Empty(t, forget)
 	suspects["held"] = suspectVersion{suspect: quarantined.WithTrialOffered(), revision: 3}
 	offer, _ = tracker.due(now.Add(time.Hour), suspects)
-	require.Empty(t, offer, "a trial that nobody has taken is offered already")
+	require.Empty(t, offer, "the trial is still offered")
 	_, forget = tracker.due(now.Add(quarantine.ForgetAfter), suspects)
 	require.Len(t, forget, 1)
 	require.Equal(t, quarantine.Fingerprint("doubtful"), forget[0].Fingerprint)
@@ -39,15 +39,14 @@
 	require.Empty(t, forget)
 }
 
-// TestEarlyEndsWereSentEarly: what ended within the time, as the leader's reviews see it, was sent
-// before the users count.
+// TestGracePeriodEndsBeforeBudgetApplies checks that crashes which this leader counts as within the grace
+// period were sent before the send budget applies, despite the review interval.
 func TestGracePeriodEndsBeforeBudgetApplies(t *testing.T) {
 	require.Less(t, quarantine.CrashGracePeriod+2*reviewInterval, sendBudgetDelay)
 }
 
-// TestEndsRightAfterTheThirdLeaveTheBoundWhole: a kind that ended one more backend within two seconds
-// of the third is tried three times, one that did so later, or whose third end this leader has not
-// seen come, twice.
+// TestCrashesInGracePeriodAreExempt checks that a crash within CrashGracePeriod leaves all trials of the
+// budget, unless a new leader has not seen when the threshold was reached.
 func TestCrashesInGracePeriodAreExempt(t *testing.T) {
 	cases := []struct {
 		name      string
--- a/server/quarantine_trace_test.go
+++ b/server/quarantine_trace_test.go
@@ -13,19 +13,19 @@
 	"github.com/dillchute/dillchute/runner"
 )
 
-// The cases here are played by name, without draws: what the bound's property found, step by step.
+// The scenarios here are fixed sequences of events, most of them found by TestNothingIsSentBeyondTheBound.
 
-// pause is a number of reviews that take longer than boundTime.
+// reviewsPerDelay is a number of reviews that takes longer than sendBudgetDelay.
 const reviewsPerDelay = 13
 
-// script plays a world of the bound's property by names. What rapid draws has no effect on it.
+// scenario runs chosen events on a model. Values drawn by rapid have no effect on it.
 type scenario struct {
 	*quarantineModel
-	// order says in which order the leader (0) and the runners (1, 2) are heard of an end.
+	// reportOrder is the order in which the leader (0) and the runners (1, 2) report a crash.
 	reportOrder []int
 }
 
-// play plays the story in a world of its own.
+// runScenario runs the steps on a new model.
 func runScenario(t *testing.T, reportOrder []int, steps func(s *scenario)) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		s := &scenario{quarantineModel: newQuarantineModel(drawn), reportOrder: reportOrder}
@@ -36,7 +36,7 @@
 	})
 }
 
-// judge judges the sample, for which an offered trial is taken.
+// check returns the verdict on the sample, after taking a trial if one is offered.
 func (s *scenario) check(subject quarantine.Subject) quarantine.Verdict {
 	verdict := s.leader.CheckSubject(subject)
 	if !verdict.Quarantined || !verdict.TrialOffered || !s.leader.TakeTrial(context.Background(), verdict.Fingerprint) {
@@ -47,7 +47,7 @@
 	return s.leader.CheckSubject(subject)
 }
 
-// send sends the sample of the number by a runner to an engine, and tells whether it may be.
+// send sends the sample through a runner to an engine, and reports whether that was allowed.
 func (s *scenario) send(sampleIndex, runnerIndex, engineIndex int) bool {
 	sample, engine := s.samples[sampleIndex], s.engines[engineIndex]
 	if sample.run != nil {
@@ -67,7 +67,7 @@
 	return true
 }
 
-// ends ends the engine with all that runs there, and has the directory and all processes hear of it.
+// crashEngineAt crashes the engine with all its runs, and updates the directory and all processes.
 func (s *scenario) crashEngineAt(index int) {
 	engine := s.engines[index]
 	for _, run := range engine.runs {
@@ -83,7 +83,7 @@
 	s.syncCatalog()
 }
 
-// pass lets the time of that many reviews pass.
+// advanceReviews advances the time by the number of reviews.
 func (s *scenario) advanceReviews(reviews int) {
 	for range reviews {
 		s.now = s.now.Add(reviewInterval)
@@ -96,8 +96,7 @@
 	return s.catalog.Suspects[s.samples[0].subject.Kind]
 }
 
-// holdBack has three deadly samples end an engine each, and one more after that, so that the kind is
-// held back.
+// quarantineKind has four crashing samples crash an engine each, so that the kind is quarantined.
 func (s *scenario) quarantineKind() {
 	for sample := range 3 {
 		require.True(s.t, s.send(sample, 0, sample))
@@ -106,13 +105,13 @@
 		s.crashEngineAt(engine)
 	}
 	s.advanceReviews(reviewsPerDelay)
-	require.True(s.t, s.send(0, 0, 1), "the first after the third end")
+	require.True(s.t, s.send(0, 0, 1), "the first after the threshold is reached")
 	s.crashEngineAt(1)
 	require.True(s.t, s.crashingKind().IsQuarantined())
 }
 
-// requireSpent has the deadly samples sent as soon and as often as they may be, each of which ends its
-// engine; count, which each send goes through, holds them to the bound.
+// exhaustBudget sends the crashing samples whenever that is allowed, and crashes their engine. Each send
+// checks the budget.
 func (s *scenario) exhaustBudget() {
 	for round := range 12 {
 		for sample := range crashingSampleCount {
@@ -124,44 +123,43 @@
 	}
 }
 
-// leaderFirst has the leader heard of each end first.
+// leaderReportsFirst is the report order with the leader first.
 var leaderReportsFirst = []int{0, 1, 2}
 
 var reportOrders = [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 
-// TestEndCountsByWhoKnewMost: an engine ends under a sample that was sent before anything was known, and
-// under another one of its kind that was sent after three ends. Whoever tells of it first, it is an end
-// after those, so that the kind is held back, and sent three more times at the most.
+// TestCrashIsCountedByMostInformedReport checks that a crash is counted in any order of reports if one of the
+// samples on the engine was sent with knowledge of the earlier crashes, so that the kind is quarantined.
 func TestCrashIsCountedByMostInformedReport(t *testing.T) {
 	for _, order := range reportOrders {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
 			runScenario(t, order, func(s *scenario) {
 				for sample := range crashingSampleCount {
-					require.True(s.t, s.send(sample, sample%modelRunnerCount, sample), "nobody knows anything")
+					require.True(s.t, s.send(sample, sample%modelRunnerCount, sample), "no crash is known")
 				}
 				for _, engine := range []int{1, 2, 3} {
 					s.crashEngineAt(engine)
 				}
 				s.advanceReviews(reviewsPerDelay)
-				require.Equal(s.t, 1, s.crashingKind().Crashes, "they fell together")
+				require.Equal(s.t, 1, s.crashingKind().Crashes, "the engines crashed together")
 				require.Len(s.t, s.crashingKind().Ended, 3)
-				require.True(s.t, s.send(1, 1, 0), "sent knowing of one end, to the engine where the first one still runs")
+				require.True(s.t, s.send(1, 1, 0), "sent with one crash known, to the engine that still runs the first sample")
 				s.crashEngineAt(0)
 				require.Len(s.t, s.crashingKind().Ended, 4)
-				require.Equal(s.t, 2, s.crashingKind().Crashes, "it came after the others")
-				require.False(s.t, s.send(1, 1, 0), "the kind is held back")
+				require.Equal(s.t, 2, s.crashingKind().Crashes, "the crash came after the others")
+				require.False(s.t, s.send(1, 1, 0), "the kind is quarantined")
 				s.exhaustBudget()
 			})
 		})
 	}
 }
 
-// TestNoTrialBesideTheLastOne: a trial takes longer than the wait for the next one. What the bound
-// leaves is given out once, whether the next trial is asked for by the same sample or by another.
+// TestTrialsDoNotOverlap checks that a trial which runs longer than the trial delay does not let another one
+// exceed the budget, whichever sample requests it.
 func TestTrialsDoNotOverlap(t *testing.T) {
 	for _, otherSample := range []int{0, 3} {
-		// A trial may be taken right after its offer, before the directory's leader looks again, and
-		// another one may lead while it is under way.
+		// A trial may be taken before the next review of the directory's leader, and that leader may
+		// change while the trial runs.
 		for _, step := range []int{1, reviewsPerDelay, 2 * reviewsPerDelay} {
 			leaderChanges := step > reviewsPerDelay
 			t.Run(fmt.Sprintf("sample %d, each %d reviews", otherSample, step), func(t *testing.T) {
@@ -173,7 +171,7 @@
 							s.tracker = suspectTracker{}
 						}
 						s.advanceReviews(4 * reviewsPerDelay)
-						require.False(s.t, s.send(0, 0, 2) || s.send(otherSample, 0, 2), "one at a time")
+						require.False(s.t, s.send(0, 0, 2) || s.send(otherSample, 0, 2), "only one trial at a time")
 						s.crashEngineAt(1)
 					}
 					s.exhaustBudget()
@@ -183,7 +181,7 @@
 	}
 }
 
-// awaitTrial lets time pass, that many reviews at once, until one of the samples is sent.
+// awaitTrial advances the time in steps of that many reviews until one of the samples can be sent.
 func (s *scenario) awaitTrial(step int, samples ...int) {
 	for range 4 * reviewsPerDelay / step {
 		s.advanceReviews(step)
@@ -193,11 +191,11 @@
 			}
 		}
 	}
-	require.Fail(s.t, "the bound leaves a trial, and none is offered")
+	require.Fail(s.t, "the budget allows a trial, but none is offered")
 }
 
-// TestTrialThatIsLostComesAgain: a trial was taken by a leader that is lost then. What the bound leaves
-// beside it is still tried.
+// TestLostTrialIsOfferedAgain checks that the rest of the budget is still offered if a leader takes a trial
+// and crashes before it sends the request.
 func TestLostTrialIsOfferedAgain(t *testing.T) {
 	runScenario(t, leaderReportsFirst, func(s *scenario) {
 		s.quarantineKind()
@@ -210,8 +208,7 @@
 	})
 }
 
-// TestCrashesAreWrittenAsAllReadThem: before all members know that an end may count by a later telling,
-// none is written so.
+// TestCrashesMatchVersionInUse checks that Exact is not written before all members know it.
 func TestCrashesMatchVersionInUse(t *testing.T) {
 	reported := []quarantine.Crash{{Fingerprint: "f", Backend: "b", Known: 1, Of: "c", Exact: true}}
 	require.Equal(t, reported, crashesForVersion(reported, directory.CrashReportVersion))
@@ -219,14 +216,14 @@
 	require.True(t, reported[0].Exact)
 }
 
-// TestSendAfterAnAnswerFollowsNoThirdEnd: a kind has ended three engines, and one of it was answered
-// since. A leader that has not heard of the answer's news sends the next one; no third end stands then.
+// TestResponseClearsCrashThreshold checks that a response clears a kind that has reached the crash threshold,
+// so that a leader which has not received this yet may send the next request.
 func TestResponseClearsCrashThreshold(t *testing.T) {
 	runScenario(t, leaderReportsFirst, func(s *scenario) {
 		kind := s.samples[0].subject.Kind
 		harmless := s.samples[crashingSampleCount]
 		harmless.subject.Kind = kind
-		require.True(s.t, s.send(crashingSampleCount, 0, 3), "sound, and slow")
+		require.True(s.t, s.send(crashingSampleCount, 0, 3), "a slow harmless sample")
 		for sample := range 3 {
 			require.True(s.t, s.send(sample, 0, sample))
 		}
@@ -238,7 +235,7 @@
 		s.engines[3].runs, harmless.run = nil, nil
 		s.leader.RecordResponse(harmless.subject)
 		s.report(s.leader)
-		require.Len(s.t, s.crashingKind().Ended, 3, "its news is still to come")
+		require.Len(s.t, s.crashingKind().Ended, 3, "the response has not been received yet")
 		require.True(s.t, s.send(0, 0, 0))
 		_, _, isSuspect := s.machine.Suspect(kind)
 		require.False(s.t, isSuspect)
--- a/server/quarantined_sample_test.go
+++ b/server/quarantined_sample_test.go
@@ -21,9 +21,8 @@
 	return scheduler.Broken
 }
 
-// TestRunnerTellsACrashAsItsLeaderKnew: the leader has learnt of a crash that the runner has not
-// heard of yet, and sends the next sample of the kind. Both tell of its end, and whoever is heard
-// first, it counts.
+// TestRunnerReportsCrashWithLeaderVerdict checks that a crash is counted, whoever reports it first, if the
+// leader knew of an earlier crash that the runner did not know of.
 func TestRunnerReportsCrashWithLeaderVerdict(t *testing.T) {
 	request := runner.Request{
 		Backend: directory.Backend{ID: "second"}, Host: "host", Sample: &ledger.Sample{ID: "two", Path: "/deadly"},
@@ -51,7 +50,8 @@
 	}
 }
 
-// TestRunnerTellsACrashAsItKnewItself: a new leader may know less than the runner.
+// TestRunnerReportsCrashWithOwnVerdict checks that the runner's counts are used if a new leader knows of
+// fewer crashes.
 func TestRunnerReportsCrashWithOwnVerdict(t *testing.T) {
 	subject := quarantine.Subject{Content: "one", Kind: "kind"}
 	guard := quarantine.NewGuard(quarantine.SharedRecord{}, clock.Now)
--- a/server/silence_test.go
+++ b/server/silence_test.go
@@ -8,8 +8,8 @@
 	"github.com/dillchute/dillchute/directory"
 )
 
-// TestBackendOutlivesALongSilence: a backend that was cut off for so long that it was taken out, and
-// never said that it leaves, serves again once it is heard.
+// TestSilentBackendReturnsAfterRemoval checks that a backend which was removed as silent, and never announced
+// that it leaves, is registered again by its heartbeats.
 func TestSilentBackendReturnsAfterRemoval(t *testing.T) {
 	replicas := startFleetDirectory(t)
 	backend := directory.Backend{ID: "b", Service: "s", Address: "10.0.0.1:80", Zone: "z", Slots: 6}
@@ -38,5 +38,5 @@
 		return !registered
 	}
 	require.Eventually(t, isRemoved, watchSoon, watchInterval)
-	require.Eventually(t, sendHeartbeat, watchSoon, watchInterval, "it is heard again, and well")
+	require.Eventually(t, sendHeartbeat, watchSoon, watchInterval, "the removed backend does not return")
 }
--- a/server/suspension_test.go
+++ b/server/suspension_test.go
@@ -10,11 +10,11 @@
 	"github.com/dillchute/dillchute/duty"
 )
 
-// suspension is far longer than any limit that a process keeps.
+// suspension is far longer than any timeout of a process.
 const suspension = time.Hour
 
-// TestNothingBeginsAfterASuspension: a confirmation by the quorum that is older than the
-// suspension holds no longer, though the steady clock has not moved.
+// TestConfirmationExpiresDuringSuspension checks that a confirmation by the quorum from before a suspension
+// is stale, although the monotonic clock has not advanced.
 func TestConfirmationExpiresDuringSuspension(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
@@ -25,8 +25,8 @@
 	require.True(t, fresh.isStale(nowMillis()))
 }
 
-// TestDutyIsFreeAfterASuspension: a lease that ran out while the machine was suspended has run
-// out, and one that another took then is waited for in full.
+// TestLeaseExpiresDuringSuspension checks that a lease may expire during a suspension, and that one taken
+// meanwhile is waited for in full.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
@@ -41,8 +41,8 @@
 	require.Less(t, nowMillis(), tracker.FreeAt("s", "me", lease))
 }
 
-// TestOwnPauseIsNotTheSilenceOfOthers: after this process has stood still, suspended or frozen,
-// backends have the patience that they had before.
+// TestOwnStallIsNotCountedAsSilence checks that a stall or suspension of this process does not count as
+// silence of backends.
 func TestOwnStallIsNotCountedAsSilence(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
@@ -54,7 +54,8 @@
 	require.Less(t, d.heartbeats.silence(clock.Now(), "b"), suspension/2)
 }
 
-// TestStandstillNeedsALongPause: looks that come in time tell of none, nor does the first.
+// TestStallDetectorThreshold checks that neither the first check nor one within stallThreshold reports a
+// stall.
 func TestStallDetectorThreshold(t *testing.T) {
 	var s stallDetector
 	now := time.Unix(1000, 0)
