--- a/server/backend_return_test.go
+++ b/server/backend_return_test.go
@@ -122,10 +122,10 @@
 func TestLateHeartbeatsDoNotReplaceBackend(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
-	crashed, running := newHeartbeatSender(t, "ended", "10.0.0.1:80"), newHeartbeatSender(t, "living", "10.0.0.1:80")
+	crashed, running := newHeartbeatSender(t, "crashed", "10.0.0.1:80"), newHeartbeatSender(t, "running", "10.0.0.1:80")
 	awaitVersion(t, members)
 	eventually(t, func() bool { return crashed.send(d) }, "the backend does not register")
-	removeSilent(t, members, "ended")
+	removeSilent(t, members, "crashed")
 	eventually(t, func() bool { return running.send(d) }, "the next backend at the address does not register")
 	never(t, 3*d.settings.HeartbeatInterval, func() bool {
 		running.send(d)
@@ -139,12 +139,12 @@
 func TestSingleLateHeartbeatDoesNotRegister(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
-	crashed := newHeartbeatSender(t, "ended", "10.0.0.1:80")
+	crashed := newHeartbeatSender(t, "crashed", "10.0.0.1:80")
 	awaitVersion(t, members)
 	eventually(t, func() bool { return crashed.send(d) }, "the backend does not register")
-	removeSilent(t, members, "ended")
+	removeSilent(t, members, "crashed")
 	require.False(t, crashed.send(d))
-	never(t, 2*d.settings.HeartbeatInterval, func() bool { return isRegistered(d, "ended") }, "one heartbeat registers the backend")
+	never(t, 2*d.settings.HeartbeatInterval, func() bool { return isRegistered(d, "crashed") }, "one heartbeat registers the backend")
 }
 
 // TestBackendThatLeftIsNotRegisteredAgain checks that a backend which announced that it leaves is not
@@ -272,12 +272,12 @@
 func TestBackendReclaimsItsAddress(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
-	running, crashed := newHeartbeatSender(t, "living", "10.0.0.1:80"), newHeartbeatSender(t, "ended", "10.0.0.1:80")
+	running, crashed := newHeartbeatSender(t, "running", "10.0.0.1:80"), newHeartbeatSender(t, "crashed", "10.0.0.1:80")
 	awaitVersion(t, members)
 	eventually(t, func() bool { return running.send(d) }, "the backend does not register")
 	// The running backend is silent until the crashed one is registered.
 	eventually(t, func() bool { return crashed.send(d) }, "the delayed heartbeat does not take the address")
-	eventually(t, func() bool { return !isRegistered(d, "living") }, "the backend is not removed")
+	eventually(t, func() bool { return !isRegistered(d, "running") }, "the backend is not removed")
 	eventually(t, func() bool { return running.send(d) }, "the running backend does not get its address back")
-	require.False(t, isRegistered(d, "ended"))
+	require.False(t, isRegistered(d, "crashed"))
 }
--- a/server/copy_age.go
+++ b/server/copy_age.go
@@ -135,8 +135,8 @@
 	return t.sentAfter - maxLineAge.Milliseconds(), t.sentAfter-t.confirmingSince >= maxLineAge.Milliseconds()
 }
 
-// recordReceived records that data arrived from the replica. After a time without watches, the replica
-// has to confirm its state anew.
+// recordReceived records that data arrived from the replica. After a time without watches, confirmingSince
+// starts over.
 func (t *watchTracker) recordReceived(now int64) {
 	if t.lines == 0 && (t.confirmingSince == 0 || now-t.sentAfter > evidenceLinger.Milliseconds()) {
 		t.confirmingSince = now
--- a/server/copy_age_test.go
+++ b/server/copy_age_test.go
@@ -21,7 +21,7 @@
 		// unanswered is how long ago a refresh failed, or -1 if none did.
 		unanswered int64
 		state      copyState
-		mayAsk     bool
+		mayRefresh bool
 	}{
 		"fresh":                      {freshAge, -1, copyFresh, true},
 		"aging":                      {freshAge + 1, -1, copyAging, true},
@@ -39,7 +39,7 @@
 				age.recordUnanswered(now - test.unanswered)
 			}
 			require.Equal(t, test.state, age.state(now), age.state(now).String())
-			require.Equal(t, test.mayAsk, age.mayRefresh(now))
+			require.Equal(t, test.mayRefresh, age.mayRefresh(now))
 			age.recordAnswered(now)
 			age.recordConfirmed(start)
 			require.Equal(t, copyFresh, age.state(now), "the latest confirmation is kept")
--- a/server/copy_refresh_test.go
+++ b/server/copy_refresh_test.go
@@ -107,15 +107,15 @@
 	outcome forward.Outcome
 }
 
-func (s *recordingClient) Send(_ context.Context, backend directory.Backend, _ *forward.Request) forward.Attempt {
-	s.mutex.Lock()
-	s.ids = append(s.ids, backend.ID)
-	number := len(s.ids)
-	s.mutex.Unlock()
-	if s.onSend != nil {
-		s.onSend(number)
+func (c *recordingClient) Send(_ context.Context, backend directory.Backend, _ *forward.Request) forward.Attempt {
+	c.mutex.Lock()
+	c.ids = append(c.ids, backend.ID)
+	number := len(c.ids)
+	c.mutex.Unlock()
+	if c.onSend != nil {
+		c.onSend(number)
 	}
-	return forward.Attempt{Outcome: s.outcome, Response: forward.Response{Status: http.StatusOK}}
+	return forward.Attempt{Outcome: c.outcome, Response: forward.Response{Status: http.StatusOK}}
 }
 
 // newStalledGateway returns a gateway with a complete copy, whose watch has stalled since.
@@ -140,7 +140,7 @@
 // TestGatewayRefreshesStaleCopyBeforeSending checks that a gateway with a stalled watch sends nothing to a
 // backend that left before its copy became stale, while any replica answers.
 func TestGatewayRefreshesStaleCopyBeforeSending(t *testing.T) {
-	for name, kind := range map[string]routing.Kind{"repeatable": routing.Repeatable, "once only": routing.Unrepeatable} {
+	for name, kind := range map[string]routing.Kind{"repeatable": routing.Repeatable, "unrepeatable": routing.Unrepeatable} {
 		t.Run(name, func(t *testing.T) {
 			source := &clock.Suspendable{}
 			defer clock.Use(source)()
@@ -216,7 +216,7 @@
 	for name, test := range map[string]struct {
 		kind   routing.Kind
 		served bool
-	}{"repeatable": {routing.Repeatable, true}, "once only": {routing.Unrepeatable, false}} {
+	}{"repeatable": {routing.Repeatable, true}, "unrepeatable": {routing.Unrepeatable, false}} {
 		t.Run(name, func(t *testing.T) {
 			source := &clock.Suspendable{}
 			defer clock.Use(source)()
@@ -261,19 +261,19 @@
 // recordingEngine sends the IDs of the backends on which runs start, and rejects the runs.
 type recordingEngine struct{ started chan string }
 
-func (c recordingEngine) Run(_ context.Context, request runner.Request, _ func(runner.Event)) scheduler.RunEnd {
-	c.started <- request.Backend.ID
+func (e recordingEngine) Run(_ context.Context, request runner.Request, _ func(runner.Event)) scheduler.RunEnd {
+	e.started <- request.Backend.ID
 	return scheduler.Rejected
 }
 
 // newStalledTenure returns a leadership with a step to run, a connected runner and a complete copy, whose
 // watch has stalled since.
-func newStalledTenure(t *testing.T, d *stalledDirectory, runs recordingEngine, seeds ...string) *tenure {
+func newStalledTenure(t *testing.T, d *stalledDirectory, engine recordingEngine, seeds ...string) *tenure {
 	logger := zerolog.Nop()
 	w := newTestWatcher(t, seeds...)
 	w.age.limit = testCopyLimit
 	d.sync(w)
-	runnerServer := httptest.NewServer(runner.NewServer(runs, &logger))
+	runnerServer := httptest.NewServer(runner.NewServer(engine, &logger))
 	ctx, stop := context.WithCancel(context.Background())
 	executor := &Executor{watcher: w, guard: newGuard(w), metrics: newLedgerMetrics(), logger: &logger}
 	tenured := &tenure{
@@ -311,8 +311,8 @@
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
 	d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
-	runs := recordingEngine{started: make(chan string, 1)}
-	tenured := newStalledTenure(t, d, runs, d.address)
+	engine := recordingEngine{started: make(chan string, 1)}
+	tenured := newStalledTenure(t, d, engine, d.address)
 	d.drain(testBackend("a"))
 	source.Suspend(testCopyLimit)
 	flush(t, tenured)
@@ -322,19 +322,19 @@
 	require.Empty(t, tenured.cancels, "the refreshed copy is applied first")
 	known, _ := tenured.watcher.Catalog().Backend("a")
 	require.True(t, known.Draining)
-	require.Empty(t, runs.started)
+	require.Empty(t, engine.started)
 }
 
 // TestFreshCopyStartsRuns checks that a leader starts runs while its copy is fresh, and after a refresh
 // without changes.
 func TestFreshCopyStartsRuns(t *testing.T) {
-	for name, suspended := range map[string]time.Duration{"fresh": 0, "asked for": testCopyLimit} {
+	for name, suspended := range map[string]time.Duration{"fresh": 0, "refreshed": testCopyLimit} {
 		t.Run(name, func(t *testing.T) {
 			source := &clock.Suspendable{}
 			defer clock.Use(source)()
 			d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
-			runs := recordingEngine{started: make(chan string, 1)}
-			tenured := newStalledTenure(t, d, runs, d.address)
+			engine := recordingEngine{started: make(chan string, 1)}
+			tenured := newStalledTenure(t, d, engine, d.address)
 			source.Suspend(suspended)
 			require.Eventually(t, func() bool {
 				flush(t, tenured)
@@ -342,7 +342,7 @@
 			}, watchSoon, watchInterval)
 			if suspended == 0 {
 				// A runner that was suspended as well ignores starts from before.
-				require.Equal(t, "a", <-runs.started)
+				require.Equal(t, "a", <-engine.started)
 			}
 		})
 	}
@@ -355,8 +355,8 @@
 	defer clock.Use(source)()
 	d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
 	unresponsive, _ := darkReplica(t)
-	runs := recordingEngine{started: make(chan string, 1)}
-	tenured := newStalledTenure(t, d, runs, unresponsive)
+	engine := recordingEngine{started: make(chan string, 1)}
+	tenured := newStalledTenure(t, d, engine, unresponsive)
 	source.Suspend(testCopyLimit)
 	require.Eventually(t, func() bool {
 		flush(t, tenured)
@@ -376,7 +376,7 @@
 	}
 	require.Eventually(t, register, watchSoon, watchInterval)
 	var watchers []*Watcher
-	holds := func(w *Watcher, draining bool) func() bool {
+	refreshes := func(w *Watcher, draining bool) func() bool {
 		return func() bool {
 			known, ok := w.Catalog().Backend("a")
 			return w.refreshCopy(t.Context()) == nil && ok && known.Draining == draining
@@ -385,7 +385,7 @@
 	for _, replica := range replicas {
 		w := newTestWatcher(t, replica.settings.InternalAddress)
 		watchers = append(watchers, w)
-		require.Eventually(t, holds(w, false), watchSoon, watchInterval)
+		require.Eventually(t, refreshes(w, false), watchSoon, watchInterval)
 	}
 	backend.Draining = true
 	drain := func() bool {
@@ -413,12 +413,12 @@
 // TestWatchAnswersConfirmCopy checks that answers of a confirmed replica keep the copy fresh. While changes
 // arrive without pause, watches have no lines that could do so.
 func TestWatchAnswersConfirmCopy(t *testing.T) {
-	for _, held := range []bool{false, true} {
-		for _, proved := range []bool{false, true} {
-			t.Run(fmt.Sprintf("held %v, proved %v", held, proved), func(t *testing.T) {
+	for _, suspended := range []bool{false, true} {
+		for _, confirmed := range []bool{false, true} {
+			t.Run(fmt.Sprintf("suspended %v, confirmed %v", suspended, confirmed), func(t *testing.T) {
 				server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
-					answer := &watchAnswer{response: response, members: "m", isProved: func() bool { return proved }}
-					if held {
+					answer := &watchAnswer{response: response, members: "m", isProved: func() bool { return confirmed }}
+					if suspended {
 						answer.hold()
 					}
 					answer.give(directory.Delta{Revision: 8, Version: 3})
@@ -429,7 +429,7 @@
 				before := nowMillis()
 				require.NoError(t, w.poll(t.Context(), strings.TrimPrefix(server.URL, "http://"), time.Hour))
 				require.Equal(t, uint64(8), w.Catalog().Revision)
-				if !proved {
+				if !confirmed {
 					require.Zero(t, w.age.confirmedAt.Load())
 					return
 				}
--- a/server/heartbeat_log.go
+++ b/server/heartbeat_log.go
@@ -11,9 +11,9 @@
 
 // InvalidHeartbeat describes a heartbeat that is ignored because a field is invalid.
 type InvalidHeartbeat struct {
-	// Backend is the name under which the heartbeat was stored.
+	// Backend is the name or ID of the backend that the heartbeat claims to come from.
 	Backend string
-	// Field is the invalid field, and Reason a short fixed text.
+	// Field is the invalid field, and Reason a short fixed text, which is also a metric label.
 	Field, Reason string
 }
 
--- a/server/quarantine.go
+++ b/server/quarantine.go
@@ -129,7 +129,7 @@
 	// number of later crashes within CrashGracePeriod.
 	thresholdAt  time.Time
 	graceCrashes int
-	// pendingTrials counts the offered trials after which no crash has been reported yet.
+	// pendingTrials counts the offered trials whose crash has not been reported.
 	pendingTrials int
 }
 
--- a/server/quarantine_simulation_test.go
+++ b/server/quarantine_simulation_test.go
@@ -51,8 +51,8 @@
 func (e simEvents) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
 }
-func (e simEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *simEvents) Push(one any) { *e = append(*e, one.(simEvent)) }
+func (e simEvents) Swap(i, j int)   { e[i], e[j] = e[j], e[i] }
+func (e *simEvents) Push(event any) { *e = append(*e, event.(simEvent)) }
 func (e *simEvents) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
@@ -80,10 +80,10 @@
 type simGateway struct {
 	guard   *quarantine.Guard
 	catalog *directory.Catalog
-	// starts counts the starts. The gateway is disconnected until cutUntil, and sends are limited from
-	// connectedFrom.
-	starts                  int
-	cutUntil, connectedFrom int64
+	// starts counts the starts. The gateway is disconnected until disconnectedUntil, and its sends of
+	// crashing requests are limited from connectedFrom.
+	starts                           int
+	disconnectedUntil, connectedFrom int64
 	// startedAt is the time of the last start.
 	startedAt int64
 }
@@ -144,7 +144,7 @@
 func (s *simulation) time() time.Time { return time.UnixMilli(s.now) }
 
 func (s *simulation) isConnected(g *simGateway) bool {
-	return s.now >= g.cutUntil && s.now >= s.leaderSince
+	return s.now >= g.disconnectedUntil && s.now >= s.leaderSince
 }
 
 func (s *simulation) apply(command directory.Command) directory.Result {
@@ -212,7 +212,7 @@
 // knownUnavailable returns how many backends are unavailable of which the gateway must know, and whether it
 // has been connected for long enough.
 func (s *simulation) knownUnavailable(g *simGateway) (unavailable int, connected bool) {
-	connected = s.now >= max(g.cutUntil, s.leaderSince, g.startedAt)+simMaxSyncDelay
+	connected = s.now >= max(g.disconnectedUntil, s.leaderSince, g.startedAt)+simMaxSyncDelay
 	catalog := directory.NewCatalog().With(s.machine.DeltaSince(0))
 	for _, b := range catalog.Backends(simService) {
 		at, known := s.crashReportedAt[b.ID]
@@ -389,8 +389,8 @@
 	g := s.gateways[s.random.IntN(simGateways)]
 	switch s.random.IntN(3) {
 	case 0:
-		g.cutUntil = s.now + s.between(500, 6000)
-		g.connectedFrom = g.cutUntil + simMinConnected
+		g.disconnectedUntil = s.now + s.between(500, 6000)
+		g.connectedFrom = g.disconnectedUntil + simMinConnected
 	case 1:
 		s.startGateway(g)
 	case 2:
--- a/server/quarantine_test.go
+++ b/server/quarantine_test.go
@@ -10,8 +10,8 @@
 	"github.com/dillchute/dillchute/quarantine"
 )
 
-// TestSuspectTrialAndExpiryTimes checks that trials and removals are due after their delays, which start
-// anew with a new leader.
+// TestSuspectTrialAndExpiryTimes checks that trials and removals are due after their delays, and that a new
+// leader restarts the delays.
 func TestSuspectTrialAndExpiryTimes(t *testing.T) {
 	now := time.Now()
 	quarantined := quarantine.Suspect{Fingerprint: "held", Crashes: quarantine.CrashThreshold}
