--- a/server/admission.go
+++ b/server/admission.go
@@ -50,7 +50,7 @@
 // Authenticate returns the tenant's name for a call that needs no route, or "" if no tenants are
 // configured. It fails with ErrUnavailable or ErrUnauthenticated, as Admit does.
 func (g *Gateway) Authenticate(ctx context.Context, key string) (string, error) {
-	catalog := g.currentConfiguration(ctx)
+	catalog := g.freshCatalog(ctx)
 	if catalog.Version == 0 {
 		return "", replica.ErrUnavailable.New("the gateway has no configuration yet")
 	}
--- a/server/demand_test.go
+++ b/server/demand_test.go
@@ -16,8 +16,8 @@
 // TestDemandRequestsNoTrial checks that computing the demand excludes quarantined samples, includes running
 // ones and requests no trial.
 func TestDemandRequestsNoTrial(t *testing.T) {
-	d := newStandingDirectory(t, routing.Rollout, leaving("a"))
-	leader := standingTenure(t, d, countedRuns{began: make(chan string, 1)}, d.address)
+	d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
+	leader := newStalledTenure(t, d, recordingEngine{started: make(chan string, 1)}, d.address)
 	sample := &ledger.Sample{ID: "x", Path: "/"}
 	task := &scheduler.Task{Step: &ledger.Step{ID: "step", Host: "h"}, Sample: sample}
 	content := scheduler.SubjectOf("h", "", sample).Content
--- a/server/directory.go
+++ b/server/directory.go
@@ -90,12 +90,12 @@
 	usage          *usageAggregator
 	duties         *dutyCoordinator
 	versions       *versionKeeper
-	returning      *returning
+	returning      *returnTracker
 	scale          *scaleController
-	stalls         standstill
-	invalidReports spoiledLog
+	stalls         stallDetector
+	invalidReports invalidHeartbeatLog
 	// suspects is used only by review.
-	suspects suspectClock
+	suspects suspectTracker
 	// clockSentAt is when this machine's clock was last sent to the leader. It is used only by review.
 	clockSentAt time.Time
 	// reportedAt is when the newest call began that reported heard backends to the leader, in
@@ -132,7 +132,7 @@
 		metrics: d.metrics, logger: logger,
 	}
 	d.versions = newVersionKeeper(settings.InternalAddress, opened, machine, logger)
-	d.returning = newReturning()
+	d.returning = newReturnTracker()
 	d.scale = &scaleController{settings: settings, duties: d.duties, client: client, metrics: d.metrics, logger: logger}
 	d.scale.reset()
 	d.registrations = &batcher[Heartbeat]{process: d.registerAll}
--- a/server/directory_review.go
+++ b/server/directory_review.go
@@ -63,8 +63,8 @@
 	defer d.mutex.Unlock()
 	if serving && !d.serving {
 		d.heartbeats.reset()
-		d.stalls.begin()
-		d.suspects = suspectClock{}
+		d.stalls.reset()
+		d.suspects = suspectTracker{}
 		d.scale.reset()
 		d.firstStoreAt, d.newestStoreAt = time.Time{}, time.Time{}
 	}
@@ -82,7 +82,7 @@
 // reviewBackends marks or removes silent backends, all in one log entry. It reads the view: backends that
 // register meanwhile are checked next time.
 func (d *Directory) reviewBackends(ctx context.Context) {
-	d.noteStandstill()
+	d.checkStall()
 	now := clock.Now()
 	removalTimeout := d.removalTimeout()
 	var changes []directory.Command
--- a/server/followed_run.go
+++ b/server/followed_run.go
@@ -46,7 +46,7 @@
 	if t.scheduler.IsLoading(assignment.Backend.ID, task.Step.Model) {
 		timeout = loadStallTimeout
 	}
-	verdict, isTrial := t.clearedFor(task)
+	verdict, isTrial := t.checkBeforeRun(task)
 	task.KindSuspected = verdict.KnownKindCrashes > 0
 	return &activeRun{
 		verdict: verdict, isTrial: isTrial, leadership: t, assignment: assignment, context: ctx, cancel: cancel, progress: progress,
--- a/server/gateway.go
+++ b/server/gateway.go
@@ -72,7 +72,7 @@
 	gateway := &Gateway{
 		baseContext: baseContext, cancelRequests: cancelRequests,
 		settings: settings, logger: logger, watcher: watcher, guard: guard,
-		forwarder: forward.New(newCurrentClient(backends, watcher), settings.Zone, guard), ledger: newLedgerClient(watcher, settings.Zone, logger),
+		forwarder: forward.New(newFreshClient(backends, watcher), settings.Zone, guard), ledger: newLedgerClient(watcher, settings.Zone, logger),
 		metrics: newGatewayMetrics(), usage: newUsageReporter(settings.Name, watcher), startedAt: time.Now(),
 		admissionMonitor: newAdmissionMonitor(logger),
 	}
@@ -83,9 +83,9 @@
 // Run follows the directory until the context ends.
 func (g *Gateway) Run(ctx context.Context) {
 	go g.watcher.Run(ctx)
-	go g.watcher.keepCurrent(ctx)
+	go g.watcher.keepFresh(ctx)
 	go g.usage.run(ctx)
-	go tellCrashes(ctx, g.guard, g.watcher)
+	go reportCrashes(ctx, g.guard, g.watcher)
 	go g.admissionMonitor.run(ctx)
 	for ctx.Err() == nil {
 		changed := g.watcher.Changed()
@@ -146,7 +146,7 @@
 // Match returns the route of a request. It fails with ErrUnavailable while the
 // gateway has no configuration, and with ErrNotFound if no route matches.
 func (g *Gateway) Match(ctx context.Context, host, path string) (routing.Route, *directory.Catalog, error) {
-	catalog := g.currentConfiguration(ctx)
+	catalog := g.freshCatalog(ctx)
 	if catalog.Version == 0 {
 		return routing.Route{}, catalog, replica.ErrUnavailable.New("the gateway has no configuration yet")
 	}
@@ -165,8 +165,8 @@
 	if g.accept(request) {
 		requestContext, cancel := g.withWorkDeadline(ctx)
 		defer cancel()
-		if result = g.refuseOutOfTouch(requestContext, route); result.Reason == "" {
-			result = g.forwarder.Do(requestContext, g.newest(catalog), route, request)
+		if result = g.refuseIfUnreachable(requestContext, route); result.Reason == "" {
+			result = g.forwarder.Do(requestContext, g.newestCatalog(catalog), route, request)
 		}
 	}
 	g.recordRequest(catalog, route, request, result, started)
@@ -181,8 +181,8 @@
 	if g.accept(request) {
 		requestContext, cancel := g.withWorkDeadline(ctx)
 		defer cancel()
-		if result = g.refuseOutOfTouch(requestContext, route); result.Reason == "" {
-			result = g.forwarder.Stream(requestContext, g.newest(catalog), route, request, sink)
+		if result = g.refuseIfUnreachable(requestContext, route); result.Reason == "" {
+			result = g.forwarder.Stream(requestContext, g.newestCatalog(catalog), route, request, sink)
 		}
 	}
 	g.recordRequest(catalog, route, request, result, started)
@@ -215,7 +215,7 @@
 		line.Send()
 	}
 	if result.Reason == forward.Quarantined {
-		logHeldBack(g.logger, request.ID, request.Content().Fingerprint())
+		logQuarantined(g.logger, request.ID, request.Content().Fingerprint())
 	}
 	line := event.RequestEnded.On(g.logger).Str("request", request.ID).Str("route", route.Name).
 		Uint("attempts", uint64(result.Attempts)).Int("ms", latency.Milliseconds()).
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -127,7 +127,7 @@
 
 // handleHeartbeats commits, on the leader, the registration changes of heartbeats in one log entry.
 func (d *Directory) handleHeartbeats(ctx context.Context, heartbeats []Heartbeat) error {
-	d.noteStandstill()
+	d.checkStall()
 	current := d.recordHeartbeats(heartbeats)
 	states := make([]registrationState, len(current))
 	if !d.replica.Do(func() {
@@ -140,7 +140,7 @@
 	var changes []directory.Command
 	for position, heartbeat := range current {
 		heartbeat.mergeRegisteredModels(states[position].registered)
-		if change, isChange := d.register(states[position], heartbeat); isChange {
+		if change, isChange := d.registrationCommand(states[position], heartbeat); isChange {
 			changes = append(changes, change)
 		}
 	}
@@ -157,7 +157,7 @@
 	var current []Heartbeat
 	for _, heartbeat := range heartbeats {
 		if heartbeat.Backend.Born > latestStartTime {
-			d.NoteSpoiled(Spoiled{Writer: heartbeat.Backend.ID, Field: "born", Reason: "in the future"})
+			d.RecordInvalidHeartbeat(InvalidHeartbeat{Backend: heartbeat.Backend.ID, Field: "born", Reason: "in the future"})
 			continue
 		}
 		if d.heartbeats.record(now, heartbeat.Backend.ID, heartbeat.Sequence) {
--- a/server/stop.go
+++ b/server/stop.go
@@ -143,7 +143,7 @@
 	limited, cancel := context.WithTimeout(context.Background(), clock.Until(g.plan.Load().reportDeadline))
 	defer cancel()
 	g.usage.flush(limited)
-	tellNews(limited, g.guard, g.watcher)
+	sendCrashReport(limited, g.guard, g.watcher)
 }
 
 // shutDownServer closes the server's connections, each after its current response. Connections that remain
--- a/server/suspension_test.go
+++ b/server/suspension_test.go
@@ -10,12 +10,12 @@
 	"github.com/dillchute/dillchute/duty"
 )
 
-// suspension is far longer than any limit that a process keeps.
+// suspension is far longer than any timeout of a process.
 const suspension = time.Hour
 
-// TestNothingBeginsAfterASuspension: a confirmation by the quorum that is older than the
-// suspension holds no longer, though the steady clock has not moved.
-func TestNothingBeginsAfterASuspension(t *testing.T) {
+// TestConfirmationExpiresDuringSuspension checks that a confirmation by the quorum from before a suspension
+// is stale, although the monotonic clock has not advanced.
+func TestConfirmationExpiresDuringSuspension(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
 	var fresh freshness
@@ -25,43 +25,44 @@
 	require.True(t, fresh.isStale(nowMillis()))
 }
 
-// TestDutyIsFreeAfterASuspension: a lease that ran out while the machine was suspended has run
-// out, and one that another took then is waited for in full.
-func TestDutyIsFreeAfterASuspension(t *testing.T) {
+// TestLeaseExpiresDuringSuspension checks that a lease may expire during a suspension, and that one taken
+// meanwhile is waited for in full.
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
-	watch, lease := duty.NewTracker(), suspension/2
-	acts := map[string]duty.Action{"s": {Subject: "s", Holder: "other", At: 1}}
-	watch.Observe(nowMillis(), acts)
-	require.Less(t, nowMillis(), watch.FreeAt("s", "me", lease))
+	tracker, lease := duty.NewTracker(), suspension/2
+	actions := map[string]duty.Action{"s": {Subject: "s", Holder: "other", At: 1}}
+	tracker.Observe(nowMillis(), actions)
+	require.Less(t, nowMillis(), tracker.FreeAt("s", "me", lease))
 	source.Suspend(suspension)
-	require.GreaterOrEqual(t, nowMillis(), watch.FreeAt("s", "me", lease))
-	acts["s"] = duty.Action{Subject: "s", Holder: "other", At: 2}
-	watch.Observe(nowMillis(), acts)
-	require.Less(t, nowMillis(), watch.FreeAt("s", "me", lease))
+	require.GreaterOrEqual(t, nowMillis(), tracker.FreeAt("s", "me", lease))
+	actions["s"] = duty.Action{Subject: "s", Holder: "other", At: 2}
+	tracker.Observe(nowMillis(), actions)
+	require.Less(t, nowMillis(), tracker.FreeAt("s", "me", lease))
 }
 
-// TestOwnPauseIsNotTheSilenceOfOthers: after this process has stood still, suspended or frozen,
-// backends have the patience that they had before.
-func TestOwnPauseIsNotTheSilenceOfOthers(t *testing.T) {
+// TestOwnStallIsNotCountedAsSilence checks that a stall or suspension of this process does not count as
+// silence of backends.
+func TestOwnStallIsNotCountedAsSilence(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
 	d := &Directory{heartbeats: newHeartbeats()}
-	d.noteStandstill()
+	d.checkStall()
 	d.heartbeats.record(clock.Now(), "b", 1)
 	source.Suspend(suspension)
-	d.noteStandstill()
+	d.checkStall()
 	require.Less(t, d.heartbeats.silence(clock.Now(), "b"), suspension/2)
 }
 
-// TestStandstillNeedsALongPause: looks that come in time tell of none, nor does the first.
-func TestStandstillNeedsALongPause(t *testing.T) {
-	var s standstill
+// TestStallDetectorThreshold checks that neither the first check nor one within stallThreshold reports a
+// stall.
+func TestStallDetectorThreshold(t *testing.T) {
+	var s stallDetector
 	now := time.Unix(1000, 0)
-	require.Zero(t, s.look(now))
-	require.Zero(t, s.look(now.Add(stillLimit)))
-	require.Equal(t, stillLimit+1, s.look(now.Add(2*stillLimit+1)))
-	require.Zero(t, s.look(now.Add(2*stillLimit+2)))
-	s.begin()
-	require.Zero(t, s.look(now.Add(suspension)))
+	require.Zero(t, s.check(now))
+	require.Zero(t, s.check(now.Add(stallThreshold)))
+	require.Equal(t, stallThreshold+1, s.check(now.Add(2*stallThreshold+1)))
+	require.Zero(t, s.check(now.Add(2*stallThreshold+2)))
+	s.reset()
+	require.Zero(t, s.check(now.Add(suspension)))
 }
--- a/server/tenure.go
+++ b/server/tenure.go
@@ -54,7 +54,7 @@
 	// freshness reports whether the state is too old to start runs.
 	freshness freshness
 	// awaited is the pending question to the directory that wakes the loop when it ends, or nil.
-	awaited *question
+	awaited *copyRefresh
 	// loadsCheckedAt is the time of the last check for loads. The zero time causes a check at the next
 	// flush.
 	loadsCheckedAt       time.Time
@@ -64,7 +64,7 @@
 	// rewardLimiter limits concurrent reward calls.
 	rewardLimiter *rewardLimiter
 	// turns serializes reward calls of suspected kinds.
-	turns *kindTurns
+	turns *kindLocks
 	// recordedPaces are the paces stored in the ledger.
 	recordedPaces  map[string]float64
 	pacesCheckedAt time.Time
@@ -286,7 +286,7 @@
 
 // servicesOf returns the services that may run the task's sample now.
 func (t *leadership) servicesOf(task *scheduler.Task) ([]string, bool) {
-	if t.isHeldBack(task) {
+	if t.isQuarantined(task) {
 		return nil, false
 	}
 	services, ok := t.routedServices(task)
--- a/server/tenure_copy.go
+++ b/server/tenure_copy.go
@@ -5,18 +5,18 @@
 // with its copy; its runs may be repeated.
 func (t *leadership) copyIsCurrent(now int64) bool {
 	switch t.watcher.age.state(now) {
-	case copyTooOld:
-		t.awaitQuestion(t.watcher.ask())
+	case copyStale:
+		t.awaitQuestion(t.watcher.startRefresh())
 		return false
-	case copyAging, copyOutOfTouch:
-		t.watcher.askAside()
+	case copyAging, copyUnreachable:
+		t.watcher.refreshInBackground()
 	}
 	// A newer catalog must be applied by the loop first.
 	return t.catalog == t.watcher.Catalog()
 }
 
 // awaitQuestion wakes the loop when the question has ended.
-func (t *leadership) awaitQuestion(asked *question) {
+func (t *leadership) awaitQuestion(asked *copyRefresh) {
 	if t.awaited == asked {
 		return
 	}
--- a/server/watch.go
+++ b/server/watch.go
@@ -56,9 +56,9 @@
 	// age tells whether the copy is fresh enough to act on, and proof tracks what the keepalives of the
 	// current watch prove about it; proof is used only by Run.
 	age   copyAge
-	proof watchProof
+	proof watchTracker
 	// inFlight is the running query, or nil. The counters count finished queries.
-	inFlight               *question
+	inFlight               *copyRefresh
 	queries, failedQueries atomic.Uint64
 	// isDisconnected is set once it was logged that no replica answers, until one does.
 	isDisconnected atomic.Bool
@@ -104,7 +104,7 @@
 			}
 			continue
 		}
-		w.proof.end()
+		w.proof.reset()
 		position++
 		failures++
 		awaySince = clock.Now()
@@ -216,7 +216,7 @@
 		return err
 	}
 	requestedAt := nowMillis()
-	w.proof.begin(requestedAt, address)
+	w.proof.start(requestedAt, address)
 	response, err := w.client.Do(request)
 	if err != nil {
 		return err
@@ -226,7 +226,7 @@
 		return replica.ErrUnavailable.New("%s answered %d", address, response.StatusCode)
 	}
 	onData()
-	w.proof.noteHeard(nowMillis())
+	w.proof.recordReceived(nowMillis())
 	body, err := readWatch(response.Body, func() {
 		onData()
 		w.syncedAt.Store(nowMillis())
@@ -252,16 +252,16 @@
 	switch {
 	case before.Revision == 0:
 		// The first answer holds everything that was acknowledged before the request.
-		w.age.noteProven(requestedAt)
+		w.age.recordConfirmed(requestedAt)
 	case isFresh:
-		w.age.noteProven(requestedAt - lineProof.Milliseconds())
+		w.age.recordConfirmed(requestedAt - maxLineAge.Milliseconds())
 	}
 }
 
 // recordKeepalive records a keepalive of the watch.
 func (w *Watcher) recordKeepalive() {
-	if provenAt, proves := w.proof.noteLine(nowMillis()); proves {
-		w.age.noteProven(provenAt)
+	if provenAt, proves := w.proof.recordLine(nowMillis()); proves {
+		w.age.recordConfirmed(provenAt)
 	}
 }
 
--- a/server/watch_test.go
+++ b/server/watch_test.go
@@ -314,7 +314,7 @@
 	w := newTestWatcher(t, unresponsive, address)
 	w.leader = unresponsive
 	for range 3 {
-		limited, cancel := context.WithTimeout(t.Context(), crashTimeout)
+		limited, cancel := context.WithTimeout(t.Context(), crashReportTimeout)
 		answer, err := w.call(limited, directoryCall{Newest: true})
 		cancel()
 		require.NoError(t, err)
