--- a/server/body.go
+++ b/server/body.go
@@ -30,7 +30,7 @@
 		reserved += int64(count)
 		if g.bodyBytes.Add(int64(count)) > g.bodyLimit() {
 			release()
-			return nil, func() {}, ErrOverloaded.New("request bodies exceed their memory limit: %d bytes in memory", g.bodyBytes.Load())
+			return nil, func() {}, ErrOverloaded.New("not enough memory for the request body: %d bytes are used by other bodies", g.bodyBytes.Load())
 		}
 		body.Write(chunk[:count])
 		if err == io.EOF {
--- a/server/gateway_limits.go
+++ b/server/gateway_limits.go
@@ -42,38 +42,38 @@
 const limitReviewInterval = 500 * time.Millisecond
 
 // run logs the start and the end of limits until the context ends. It is idle while no service is limited.
-func (l *admissionMonitor) run(ctx context.Context) {
+func (m *admissionMonitor) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.refusal:
+		case <-m.refusal:
 		}
-		for l.review(clock.Now()); len(l.activeLimits) > 0 && ctx.Err() == nil; l.review(clock.Now()) {
+		for m.review(clock.Now()); len(m.activeLimits) > 0 && ctx.Err() == nil; m.review(clock.Now()) {
 			sleep(ctx, limitReviewInterval)
 		}
 	}
 }
 
 // notifyRefusal triggers a review after a request was not admitted. It never blocks.
-func (l *admissionMonitor) notifyRefusal() {
+func (m *admissionMonitor) notifyRefusal() {
 	select {
-	case l.refusal <- struct{}{}:
+	case m.refusal <- struct{}{}:
 	default:
 	}
 }
 
-func (l *admissionMonitor) review(now time.Time) {
-	for _, status := range l.limiter.Statuses(now) {
-		start, active := l.activeLimits[status.Service]
+func (m *admissionMonitor) review(now time.Time) {
+	for _, status := range m.limiter.Statuses(now) {
+		start, active := m.activeLimits[status.Service]
 		switch {
 		case status.Limiting && !active:
-			l.activeLimits[status.Service] = limitStart{now, status}
-			event.LimitStarted.On(l.logger).Str("service", status.Service).Uint("percent", percent(status.AdmittedFraction)).
+			m.activeLimits[status.Service] = limitStart{now, status}
+			event.LimitStarted.On(m.logger).Str("service", status.Service).Uint("percent", percent(status.AdmittedFraction)).
 				Int("usual_ms", status.BaselineLatency.Milliseconds()).Int("delay_ms", status.QueueDelay.Milliseconds()).Send()
 		case !status.Limiting && active:
-			delete(l.activeLimits, status.Service)
-			event.LimitEnded.On(l.logger).Str("service", status.Service).Int("ms", now.Sub(start.startedAt).Milliseconds()).
+			delete(m.activeLimits, status.Service)
+			event.LimitEnded.On(m.logger).Str("service", status.Service).Int("ms", now.Sub(start.startedAt).Milliseconds()).
 				Uint("admitted", status.Admitted-start.status.Admitted).
 				Uint("refused", totalRefused(status)-totalRefused(start.status)).Send()
 		}
@@ -92,16 +92,16 @@
 func percent(fraction float64) uint64 { return uint64(fraction*100 + 0.5) }
 
 // prune drops the state of services without backends.
-func (l *admissionMonitor) prune(catalog *directory.Catalog) {
-	l.limiter.Prune(func(service string) bool { return len(catalog.Backends(service)) > 0 })
+func (m *admissionMonitor) prune(catalog *directory.Catalog) {
+	m.limiter.Prune(func(service string) bool { return len(catalog.Backends(service)) > 0 })
 }
 
 // collect emits the admitted fraction of each limited service, and the counts over all services.
-func (l *admissionMonitor) collect(emit chan<- prometheus.Metric) { l.collectAt(clock.Now(), emit) }
+func (m *admissionMonitor) collect(emit chan<- prometheus.Metric) { m.collectAt(clock.Now(), emit) }
 
-func (l *admissionMonitor) collectAt(now time.Time, emit chan<- prometheus.Metric) {
+func (m *admissionMonitor) collectAt(now time.Time, emit chan<- prometheus.Metric) {
 	admitted, refused := uint64(0), map[admission.Reason]uint64{}
-	for _, status := range l.limiter.Statuses(now) {
+	for _, status := range m.limiter.Statuses(now) {
 		admitted += status.Admitted
 		for reason, count := range status.Refused {
 			refused[reason] += count
