--- a/server/metrics.go
+++ b/server/metrics.go
@@ -70,12 +70,12 @@
 		gauge(emit, "control_engines", "Known engines.", float64(status.engines))
 		for pool, pending := range status.pending {
 			counters := status.counters[pool]
-			gauge(emit, "pool_samples_pending", "Samples waiting for a node.", float64(pending), "pool", pool)
-			gauge(emit, "pool_samples_unacknowledged", "Samples that are not acknowledged yet.", float64(status.unfinished[pool]), "pool", pool)
+			gauge(emit, "pool_samples_pending", "Samples that wait for a node.", float64(pending), "pool", pool)
+			gauge(emit, "pool_samples_unacknowledged", "Samples not acknowledged yet.", float64(status.unfinished[pool]), "pool", pool)
 			counter(emit, "pool_samples_submitted_total", "Samples submitted.", counters.Submitted, "pool", pool)
 			counter(emit, "pool_samples_acknowledged_total", "Samples acknowledged by the trainer.", counters.Acknowledged, "pool", pool)
-			counter(emit, "pool_stale_reruns_total", "Results run again because they were stale.", counters.StaleReruns, "pool", pool)
-			counter(emit, "pool_discarded_total", "Duplicate results discarded.", counters.Discarded, "pool", pool)
+			counter(emit, "pool_stale_reruns_total", "Results run again for their age.", counters.StaleReruns, "pool", pool)
+			counter(emit, "pool_discarded_total", "Results discarded as later than the first.", counters.Discarded, "pool", pool)
 		}
 		collectTransport(emit, &c.transport.Counts)
 	})
@@ -86,23 +86,23 @@
 		status := n.status.Load()
 		gauge(emit, "node_leased", "Whether the node holds a lease.", boolToFloat(status.leased))
 		gauge(emit, "node_revision", "The catalog revision the node acts on.", float64(status.revision))
-		gauge(emit, "node_in_flight", "Requests in flight on the node.", float64(status.inFlight))
+		gauge(emit, "node_in_flight", "Requests the node has not ended.", float64(status.inFlight))
 		collectNodeCounters(emit, status.counters)
 		collectTransport(emit, &n.transport.Counts)
 	})
 }
 
 func collectNodeCounters(emit chan<- prometheus.Metric, counters node.Counters) {
-	const outcomes, outcomesHelp = "node_requests_total", "Finished live requests, by outcome."
+	const outcomes, outcomesHelp = "node_requests_total", "Live requests ended, by outcome."
 	counter(emit, outcomes, outcomesHelp, counters.Answered, "outcome", "answered")
 	counter(emit, outcomes, outcomesHelp, counters.NotRun, "outcome", "not_run")
 	counter(emit, outcomes, outcomesHelp, counters.Unknown, "outcome", "unknown")
 	counter(emit, "node_samples_completed_total", "Samples completed.", counters.SamplesCompleted)
-	counter(emit, "node_samples_returned_total", "Samples returned to control.", counters.SamplesReturned)
+	counter(emit, "node_samples_returned_total", "Samples given back to control.", counters.SamplesReturned)
 	counter(emit, "node_tokens_generated_total", "Tokens received from engines.", counters.TokensGenerated)
-	counter(emit, "node_tokens_wasted_total", "Generated tokens that were discarded.", counters.TokensWasted)
+	counter(emit, "node_tokens_wasted_total", "Tokens thrown away.", counters.TokensWasted)
 	counter(emit, "node_retries_total", "Attempts after the first.", counters.Retries)
-	counter(emit, "node_chunks_dropped_total", "Chunks that matched no open attempt.", counters.DroppedChunks)
-	counter(emit, "node_swaps_total", "Completed weight swaps.", counters.Swaps)
-	counter(emit, "node_swap_failures_total", "Failed weight swaps.", counters.SwapFailures)
+	counter(emit, "node_chunks_dropped_total", "Chunks that matched no live attempt.", counters.DroppedChunks)
+	counter(emit, "node_swaps_total", "Weight swaps done.", counters.Swaps)
+	counter(emit, "node_swap_failures_total", "Weight swaps that failed.", counters.SwapFailures)
 }
