--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -20,9 +20,9 @@
 	SlotMillis float64 `cbor:"2,keyasint"`
 }
 
-// Wish is the target number of backends of one kind for a service in a zone. The zone's limits apply
+// Target is the target number of backends of one kind for a service in a zone. The zone's limits apply
 // to the sum of both kinds.
-type Wish struct {
+type Target struct {
 	Service     string `cbor:"1,keyasint"`
 	Zone        string `cbor:"2,keyasint"`
 	Reclaimable bool   `cbor:"3,keyasint,omitempty"`
@@ -30,7 +30,7 @@
 }
 
 // Pool returns the pool that the target applies to.
-func (w Wish) Pool() Pool { return Pool{Zone: w.Zone, Reclaimable: w.Reclaimable} }
+func (t Target) Pool() Pool { return Pool{Zone: t.Zone, Reclaimable: t.Reclaimable} }
 
 // Pool identifies a service's backends of one kind in one zone.
 type Pool struct {
@@ -57,7 +57,7 @@
 // Order is a request to the platform to set a pool's number of backends. It is recorded before it is
 // sent, so that the next leader can continue from it.
 type Order struct {
-	Wish Wish `cbor:"1,keyasint"`
+	Target Target `cbor:"1,keyasint"`
 	// Before is the pool's target count before this order. Held is the highest count that earlier
 	// orders may have reached: one without an answer may have been carried out, or may yet be.
 	Before int `cbor:"2,keyasint"`
@@ -73,7 +73,7 @@
 	if o.wasRejected() {
 		return o.Before
 	}
-	return o.Wish.Count
+	return o.Target.Count
 }
 
 func (o Order) wasRejected() bool { return o.Answer == Exhausted || o.Answer == Refused }
@@ -82,9 +82,9 @@
 func (o Order) MaxCount() int {
 	switch o.Answer {
 	case Taken:
-		return o.Wish.Count
+		return o.Target.Count
 	case Open:
-		return max(o.Wish.Count, o.Held)
+		return max(o.Target.Count, o.Held)
 	}
 	return max(o.Before, o.Held)
 }
--- a/clock/usage_test.go
+++ b/clock/usage_test.go
@@ -34,18 +34,18 @@
 	"server/control.go":          {4, "a random seed, the wait during a graceful shutdown, and the wall clock next to the monotonic clock"},
 	"server/directory_call.go":   {3, "a metric, and the delay before the first group is formed"},
 	"server/directory_review.go": {5, "the delay before the first group is formed, and the wall clock"},
-	"server/followed_run.go":     {2, "a metric"},
+	"server/active_run.go":       {2, "a metric"},
 	"server/gateway.go":          {1, "the wait for the first configuration"},
 	"server/heartbeat.go":        {4, "the interval between readings of the wall clock, the reading, and the wall clock compared with backend start times"},
 	"server/ledger.go":           {2, "the interval between registrations"},
 	"server/ledger_client.go":    {2, "how long a replica is avoided"},
-	"server/moves.go":            {2, "the interval between checks"},
+	"server/reschedule.go":       {2, "the interval between checks"},
 	"server/node.go":             {2, "the wait during a graceful shutdown"},
 	"server/paces.go":            {2, "the interval between records"},
 	"server/record.go":           {5, "the interval between records, and a metric"},
 	"server/heartbeat_log.go":    {1, "the interval between log lines"},
 	"server/watch.go":            {1, "the time that a context leaves for one of several attempts"},
-	"server/tenure.go":           {4, "the interval between checks"},
+	"server/leadership.go":       {4, "the interval between checks"},
 }
 
 // countReadings counts the readings of package time's clock in a file.
--- a/directory/orders_test.go
+++ b/directory/orders_test.go
@@ -19,8 +19,8 @@
 	apply(t, m, Command{PutConfiguration: &PutConfiguration{Configuration: routing.Configuration{Version: 1, Services: services}}})
 	revision := m.Revision()
 	order := func(service, zone string, reclaimable bool, count int, number uint64, answer capacity.Answer) capacity.Order {
-		wish := capacity.Wish{Service: service, Zone: zone, Reclaimable: reclaimable, Count: count}
-		recorded := capacity.Order{Wish: wish, Number: number, Before: 2, Answer: answer}
+		target := capacity.Target{Service: service, Zone: zone, Reclaimable: reclaimable, Count: count}
+		recorded := capacity.Order{Target: target, Number: number, Before: 2, Answer: answer}
 		apply(t, m, Command{Order: &recorded})
 		return recorded
 	}
@@ -49,20 +49,20 @@
 	require.Empty(t, m.Orders("t"), "the service was removed")
 }
 
-// TestOrdersWithSameNumber: a different wish with the current number comes from a delayed holder and is
-// ignored; the same wish carries the answer.
+// TestOrdersWithSameNumber: a different target with the current number comes from a delayed holder and is
+// ignored; the same target carries the answer.
 func TestOrdersWithSameNumber(t *testing.T) {
 	m := NewMachine()
 	order := func(count int, answer capacity.Answer) {
-		wish := capacity.Wish{Service: "s", Zone: "a", Count: count}
-		apply(t, m, Command{Order: &capacity.Order{Wish: wish, Number: 4, Answer: answer}})
+		target := capacity.Target{Service: "s", Zone: "a", Count: count}
+		apply(t, m, Command{Order: &capacity.Order{Target: target, Number: 4, Answer: answer}})
 	}
 	order(6, capacity.Open)
 	order(2, capacity.Open)
-	require.Equal(t, 6, m.Orders("s")[0].Wish.Count)
+	require.Equal(t, 6, m.Orders("s")[0].Target.Count)
 	order(6, capacity.Taken)
 	order(2, capacity.Open)
-	require.Equal(t, 6, m.Orders("s")[0].Wish.Count)
+	require.Equal(t, 6, m.Orders("s")[0].Target.Count)
 	require.Equal(t, capacity.Taken, m.Orders("s")[0].Answer)
 }
 
@@ -75,6 +75,6 @@
 	require.NotContains(t, keys, 20)
 	m := NewMachine()
 	require.NoError(t, m.Restore(&snapshot))
-	apply(t, m, Command{Order: &capacity.Order{Wish: capacity.Wish{Service: "s"}, Number: 1}})
+	apply(t, m, Command{Order: &capacity.Order{Target: capacity.Target{Service: "s"}, Number: 1}})
 	require.Len(t, m.Orders("s"), 1)
 }
--- a/event/event.go
+++ b/event/event.go
@@ -113,20 +113,20 @@
 	TextsCheckpointed = Event{6012, zerolog.InfoLevel, "texts of long runs checkpointed"}
 	StepCompleted     = Event{6013, zerolog.InfoLevel, "step has all the groups that the trainer waits for"}
 
-	RunAheadTakenOver  = Event{6014, zerolog.InfoLevel, "step took over a run started ahead of it"}
-	RunAheadCancelled  = Event{6015, zerolog.InfoLevel, "run started ahead was cancelled; no step asked for it"}
-	EngineInspected    = Event{6016, zerolog.InfoLevel, "new leader queried the state of an engine"}
-	ResultsIncomplete  = Event{6017, zerolog.WarnLevel, "results do not continue the recorded texts; they are recorded again in full"}
-	PacesRecorded      = Event{6018, zerolog.InfoLevel, "engine paces recorded"}
-	RunnerLinkOpened   = Event{6019, zerolog.InfoLevel, "leader opened a runner link to this store"}
-	RunnerLinkClosed   = Event{6020, zerolog.InfoLevel, "runner link from the leader closed"}
-	RunnerConnected    = Event{6021, zerolog.InfoLevel, "connected to a runner"}
-	RunnerDisconnected = Event{6022, zerolog.WarnLevel, "connection to a runner lost"}
-	OrphanedRunsEnded  = Event{6023, zerolog.WarnLevel, "runs ended because no leader claimed them"}
-	RunAdopted         = Event{6024, zerolog.InfoLevel, "run of an earlier leader adopted"}
-	SampleQuarantined  = Event{6025, zerolog.WarnLevel, "sample that crashes engines quarantined"}
-	FailuresRecorded   = Event{6026, zerolog.InfoLevel, "failure counts of a sample recorded"}
-	EngineRestarted    = Event{6027, zerolog.WarnLevel, "engine has restarted since it was registered"}
+	SpeculativeRunPromoted  = Event{6014, zerolog.InfoLevel, "speculative run promoted to a run of a new step"}
+	SpeculativeRunCancelled = Event{6015, zerolog.InfoLevel, "speculative run cancelled; no step claimed it"}
+	EngineInspected         = Event{6016, zerolog.InfoLevel, "new leader queried the state of an engine"}
+	ResultsIncomplete       = Event{6017, zerolog.WarnLevel, "results do not continue the recorded texts; they are recorded again in full"}
+	PacesRecorded           = Event{6018, zerolog.InfoLevel, "engine paces recorded"}
+	RunnerLinkOpened        = Event{6019, zerolog.InfoLevel, "leader opened a runner link to this store"}
+	RunnerLinkClosed        = Event{6020, zerolog.InfoLevel, "runner link from the leader closed"}
+	RunnerConnected         = Event{6021, zerolog.InfoLevel, "connected to a runner"}
+	RunnerDisconnected      = Event{6022, zerolog.WarnLevel, "connection to a runner lost"}
+	OrphanedRunsEnded       = Event{6023, zerolog.WarnLevel, "runs ended because no leader claimed them"}
+	RunAdopted              = Event{6024, zerolog.InfoLevel, "run of an earlier leader adopted"}
+	SampleQuarantined       = Event{6025, zerolog.WarnLevel, "sample that crashes engines quarantined"}
+	FailuresRecorded        = Event{6026, zerolog.InfoLevel, "failure counts of a sample recorded"}
+	EngineRestarted         = Event{6027, zerolog.WarnLevel, "engine has restarted since it was registered"}
 
 	GroupsDeferred = Event{6035, zerolog.InfoLevel, "groups deferred; not all open groups can complete in time"}
 
@@ -150,7 +150,7 @@
 	PeerUnreachable, PeerReachable, MalformedStream,
 	HTTPServerFailed, LogLinesDropped, ReloadRequested, SettingsApplied, SettingsRejected, ProcessStalled, BootClockUnavailable,
 	BackendRegistered, BackendDeregistered, BackendSilent, BackendRemoved, ConfigurationSubmitted, ConfigurationRejected, WeightsPublished, StoreRegistered, GroupFormed, RetireRequested, ConfigurationApplied, DirectoryReachable, DirectoryUnreachable, CallFailed, UsageReported, UsageUpdateFailed, UsageSendFailed, AddressConflict, CrashReported, TrialOffered, TrialStarted, QuarantineCallFailed, LeaderUpdateFailed, StaleHeartbeatIgnored, InvalidHeartbeatIgnored, CapacityPlanned, ScalingOrderFinished, ScalingResultNotRecorded, DemandSendFailed, WatchesSuspended, WatchesResumed, CopyRefreshed, CopyStale, BackendReturned, CommandVersionChanged, CommandVersionPending, MemberOutdated, BuildsChanged,
-	StepSubmitted, StepResubmitted, StepEnded, SampleStarted, SampleRunEnded, SampleFailed, ResultsRecorded, LoadOrdered, LoadEnded, SampleTextReused, SampleMoved, TextsCheckpointed, StepCompleted, RunAheadTakenOver, RunAheadCancelled, EngineInspected, ResultsIncomplete, PacesRecorded, RunnerLinkOpened, RunnerLinkClosed, RunnerConnected, RunnerDisconnected, OrphanedRunsEnded, RunAdopted, SampleQuarantined, FailuresRecorded, EngineRestarted, GroupsDeferred,
+	StepSubmitted, StepResubmitted, StepEnded, SampleStarted, SampleRunEnded, SampleFailed, ResultsRecorded, LoadOrdered, LoadEnded, SampleTextReused, SampleMoved, TextsCheckpointed, StepCompleted, SpeculativeRunPromoted, SpeculativeRunCancelled, EngineInspected, ResultsIncomplete, PacesRecorded, RunnerLinkOpened, RunnerLinkClosed, RunnerConnected, RunnerDisconnected, OrphanedRunsEnded, RunAdopted, SampleQuarantined, FailuresRecorded, EngineRestarted, GroupsDeferred,
 	RequestEnded, GatewayStarted, GatewayStopping, GatewayStopped, StepForwarded, AttemptEnded, LocalReplicaUnavailable, RequestQuarantined, LimitStarted, LimitEnded,
 }
 
--- a/server/followed_run.go
+++ b/server/active_run.go
@@ -33,23 +33,23 @@
 }
 
 // beginRun registers a run of the task and starts its stall timer.
-func (t *leadership) beginRun(assignment scheduler.Assignment) *activeRun {
+func (l *leadership) beginRun(assignment scheduler.Assignment) *activeRun {
 	task := assignment.Task
-	ctx, cancel := context.WithCancel(t.context)
-	t.cancels[task] = cancel
+	ctx, cancel := context.WithCancel(l.context)
+	l.cancels[task] = cancel
 	progress := newRunProgress(task.Text)
-	t.progress[task] = progress
+	l.progress[task] = progress
 	if task.Text.Last == 0 {
-		delete(t.checkpointed, task)
+		delete(l.checkpointed, task)
 	}
 	timeout := stallTimeout
-	if t.scheduler.IsLoading(assignment.Backend.ID, task.Step.Model) {
+	if l.scheduler.IsLoading(assignment.Backend.ID, task.Step.Model) {
 		timeout = loadStallTimeout
 	}
-	verdict, isTrial := t.checkBeforeRun(task)
+	verdict, isTrial := l.checkBeforeRun(task)
 	task.KindSuspected = verdict.KnownKindCrashes > 0
 	return &activeRun{
-		verdict: verdict, isTrial: isTrial, leadership: t, assignment: assignment, context: ctx, cancel: cancel, progress: progress,
+		verdict: verdict, isTrial: isTrial, leadership: l, assignment: assignment, context: ctx, cancel: cancel, progress: progress,
 		stallTimer: time.AfterFunc(timeout, cancel), stallTimeout: timeout,
 	}
 }
--- a/server/backend_return.go
+++ b/server/backend_return.go
@@ -10,8 +10,8 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-// minReturnIntervals is the minimum time, in heartbeat intervals, between two heartbeats that prove that a
-// removed backend runs. A network cut may delay a heartbeat until its sender has ended, and delivers delayed
+// minReturnIntervals is the minimum time, in heartbeat intervals, between two heartbeats that confirm that
+// a removed backend runs. A network cut may delay a heartbeat until its sender has ended, and delivers delayed
 // heartbeats together.
 const minReturnIntervals = 0.75
 
@@ -33,7 +33,7 @@
 	return &returnTracker{heartbeats: map[string]returnHeartbeats{}}
 }
 
-// record records a heartbeat and reports whether it proves that the backend is running.
+// record records a heartbeat and reports whether it confirms that the backend is running.
 func (r *returnTracker) record(now time.Time, id string, sequence uint64, interval time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,10 +63,10 @@
 		return false
 	}
 	if d.isAddressContested(registration, backend) {
-		d.returning.forget(backend.ID)
+		d.returns.forget(backend.ID)
 		return false
 	}
-	if !d.returning.record(clock.Now(), backend.ID, heartbeat.Sequence, d.settings.HeartbeatInterval) {
+	if !d.returns.record(clock.Now(), backend.ID, heartbeat.Sequence, d.settings.HeartbeatInterval) {
 		return false
 	}
 	event.BackendReturned.On(d.logger).Str("backend", backend.ID).Str("service", backend.Service).Str("address", backend.Address).Send()
--- a/server/backend_return_test.go
+++ b/server/backend_return_test.go
@@ -268,7 +268,7 @@
 }
 
 // TestBackendReclaimsItsAddress checks that a running backend gets its address back after a delayed heartbeat
-// of a crashed one has taken it.
+// of a crashed one has claimed it.
 func TestBackendReclaimsItsAddress(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
--- a/server/checkpoint.go
+++ b/server/checkpoint.go
@@ -91,37 +91,37 @@
 
 // checkpoint stores the texts of long runs in the ledger, so that the next leader can continue them. At
 // most one commit is in progress.
-func (t *leadership) checkpoint() {
-	if t.checkpointing {
+func (l *leadership) checkpoint() {
+	if l.checkpointing {
 		return
 	}
-	checkpoints, runs := t.collectCheckpoints(time.Now())
+	checkpoints, runs := l.collectCheckpoints(time.Now())
 	if len(runs) == 0 {
 		return
 	}
-	t.checkpointing = true
+	l.checkpointing = true
 	go func() {
-		err := t.commitCheckpoints(checkpoints)
-		t.loop.Submit(func() {
-			t.checkpointing = false
+		err := l.commitCheckpoints(checkpoints)
+		l.loop.Submit(func() {
+			l.checkpointing = false
 			if err == nil {
-				t.recordCheckpointed(runs)
+				l.recordCheckpointed(runs)
 			}
 		})
 	}()
 }
 
 // collectCheckpoints returns the events of all due runs since their last checkpoints.
-func (t *leadership) collectCheckpoints(now time.Time) (map[string]*ledger.Checkpoint, []checkpointedRun) {
+func (l *leadership) collectCheckpoints(now time.Time) (map[string]*ledger.Checkpoint, []checkpointedRun) {
 	checkpoints := map[string]*ledger.Checkpoint{}
 	var runs []checkpointedRun
 	size := 0
-	for task, progress := range t.progress {
+	for task, progress := range l.progress {
 		if now.Sub(progress.checkpointedAt) < checkpointInterval || task.State != scheduler.Running || task.IsSpeculative() || size > maxCheckpointBytes {
 			continue
 		}
 		text, _ := progress.read()
-		after := min(t.checkpointed[task], text.Last)
+		after := min(l.checkpointed[task], text.Last)
 		if text.Last < after+minCheckpointEvents {
 			continue
 		}
@@ -142,12 +142,12 @@
 	return checkpoints, runs
 }
 
-func (t *leadership) commitCheckpoints(checkpoints map[string]*ledger.Checkpoint) error {
+func (l *leadership) commitCheckpoints(checkpoints map[string]*ledger.Checkpoint) error {
 	for step, checkpoint := range checkpoints {
-		limited, cancel := context.WithTimeout(t.context, recordTimeout)
-		_, err := t.replica.Execute(limited, ledger.Command{Checkpoint: checkpoint}.Encode())
+		limited, cancel := context.WithTimeout(l.context, recordTimeout)
+		_, err := l.replica.Execute(limited, ledger.Command{Checkpoint: checkpoint}.Encode())
 		cancel()
-		line := event.TextsCheckpointed.On(t.logger).Str("step", step).Uint("texts", uint64(len(checkpoint.Texts)))
+		line := event.TextsCheckpointed.On(l.logger).Str("step", step).Uint("texts", uint64(len(checkpoint.Texts)))
 		if err != nil {
 			line.Err(err).Send()
 			return err
@@ -159,11 +159,11 @@
 
 // recordCheckpointed records the stored events. A text that was restarted meanwhile is stored from its
 // beginning next time.
-func (t *leadership) recordCheckpointed(runs []checkpointedRun) {
-	t.metrics.checkpoints.WithLabelValues().Add(float64(len(runs)))
+func (l *leadership) recordCheckpointed(runs []checkpointedRun) {
+	l.metrics.checkpoints.WithLabelValues().Add(float64(len(runs)))
 	for _, saved := range runs {
 		if saved.task.Run == saved.run && saved.task.State == scheduler.Running {
-			t.checkpointed[saved.task] = saved.last
+			l.checkpointed[saved.task] = saved.last
 		}
 	}
 }
--- a/server/copy_age.go
+++ b/server/copy_age.go
@@ -95,20 +95,21 @@
 	a.recordConfirmed(startedAt)
 }
 
-// maxLineAge is the maximum age of a replica's confirmation when it sends a watch line; see maxConfirmationAge.
-const maxLineAge = maxConfirmationAge + confirmationCheckInterval
+// maxKeepaliveAge is the maximum age of a replica's confirmation when it sends a keepalive; see
+// maxConfirmationAge.
+const maxKeepaliveAge = maxConfirmationAge + confirmationCheckInterval
 
-// watchTracker computes how recent a replica's state is from the lines of its watches. A stalled process may
-// read lines long after they were sent, so the tracker uses the earliest time at which the replica can have
-// sent a line: one interval per line after the watch was requested. Times are in milliseconds.
+// watchTracker computes how recent a replica's state is from the keepalives of its watches. A stalled process
+// may read keepalives long after they were sent, so the tracker uses the earliest time at which the replica
+// can have sent one: one interval per keepalive after the watch was requested. Times are in milliseconds.
 type watchTracker struct {
 	address string
 	// confirmingSince is when the replica was first heard. It may hold watches for a short time before its
 	// state is confirmed. 0 if it was not heard yet.
 	confirmingSince int64
-	// requestedAt is when the watch was requested, lines counts its lines, and sentAfter is a time
-	// before the latest line of any watch was sent.
-	requestedAt, lines, sentAfter int64
+	// requestedAt is when the watch was requested, keepalives counts its keepalives, and sentAfter is a
+	// time before the latest keepalive of any watch was sent.
+	requestedAt, keepalives, sentAfter int64
 }
 
 // start records that a watch is requested.
@@ -116,29 +117,29 @@
 	if t.address != address {
 		*t = watchTracker{address: address}
 	}
-	t.requestedAt, t.lines = now, 0
+	t.requestedAt, t.keepalives = now, 0
 }
 
 // reset discards the state when the watcher leaves the replica.
 func (t *watchTracker) reset() { *t = watchTracker{} }
 
-// recordLine records that a line was read. If the line confirms that the replica's state was complete at
+// recordKeepalive records that a keepalive was read. If it confirms that the replica's state was complete at
 // some time, it returns that time and true.
-func (t *watchTracker) recordLine(now int64) (confirmedAt int64, ok bool) {
+func (t *watchTracker) recordKeepalive(now int64) (confirmedAt int64, ok bool) {
 	t.recordReceived(now)
-	t.sentAfter = t.requestedAt + t.lines*keepaliveInterval.Milliseconds()
-	t.lines++
-	if t.lines == 1 {
-		// The first line only shows that the watch has started.
+	t.sentAfter = t.requestedAt + t.keepalives*keepaliveInterval.Milliseconds()
+	t.keepalives++
+	if t.keepalives == 1 {
+		// The first keepalive only shows that the watch has started.
 		return 0, false
 	}
-	return t.sentAfter - maxLineAge.Milliseconds(), t.sentAfter-t.confirmingSince >= maxLineAge.Milliseconds()
+	return t.sentAfter - maxKeepaliveAge.Milliseconds(), t.sentAfter-t.confirmingSince >= maxKeepaliveAge.Milliseconds()
 }
 
 // recordReceived records that data arrived from the replica. After a time without watches, confirmingSince
 // starts over.
 func (t *watchTracker) recordReceived(now int64) {
-	if t.lines == 0 && (t.confirmingSince == 0 || now-t.sentAfter > readConfirmLinger.Milliseconds()) {
+	if t.keepalives == 0 && (t.confirmingSince == 0 || now-t.sentAfter > readConfirmLinger.Milliseconds()) {
 		t.confirmingSince = now
 	}
 }
--- a/server/copy_age_test.go
+++ b/server/copy_age_test.go
@@ -49,42 +49,42 @@
 	require.Equal(t, copyFresh, unlimited.state(start))
 }
 
-// trackWatch tracks a watch whose lines are read at the times, and returns the result of the last one.
+// trackWatch tracks a watch whose keepalives are read at the times, and returns the result of the last one.
 func trackWatch(tracker *watchTracker, requestedAt int64, readAt ...int64) (confirmedAt int64, ok bool) {
 	tracker.start(requestedAt, "replica")
 	for _, at := range readAt {
-		confirmedAt, ok = tracker.recordLine(at)
+		confirmedAt, ok = tracker.recordKeepalive(at)
 	}
 	return confirmedAt, ok
 }
 
-// TestWatchLinesConfirmCopy checks that lines confirm the state as of the earliest time at which they can
-// have been sent, however late they are read.
-func TestWatchLinesConfirmCopy(t *testing.T) {
+// TestKeepalivesConfirmCopy checks that keepalives confirm the state as of the earliest time at which they
+// can have been sent, however late they are read.
+func TestKeepalivesConfirmCopy(t *testing.T) {
 	const start = int64(1_000_000)
-	line, delay := keepaliveInterval.Milliseconds(), maxLineAge.Milliseconds()
+	interval, delay := keepaliveInterval.Milliseconds(), maxKeepaliveAge.Milliseconds()
 	var tracker watchTracker
 	_, ok := trackWatch(&tracker, start, start)
-	require.False(t, ok, "the first line confirms nothing")
-	_, ok = trackWatch(&tracker, start, start, start+line, start+2*line)
+	require.False(t, ok, "the first keepalive confirms nothing")
+	_, ok = trackWatch(&tracker, start, start, start+interval, start+2*interval)
 	require.False(t, ok, "a replica may hold watches for a while without confirmation")
-	confirmedAt, ok := trackWatch(&tracker, start, start, start+line, start+2*line, start+3*line)
+	confirmedAt, ok := trackWatch(&tracker, start, start, start+interval, start+2*interval, start+3*interval)
 	require.True(t, ok)
-	require.Equal(t, start+3*line-delay, confirmedAt)
+	require.Equal(t, start+3*interval-delay, confirmedAt)
 
-	next := start + 10*line
-	confirmedAt, ok = trackWatch(&tracker, next, next, next+line)
+	next := start + 10*interval
+	confirmedAt, ok = trackWatch(&tracker, next, next, next+interval)
 	require.True(t, ok, "the next watch continues the confirmation")
-	require.Equal(t, next+line-delay, confirmedAt)
+	require.Equal(t, next+interval-delay, confirmedAt)
 
 	resumed := next + time.Hour.Milliseconds()
 	confirmedAt, _ = trackWatch(&tracker, next, next, resumed, resumed, resumed)
-	require.Equal(t, next+3*line-delay, confirmedAt, "lines read late")
+	require.Equal(t, next+3*interval-delay, confirmedAt, "keepalives read late")
 
-	_, ok = trackWatch(&tracker, resumed, resumed, resumed+line)
+	_, ok = trackWatch(&tracker, resumed, resumed, resumed+interval)
 	require.False(t, ok, "the replica was not watched for too long")
 
 	tracker.reset()
-	_, ok = trackWatch(&tracker, resumed, resumed, resumed+line)
+	_, ok = trackWatch(&tracker, resumed, resumed, resumed+interval)
 	require.False(t, ok, "the tracker was reset")
 }
--- a/server/copy_refresh.go
+++ b/server/copy_refresh.go
@@ -12,11 +12,11 @@
 
 const (
 	// refreshStagger is the delay before a request to each further replica, and maxRefreshReplicas
-	// limits the replicas asked.
+	// limits the replicas queried.
 	refreshStagger     = 40 * time.Millisecond
 	maxRefreshReplicas = 4
 	// maxCopyWait is how long after its start a refresh may delay a request that is served in any
-	// case. Two replicas have been asked by then.
+	// case. Two replicas have been queried by then.
 	maxCopyWait = 80 * time.Millisecond
 )
 
@@ -99,7 +99,7 @@
 // recordRefreshFailure counts a failed refresh, and logs the first one that leaves the copy stale.
 func (w *Watcher) recordRefreshFailure(err error) {
 	now := nowMillis()
-	w.failedQueries.Add(1)
+	w.failedRefreshes.Add(1)
 	if w.age.state(now) > copyAging && w.isDisconnected.CompareAndSwap(false, true) {
 		event.CopyStale.On(w.logger).Uint("revision", w.Catalog().Revision).Int("age_ms", now-w.age.confirmedAt.Load()).Err(err).Send()
 	}
@@ -121,7 +121,7 @@
 			continue
 		}
 		w.age.recordAnswered(startedAt)
-		w.queries.Add(1)
+		w.refreshes.Add(1)
 		w.isDisconnected.Store(false)
 		event.CopyRefreshed.On(w.logger).Int("age_ms", startedAt-confirmedAt).Uint("from", base.Revision).Uint("revision", w.Catalog().Revision).Send()
 		return nil
--- a/server/copy_refresh_test.go
+++ b/server/copy_refresh_test.go
@@ -238,7 +238,7 @@
 			if !test.served {
 				require.Empty(t, client.ids)
 			}
-			require.Positive(t, gateway.watcher.failedQueries.Load())
+			require.Positive(t, gateway.watcher.failedRefreshes.Load())
 		})
 	}
 }
@@ -266,9 +266,9 @@
 	return scheduler.Rejected
 }
 
-// newStalledTenure returns a leadership with a step to run, a connected runner and a complete copy, whose
+// newStalledLeader returns a leadership with a step to run, a connected runner and a complete copy, whose
 // watch has stalled since.
-func newStalledTenure(t *testing.T, d *stalledDirectory, engine recordingEngine, seeds ...string) *leadership {
+func newStalledLeader(t *testing.T, d *stalledDirectory, engine recordingEngine, seeds ...string) *leadership {
 	logger := zerolog.Nop()
 	w := newTestWatcher(t, seeds...)
 	w.age.limit = testCopyLimit
@@ -276,7 +276,7 @@
 	runnerServer := httptest.NewServer(runner.NewServer(engine, &logger))
 	ctx, stop := context.WithCancel(context.Background())
 	executor := &Executor{watcher: w, guard: newGuard(w), metrics: newLedgerMetrics(), logger: &logger}
-	tenured := &leadership{
+	leader := &leadership{
 		Executor: executor, context: ctx, loop: eventloop.New(), scheduler: scheduler.New(), catalog: w.Catalog(),
 		runners: runner.NewPool(ctx, 1, func([]*runner.OrphanedRun) {}, &logger),
 		cancels: map[*scheduler.Task]context.CancelFunc{}, progress: map[*scheduler.Task]*runProgress{},
@@ -287,22 +287,22 @@
 		runnerServer.CloseClientConnections()
 		runnerServer.Close()
 	})
-	tenured.runners.SetStores([]runner.Store{{Name: "store", Address: strings.TrimPrefix(runnerServer.URL, "http://")}})
-	require.Eventually(t, tenured.runners.Ready, eventuallyTimeout, eventuallyInterval)
-	tenured.scheduler.SyncEngines(nowMillis(), []directory.Backend{testBackend("a")}, map[string]uint64{"m": 1})
-	tenured.scheduler.AddStep(&ledger.Entry{Step: &ledger.Step{
+	leader.runners.SetStores([]runner.Store{{Name: "store", Address: strings.TrimPrefix(runnerServer.URL, "http://")}})
+	require.Eventually(t, leader.runners.Ready, eventuallyTimeout, eventuallyInterval)
+	leader.scheduler.SyncEngines(nowMillis(), []directory.Backend{testBackend("a")}, map[string]uint64{"m": 1})
+	leader.scheduler.AddStep(&ledger.Entry{Step: &ledger.Step{
 		ID: "step", Host: "h", Model: "m", OldestVersion: 1, Wanted: 1, Attempts: 1,
 		DueAt: nowMillis() + time.Hour.Milliseconds(), GiveUpAt: nowMillis() + 2*time.Hour.Milliseconds(),
 		Samples: []ledger.Sample{{ID: "x", Path: "/"}},
 	}})
-	return tenured
+	return leader
 }
 
 // flush has the leadership start runs, with a state that is fresh except for its copy.
-func flush(t *testing.T, tenured *leadership) {
-	tenured.freshness.confirmedAt.Store(nowMillis())
-	tenured.loadsCheckedAt = time.Now()
-	require.NoError(t, tenured.flush())
+func flush(t *testing.T, leader *leadership) {
+	leader.freshness.confirmedAt.Store(nowMillis())
+	leader.loadsCheckedAt = time.Now()
+	require.NoError(t, leader.flush())
 }
 
 // TestStaleCopyStartsNoRuns checks that a leader with a stalled watch starts no run on an engine that left
@@ -312,15 +312,15 @@
 	defer clock.Use(source)()
 	d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
 	engine := recordingEngine{started: make(chan string, 1)}
-	tenured := newStalledTenure(t, d, engine, d.address)
+	leader := newStalledLeader(t, d, engine, d.address)
 	d.drain(testBackend("a"))
 	source.Suspend(testCopyLimit)
-	flush(t, tenured)
-	require.NotNil(t, tenured.awaited)
-	<-tenured.awaited.done
-	flush(t, tenured)
-	require.Empty(t, tenured.cancels, "the refreshed copy is applied first")
-	known, _ := tenured.watcher.Catalog().Backend("a")
+	flush(t, leader)
+	require.NotNil(t, leader.pendingRefresh)
+	<-leader.pendingRefresh.done
+	flush(t, leader)
+	require.Empty(t, leader.cancels, "the refreshed copy is applied first")
+	known, _ := leader.watcher.Catalog().Backend("a")
 	require.True(t, known.Draining)
 	require.Empty(t, engine.started)
 }
@@ -334,11 +334,11 @@
 			defer clock.Use(source)()
 			d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
 			engine := recordingEngine{started: make(chan string, 1)}
-			tenured := newStalledTenure(t, d, engine, d.address)
+			leader := newStalledLeader(t, d, engine, d.address)
 			source.Suspend(suspended)
 			require.Eventually(t, func() bool {
-				flush(t, tenured)
-				return len(tenured.cancels) == 1
+				flush(t, leader)
+				return len(leader.cancels) == 1
 			}, eventuallyTimeout, eventuallyInterval)
 			if suspended == 0 {
 				// A runner that was suspended as well ignores starts from before.
@@ -356,13 +356,13 @@
 	d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
 	unresponsive, _ := startUnresponsiveReplica(t)
 	engine := recordingEngine{started: make(chan string, 1)}
-	tenured := newStalledTenure(t, d, engine, unresponsive)
+	leader := newStalledLeader(t, d, engine, unresponsive)
 	source.Suspend(testCopyLimit)
 	require.Eventually(t, func() bool {
-		flush(t, tenured)
-		return len(tenured.cancels) == 1
+		flush(t, leader)
+		return len(leader.cancels) == 1
 	}, eventuallyTimeout, eventuallyInterval)
-	require.Positive(t, tenured.watcher.failedQueries.Load())
+	require.Positive(t, leader.watcher.failedRefreshes.Load())
 }
 
 // TestRefreshThroughAnyReplica checks that a refresh through any replica returns what the directory's
@@ -411,7 +411,7 @@
 }
 
 // TestWatchAnswersConfirmCopy checks that answers of a confirmed replica keep the copy fresh. While changes
-// arrive without pause, watches have no lines that could do so.
+// arrive without pause, watches have no keepalives that could do so.
 func TestWatchAnswersConfirmCopy(t *testing.T) {
 	for _, suspended := range []bool{false, true} {
 		for _, confirmed := range []bool{false, true} {
@@ -433,8 +433,8 @@
 					require.Zero(t, w.age.confirmedAt.Load())
 					return
 				}
-				require.GreaterOrEqual(t, w.age.confirmedAt.Load(), before-maxLineAge.Milliseconds())
-				require.LessOrEqual(t, w.age.confirmedAt.Load(), nowMillis()-maxLineAge.Milliseconds())
+				require.GreaterOrEqual(t, w.age.confirmedAt.Load(), before-maxKeepaliveAge.Milliseconds())
+				require.LessOrEqual(t, w.age.confirmedAt.Load(), nowMillis()-maxKeepaliveAge.Milliseconds())
 			})
 		}
 	}
--- a/server/demand.go
+++ b/server/demand.go
@@ -19,24 +19,24 @@
 )
 
 // reportDemand reports the demand of the open steps to the directory if any service is scalable.
-func (t *leadership) reportDemand() {
-	if t.catalog == nil || clock.Since(t.demandReportedAt) < demandInterval || !t.hasScalableService() || t.freshness.isStale(nowMillis()) {
+func (l *leadership) reportDemand() {
+	if l.catalog == nil || clock.Since(l.demandReportedAt) < demandInterval || !l.hasScalableService() || l.freshness.isStale(nowMillis()) {
 		return
 	}
-	t.demandReportedAt = clock.Now()
-	go t.sendDemand(t.demands())
+	l.demandReportedAt = clock.Now()
+	go l.sendDemand(l.demands())
 }
 
 // demands returns the demand of the open steps for each scalable service.
-func (t *leadership) demands() []capacity.Demand {
+func (l *leadership) demands() []capacity.Demand {
 	reported := map[string]bool{}
-	demands := slices.DeleteFunc(t.scheduler.Demand(nowMillis(), t.servicesNeededBy), func(demand capacity.Demand) bool {
-		return t.catalog.Services[demand.Service].Scale == nil
+	demands := slices.DeleteFunc(l.scheduler.Demand(nowMillis(), l.servicesNeededBy), func(demand capacity.Demand) bool {
+		return l.catalog.Services[demand.Service].Scale == nil
 	})
 	for _, demand := range demands {
 		reported[demand.Service] = true
 	}
-	for name, service := range t.catalog.Services {
+	for name, service := range l.catalog.Services {
 		if service.Scale != nil && !reported[name] {
 			// Report zero demand, so that the service can be scaled down.
 			demands = append(demands, capacity.Demand{Service: name})
@@ -47,24 +47,24 @@
 
 // servicesNeededBy returns the services that the task needs. It has no side effects: in particular it
 // requests no trial for a quarantined sample.
-func (t *leadership) servicesNeededBy(task *scheduler.Task) ([]string, bool) {
-	if task.State == scheduler.Waiting && !t.guard.IsIdle() && t.guard.CheckSubject(task.Subject()).Quarantined {
+func (l *leadership) servicesNeededBy(task *scheduler.Task) ([]string, bool) {
+	if task.State == scheduler.Waiting && !l.guard.IsIdle() && l.guard.CheckSubject(task.Subject()).Quarantined {
 		return nil, false
 	}
-	return t.routedServices(task)
+	return l.routedServices(task)
 }
 
-func (t *leadership) sendDemand(demands []capacity.Demand) {
-	ctx, cancel := context.WithTimeout(t.context, demandTimeout)
+func (l *leadership) sendDemand(demands []capacity.Demand) {
+	ctx, cancel := context.WithTimeout(l.context, demandTimeout)
 	defer cancel()
-	if _, err := t.watcher.call(ctx, directoryCall{Demands: demands}); err != nil {
-		event.DemandSendFailed.On(t.logger).Err(err).Send()
+	if _, err := l.watcher.call(ctx, directoryCall{Demands: demands}); err != nil {
+		event.DemandSendFailed.On(l.logger).Err(err).Send()
 	}
 }
 
 // hasScalableService reports whether the catalog contains a scalable service.
-func (t *leadership) hasScalableService() bool {
-	for _, service := range t.catalog.Services {
+func (l *leadership) hasScalableService() bool {
+	for _, service := range l.catalog.Services {
 		if service.Scale != nil {
 			return true
 		}
--- a/server/demand_test.go
+++ b/server/demand_test.go
@@ -17,7 +17,7 @@
 // ones and requests no trial.
 func TestDemandRequestsNoTrial(t *testing.T) {
 	d := newStalledDirectory(t, routing.Rollout, testBackend("a"))
-	leader := newStalledTenure(t, d, recordingEngine{started: make(chan string, 1)}, d.address)
+	leader := newStalledLeader(t, d, recordingEngine{started: make(chan string, 1)}, d.address)
 	sample := &ledger.Sample{ID: "x", Path: "/"}
 	task := &scheduler.Task{Step: &ledger.Step{ID: "step", Host: "h"}, Sample: sample}
 	content := scheduler.SubjectOf("h", "", sample).Content
--- a/server/directory.go
+++ b/server/directory.go
@@ -89,8 +89,8 @@
 	feed           *feed
 	usage          *usageAggregator
 	duties         *dutyCoordinator
-	versions       *versionKeeper
-	returning      *returnTracker
+	versions       *versionCoordinator
+	returns        *returnTracker
 	scale          *scaleController
 	stalls         stallDetector
 	invalidReports invalidHeartbeatLog
@@ -114,7 +114,7 @@
 func NewDirectory(settings config.Directory, seeds *Seeds, client DutyClient, logger *zerolog.Logger) (*Directory, error) {
 	machine := directory.NewMachine()
 	members, identity := initialDirectoryMembers(settings)
-	opened, err := replica.Open(replica.Settings{
+	r, err := replica.Open(replica.Settings{
 		Cluster: settings.Cluster + "-directory", Address: settings.InternalAddress, DataFolder: settings.DataFolder,
 		Voters: config.Voters(settings.ToleratedLosses), InitialMembers: members, Replica: identity,
 		Contacts: seeds.Current, KnownVersion: directory.KnownVersion,
@@ -123,16 +123,16 @@
 		return nil, err
 	}
 	d := &Directory{
-		settings: settings, logger: logger, machine: machine, replica: opened,
+		settings: settings, logger: logger, machine: machine, replica: r,
 		client: replica.NewInternalClient(), confirmations: newReadConfirmations(), metrics: newDirectoryMetrics(), heartbeats: newHeartbeats(), feed: newFeed(),
 	}
-	d.duties = &dutyCoordinator{settings: settings, replica: opened, machine: machine, actions: duty.NewTracker(), sleep: time.Sleep}
+	d.duties = &dutyCoordinator{settings: settings, replica: r, machine: machine, actions: duty.NewTracker(), sleep: time.Sleep}
 	d.usage = &usageAggregator{
-		settings: settings, replica: opened, machine: machine, client: client, clock: usage.NewClock(settings.ToleratedLosses + 1), duties: d.duties,
+		settings: settings, replica: r, machine: machine, client: client, clock: usage.NewClock(settings.ToleratedLosses + 1), duties: d.duties,
 		metrics: d.metrics, logger: logger,
 	}
-	d.versions = newVersionKeeper(settings.InternalAddress, opened, machine, logger)
-	d.returning = newReturnTracker()
+	d.versions = newVersionCoordinator(settings.InternalAddress, r, machine, logger)
+	d.returns = newReturnTracker()
 	d.scale = &scaleController{settings: settings, duties: d.duties, client: client, metrics: d.metrics, logger: logger}
 	d.scale.reset()
 	d.registrations = &batcher[Heartbeat]{process: d.registerAll}
--- a/server/directory_watch_test.go
+++ b/server/directory_watch_test.go
@@ -43,7 +43,7 @@
 	id        consensus.ReplicaID
 	transport *transport.Transport
 	revision  atomic.Uint64
-	// wasQueried is set once the leader was asked for the newest revision, and queries counts how often.
+	// wasQueried is set once the leader was queried for the newest revision, and queries counts how often.
 	wasQueried atomic.Bool
 	queries    atomic.Int64
 	// unconfirmed makes the leader fail calls, as if no quorum confirmed it.
--- a/server/executor.go
+++ b/server/executor.go
@@ -59,12 +59,12 @@
 }
 
 // run starts a leadership whenever the replica leads and serves.
-func (x *Executor) run(ctx context.Context, opened *replica.Replica, machine *ledger.Machine) {
+func (x *Executor) run(ctx context.Context, r *replica.Replica, machine *ledger.Machine) {
 	for ctx.Err() == nil {
-		changed := opened.Changed()
-		status := opened.Status()
+		changed := r.Changed()
+		status := r.Status()
 		if status.Serving {
-			x.lead(ctx, opened, machine, status.Term)
+			x.lead(ctx, r, machine, status.Term)
 			continue
 		}
 		select {
@@ -75,24 +75,24 @@
 }
 
 // lead runs samples until the leadership ends.
-func (x *Executor) lead(ctx context.Context, opened *replica.Replica, machine *ledger.Machine, term uint64) {
+func (x *Executor) lead(ctx context.Context, r *replica.Replica, machine *ledger.Machine, term uint64) {
 	leaderContext, stop := context.WithCancel(ctx)
 	defer stop()
-	t := &leadership{
-		Executor: x, context: leaderContext, replica: opened, machine: machine, term: term,
+	l := &leadership{
+		Executor: x, context: leaderContext, replica: r, machine: machine, term: term,
 		loop: eventloop.New(), scheduler: scheduler.New(),
 		cancels: map[*scheduler.Task]context.CancelFunc{}, progress: map[*scheduler.Task]*runProgress{},
-		checkpointed: map[*scheduler.Task]uint64{}, knownSteps: map[string]bool{}, rewardLimiter: newRewardLimiter(), turns: newKindLocks(),
+		checkpointed: map[*scheduler.Task]uint64{}, knownSteps: map[string]bool{}, rewardLimiter: newRewardLimiter(), kindLocks: newKindLocks(),
 		workingSets: map[string]*scheduler.WorkingSet{},
 		quarantined: map[quarantine.Fingerprint]bool{}, requestingTrial: map[quarantine.Fingerprint]bool{},
 	}
-	t.runners = runner.NewPool(leaderContext, term, t.adoptRuns, x.logger)
-	t.deferLoads()
-	t.restoreHistory()
-	go t.watchChanges(stop)
+	l.runners = runner.NewPool(leaderContext, term, l.adoptRuns, x.logger)
+	l.deferLoads()
+	l.restoreHistory()
+	go l.watchChanges(stop)
 	// An empty call makes the loop flush once the leadership is confirmed.
-	go t.freshness.confirmLeadership(leaderContext, opened, func() { t.loop.Submit(func() {}) })
-	t.loop.Run(leaderContext, executorTickInterval, t.tick, t.flush)
+	go l.freshness.confirmLeadership(leaderContext, r, func() { l.loop.Submit(func() {}) })
+	l.loop.Run(leaderContext, executorTickInterval, l.tick, l.flush)
 	x.openRunners.Store(0)
 	x.planCounts.Store(nil)
 }
--- a/server/freshness.go
+++ b/server/freshness.go
@@ -43,11 +43,11 @@
 }
 
 // confirmLeadership has a quorum confirm the leader regularly, and calls onFirst after the first time.
-func (f *freshness) confirmLeadership(ctx context.Context, opened *replica.Replica, onFirst func()) {
+func (f *freshness) confirmLeadership(ctx context.Context, r *replica.Replica, onFirst func()) {
 	for ctx.Err() == nil {
 		startedAt := nowMillis()
 		limited, cancel := context.WithTimeout(ctx, maxLeaderConfirmAge)
-		if opened.Confirm(limited) == nil {
+		if r.Confirm(limited) == nil {
 			if f.confirmedAt.Swap(startedAt) == 0 {
 				onFirst()
 			}
--- a/server/inspect.go
+++ b/server/inspect.go
@@ -16,12 +16,12 @@
 // inspectEngines queries the engines with recent orders for their versions and loads in progress. The
 // directory learns of versions only with heartbeats and never of loads in progress; for all other engines
 // its state is complete. So the number of queries depends on recent loads, not on the size of the fleet.
-func (t *leadership) inspectEngines(backends []directory.Backend) {
+func (l *leadership) inspectEngines(backends []directory.Backend) {
 	var recent map[string]bool
-	t.replica.Do(func() { recent = recentlyOrdered(t.machine.Orders()) })
+	l.replica.Do(func() { recent = recentlyOrdered(l.machine.Orders()) })
 	for _, backend := range backends {
 		if recent[orderSubject(backend)] {
-			go t.inspectEngine(backend)
+			go l.inspectEngine(backend)
 		}
 	}
 }
@@ -42,29 +42,29 @@
 	return recent
 }
 
-func (t *leadership) inspectEngine(backend directory.Backend) {
-	limited, cancel := context.WithTimeout(t.context, loadTimeout)
+func (l *leadership) inspectEngine(backend directory.Backend) {
+	limited, cancel := context.WithTimeout(l.context, loadTimeout)
 	defer cancel()
-	report, err := t.queryEngine(limited, backend)
-	event.EngineInspected.On(t.logger).Str("engine", backend.ID).Uint("busy", boolToUint(report.Busy)).
+	report, err := l.queryEngine(limited, backend)
+	event.EngineInspected.On(l.logger).Str("engine", backend.ID).Uint("busy", boolToUint(report.Busy)).
 		Uint("failed", boolToUint(err != nil)).Send()
-	if err == nil && !t.isSameIncarnation(backend, report) {
+	if err == nil && !l.isSameIncarnation(backend, report) {
 		return
 	}
 	if err == nil && report.Busy {
-		t.loop.Submit(func() { t.scheduler.MarkLoading(nowMillis(), backend.ID) })
-		defer t.loop.Submit(func() { t.scheduler.ClearLoading(backend.ID) })
+		l.loop.Submit(func() { l.scheduler.MarkLoading(nowMillis(), backend.ID) })
+		defer l.loop.Submit(func() { l.scheduler.ClearLoading(backend.ID) })
 	}
 	for err == nil && report.Busy {
 		sleep(limited, loadPollInterval)
-		report, err = t.queryEngine(limited, backend)
+		report, err = l.queryEngine(limited, backend)
 	}
-	if err != nil || !t.isSameIncarnation(backend, report) {
+	if err != nil || !l.isSameIncarnation(backend, report) {
 		return
 	}
-	t.loop.Submit(func() {
+	l.loop.Submit(func() {
 		for _, held := range report.Models {
-			t.scheduler.RecordVersion(backend.ID, held.Model, held.Version)
+			l.scheduler.RecordVersion(backend.ID, held.Model, held.Version)
 		}
 	})
 }
--- a/server/tenure.go
+++ b/server/leadership.go
@@ -53,8 +53,8 @@
 	prunedAt    time.Time
 	// freshness reports whether the state is too old to start runs.
 	freshness freshness
-	// awaited is the pending question to the directory that wakes the loop when it ends, or nil.
-	awaited *copyRefresh
+	// pendingRefresh is the refresh of the copy that wakes the loop when it ends, or nil.
+	pendingRefresh *copyRefresh
 	// loadsCheckedAt is the time of the last check for loads. The zero time causes a check at the next
 	// flush.
 	loadsCheckedAt       time.Time
@@ -63,8 +63,8 @@
 	knownSteps map[string]bool
 	// rewardLimiter limits concurrent reward calls.
 	rewardLimiter *rewardLimiter
-	// turns serializes reward calls of suspected kinds.
-	turns *kindLocks
+	// kindLocks serializes reward calls of suspected kinds.
+	kindLocks *kindLocks
 	// recordedPaces are the paces stored in the ledger.
 	recordedPaces  map[string]float64
 	pacesCheckedAt time.Time
@@ -74,22 +74,22 @@
 }
 
 // deferLoads postpones loads on engines that another leader has sent orders to until its lease has ended.
-func (t *leadership) deferLoads() {
-	wait := (t.settings.OrderLease + duty.LeaseMargin).Milliseconds()
-	t.replica.Do(func() { t.orders.Observe(nowMillis(), t.machine.Orders()) })
-	for id, observedAt := range t.orders.ObservedFromOthers(t.settings.Name) {
-		t.scheduler.DeferLoads(id, observedAt+wait)
+func (l *leadership) deferLoads() {
+	wait := (l.settings.OrderLease + duty.LeaseMargin).Milliseconds()
+	l.replica.Do(func() { l.orders.Observe(nowMillis(), l.machine.Orders()) })
+	for id, observedAt := range l.orders.ObservedFromOthers(l.settings.Name) {
+		l.scheduler.DeferLoads(id, observedAt+wait)
 	}
 }
 
 // restoreHistory passes the ended steps and the engines' paces from the ledger to the scheduler.
-func (t *leadership) restoreHistory() {
-	t.replica.Do(func() {
-		t.scheduler.RestorePaces(t.machine.Paces())
-		t.usedBefore = recentlyOrdered(t.machine.Orders())
-		for _, entry := range t.machine.Steps() {
+func (l *leadership) restoreHistory() {
+	l.replica.Do(func() {
+		l.scheduler.RestorePaces(l.machine.Paces())
+		l.usedBefore = recentlyOrdered(l.machine.Orders())
+		for _, entry := range l.machine.Steps() {
 			if entry.Ended {
-				t.scheduler.RecordEndedStep(entry.Step)
+				l.scheduler.RecordEndedStep(entry.Step)
 			}
 		}
 	})
@@ -97,18 +97,18 @@
 
 // watchChanges submits syncState whenever the ledger or the directory has changed. It stops the leadership
 // when the replica no longer leads in this term.
-func (t *leadership) watchChanges(stop context.CancelFunc) {
+func (l *leadership) watchChanges(stop context.CancelFunc) {
 	for {
-		ledgerChanged, directoryChanged := t.replica.Changed(), t.watcher.Changed()
-		status := t.replica.Status()
-		if !status.Serving || status.Term != t.term {
+		ledgerChanged, directoryChanged := l.replica.Changed(), l.watcher.Changed()
+		status := l.replica.Status()
+		if !status.Serving || status.Term != l.term {
 			stop()
 			return
 		}
-		t.freshness.recordChange(nowMillis())
-		t.loop.Submit(t.syncState)
+		l.freshness.recordChange(nowMillis())
+		l.loop.Submit(l.syncState)
 		select {
-		case <-t.context.Done():
+		case <-l.context.Done():
 			return
 		case <-ledgerChanged:
 		case <-directoryChanged:
@@ -116,155 +116,155 @@
 	}
 }
 
-func (t *leadership) tick() {
-	for _, task := range t.scheduler.OverdueTasks(nowMillis()) {
-		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "overdue")
+func (l *leadership) tick() {
+	for _, task := range l.scheduler.OverdueTasks(nowMillis()) {
+		l.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "overdue")
 	}
-	t.moveSlowRuns()
-	t.updateSpeculativeRuns()
-	t.checkpoint()
-	t.recordPaces()
-	t.reportDemand()
-	t.openRunners.Store(int64(t.runners.OpenLinks()))
-	t.publishPlan()
-	if time.Since(t.prunedAt) > pruneInterval {
-		t.prunedAt = time.Now()
-		t.pruneSteps()
+	l.moveSlowRuns()
+	l.updateSpeculativeRuns()
+	l.checkpoint()
+	l.recordPaces()
+	l.reportDemand()
+	l.openRunners.Store(int64(l.runners.OpenLinks()))
+	l.publishPlan()
+	if time.Since(l.prunedAt) > pruneInterval {
+		l.prunedAt = time.Now()
+		l.pruneSteps()
 	}
 }
 
 // pruneSteps removes ended steps that are older than the retention time.
-func (t *leadership) pruneSteps() {
-	oldest := nowMillis() - t.settings.Retention.Milliseconds()
+func (l *leadership) pruneSteps() {
+	oldest := nowMillis() - l.settings.Retention.Milliseconds()
 	var steps []string
-	t.replica.Do(func() {
-		for _, entry := range t.machine.Steps() {
+	l.replica.Do(func() {
+		for _, entry := range l.machine.Steps() {
 			if entry.Ended && entry.Step.SubmittedAt < oldest {
 				steps = append(steps, entry.Step.ID)
 			}
 		}
 	})
 	if len(steps) > 0 {
-		go t.replica.Execute(t.context, ledger.Command{Prune: &ledger.Prune{Steps: steps}}.Encode())
+		go l.replica.Execute(l.context, ledger.Command{Prune: &ledger.Prune{Steps: steps}}.Encode())
 	}
 }
 
 // syncState applies changes of the directory and the ledger.
-func (t *leadership) syncState() {
-	t.freshness.recordApplied()
-	if catalog := t.watcher.Catalog(); catalog != t.catalog {
-		isFirst := t.catalog == nil
-		t.catalog = catalog
-		t.forwarder.Forget(catalog)
-		t.runners.SetStores(runnerStores(catalog, t.settings.Name))
-		t.syncEngines()
+func (l *leadership) syncState() {
+	l.freshness.recordApplied()
+	if catalog := l.watcher.Catalog(); catalog != l.catalog {
+		isFirst := l.catalog == nil
+		l.catalog = catalog
+		l.forwarder.Forget(catalog)
+		l.runners.SetStores(runnerStores(catalog, l.settings.Name))
+		l.syncEngines()
 		if isFirst {
-			t.inspectEngines(t.selectedEngines)
+			l.inspectEngines(l.selectedEngines)
 		}
 	}
 	var open []*ledger.Entry
 	var completed []*scheduler.Task
 	unchanged := false
-	t.replica.Do(func() {
-		unchanged = t.machine.Generation == t.generation
-		t.generation = t.machine.Generation
+	l.replica.Do(func() {
+		unchanged = l.machine.Generation == l.generation
+		l.generation = l.machine.Generation
 		if unchanged {
 			return
 		}
-		for _, entry := range t.machine.Steps() {
+		for _, entry := range l.machine.Steps() {
 			if !entry.Ended {
-				completed = append(completed, t.scheduler.AddStep(entry)...)
+				completed = append(completed, l.scheduler.AddStep(entry)...)
 				open = append(open, entry)
 			}
 		}
 	})
 	if !unchanged {
-		t.endClosedSteps(open)
-		t.logPromoted(open)
-		if t.catalog != nil && t.scheduler.ConcurrentSamples() > t.selectedForSamples {
-			t.syncEngines()
+		l.endClosedSteps(open)
+		l.logPromoted(open)
+		if l.catalog != nil && l.scheduler.ConcurrentSamples() > l.selectedForSamples {
+			l.syncEngines()
 		}
 	}
 	for _, task := range completed {
-		event.SampleTextReused.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Uint("events", task.Text.Last).Send()
-		t.score(task)
+		event.SampleTextReused.On(l.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Uint("events", task.Text.Last).Send()
+		l.score(task)
 	}
 }
 
 // logPromoted logs the speculative runs that became runs of newly opened steps.
-func (t *leadership) logPromoted(open []*ledger.Entry) {
+func (l *leadership) logPromoted(open []*ledger.Entry) {
 	for _, entry := range open {
-		if t.knownSteps[entry.Step.ID] {
+		if l.knownSteps[entry.Step.ID] {
 			continue
 		}
-		t.knownSteps[entry.Step.ID] = true
-		for _, task := range t.scheduler.Promoted(entry.Step.ID) {
-			event.RunAheadTakenOver.On(t.logger).Str("sample", task.Sample.ID).Str("step", entry.Step.ID).
-				Str("engine", task.Engine).Uint("after", t.eventCount(task)).Send()
+		l.knownSteps[entry.Step.ID] = true
+		for _, task := range l.scheduler.Promoted(entry.Step.ID) {
+			event.SpeculativeRunPromoted.On(l.logger).Str("sample", task.Sample.ID).Str("step", entry.Step.ID).
+				Str("engine", task.Engine).Uint("after", l.eventCount(task)).Send()
 		}
 	}
 }
 
 // syncEngines selects the engines for the open steps and passes them to the scheduler.
-func (t *leadership) syncEngines() {
-	t.selectedEngines, t.selectedForSamples = nil, t.scheduler.ConcurrentSamples()
+func (l *leadership) syncEngines() {
+	l.selectedEngines, l.selectedForSamples = nil, l.scheduler.ConcurrentSamples()
 	fleetSize := 0
-	for name, service := range t.catalog.Services {
+	for name, service := range l.catalog.Services {
 		if len(service.Models) == 0 {
 			continue
 		}
-		backends := t.catalog.Backends(name)
+		backends := l.catalog.Backends(name)
 		fleetSize += len(backends)
-		t.selectedEngines = append(t.selectedEngines, t.workingSet(name).Choose(backends, t.selectedForSamples)...)
+		l.selectedEngines = append(l.selectedEngines, l.workingSet(name).Choose(backends, l.selectedForSamples)...)
 	}
-	t.scheduler.SetFleetSize(fleetSize)
-	for _, task := range t.scheduler.SyncEngines(nowMillis(), t.selectedEngines, t.catalog.Models) {
+	l.scheduler.SetFleetSize(fleetSize)
+	for _, task := range l.scheduler.SyncEngines(nowMillis(), l.selectedEngines, l.catalog.Models) {
 		// The task waits again once its run has ended and its text so far is known.
-		t.cancel(task)
+		l.cancel(task)
 	}
 }
 
 // workingSet returns the service's working set, creating it if necessary.
-func (t *leadership) workingSet(service string) *scheduler.WorkingSet {
-	set := t.workingSets[service]
+func (l *leadership) workingSet(service string) *scheduler.WorkingSet {
+	set := l.workingSets[service]
 	if set == nil {
-		set = scheduler.NewWorkingSet(t.usedBefore)
-		t.workingSets[service] = set
+		set = scheduler.NewWorkingSet(l.usedBefore)
+		l.workingSets[service] = set
 	}
 	return set
 }
 
 // endClosedSteps cancels the tasks of steps that are no longer open.
-func (t *leadership) endClosedSteps(open []*ledger.Entry) {
+func (l *leadership) endClosedSteps(open []*ledger.Entry) {
 	isOpen := make(map[string]bool, len(open))
 	for _, entry := range open {
 		isOpen[entry.Step.ID] = true
 	}
-	for _, id := range t.scheduler.StepIDs() {
+	for _, id := range l.scheduler.StepIDs() {
 		if isOpen[id] {
 			continue
 		}
-		delete(t.knownSteps, id)
-		for _, task := range t.scheduler.EndStep(id) {
-			t.cancel(task)
-			delete(t.checkpointed, task)
+		delete(l.knownSteps, id)
+		for _, task := range l.scheduler.EndStep(id) {
+			l.cancel(task)
+			delete(l.checkpointed, task)
 		}
 	}
 }
 
 // flush records results, starts loads and starts the runs that are possible now.
-func (t *leadership) flush() error {
-	if t.catalog == nil {
+func (l *leadership) flush() error {
+	if l.catalog == nil {
 		return nil
 	}
-	t.record()
+	l.record()
 	now := nowMillis()
-	t.startLoads(now)
-	if !t.runners.Ready() || t.freshness.isStale(now) || !t.copyIsCurrent(now) {
+	l.startLoads(now)
+	if !l.runners.Ready() || l.freshness.isStale(now) || !l.copyIsCurrent(now) {
 		return nil
 	}
-	for _, assignment := range t.scheduler.Assign(now, t.servicesOf) {
-		t.startRun(assignment)
+	for _, assignment := range l.scheduler.Assign(now, l.servicesOf) {
+		l.startRun(assignment)
 	}
 	return nil
 }
@@ -274,29 +274,29 @@
 const loadCheckInterval = 50 * time.Millisecond
 
 // startLoads starts the loads that are needed, at most once per loadCheckInterval.
-func (t *leadership) startLoads(now int64) {
-	if time.Since(t.loadsCheckedAt) < loadCheckInterval {
+func (l *leadership) startLoads(now int64) {
+	if time.Since(l.loadsCheckedAt) < loadCheckInterval {
 		return
 	}
-	t.loadsCheckedAt = time.Now()
-	for _, order := range t.scheduler.LoadOrders(now) {
-		go t.runLoad(order)
+	l.loadsCheckedAt = time.Now()
+	for _, order := range l.scheduler.LoadOrders(now) {
+		go l.runLoad(order)
 	}
 }
 
 // servicesOf returns the services that may run the task's sample now.
-func (t *leadership) servicesOf(task *scheduler.Task) ([]string, bool) {
-	if t.isQuarantined(task) {
+func (l *leadership) servicesOf(task *scheduler.Task) ([]string, bool) {
+	if l.isQuarantined(task) {
 		return nil, false
 	}
-	services, ok := t.routedServices(task)
-	return services, ok && !t.isPostponed(task, services)
+	services, ok := l.routedServices(task)
+	return services, ok && !l.isPostponed(task, services)
 }
 
 // routedServices returns the services of the task's route, and whether a route exists.
-func (t *leadership) routedServices(task *scheduler.Task) ([]string, bool) {
+func (l *leadership) routedServices(task *scheduler.Task) ([]string, bool) {
 	path, _, _ := strings.Cut(task.Sample.Path, "?")
-	route, ok := t.catalog.Table.Match(task.Step.Host, path)
+	route, ok := l.catalog.Table.Match(task.Step.Host, path)
 	if !ok {
 		return nil, false
 	}
--- a/server/ledger.go
+++ b/server/ledger.go
@@ -70,23 +70,23 @@
 	watchContext, stopWatch := context.WithCancel(context.Background())
 	defer stopWatch()
 	go l.watcher.Run(watchContext)
-	opened, err := l.open(ctx)
-	if err != nil || opened == nil {
+	r, err := l.open(ctx)
+	if err != nil || r == nil {
 		return err
 	}
 	l.mutex.Lock()
-	l.replica = opened
+	l.replica = r
 	l.mutex.Unlock()
 	router := mux.NewRouter()
-	opened.Handle(router)
+	r.Handle(router)
 	router.HandleFunc(ledgerCallPath, l.serveCall).Methods(http.MethodPost)
 	router.Handle(runner.Path, l.runnerServer).Methods(http.MethodPost)
 	httpServer := newHTTPServer(router)
 	serveHTTP(httpServer, internal, l.logger)
-	go l.maintain(watchContext, opened)
+	go l.maintain(watchContext, r)
 	go reportCrashes(watchContext, l.executor.guard, l.watcher)
-	go l.executor.run(watchContext, opened, l.machine)
-	err = opened.Run(ctx)
+	go l.executor.run(watchContext, r, l.machine)
+	err = r.Run(ctx)
 	l.shutdown(httpServer)
 	return err
 }
@@ -228,21 +228,21 @@
 }
 
 // maintain keeps the store registered and, on the leader, reports the group's members to the directory.
-func (l *Ledger) maintain(ctx context.Context, opened *replica.Replica) {
+func (l *Ledger) maintain(ctx context.Context, r *replica.Replica) {
 	every(ctx, registrationCheckInterval, func() {
-		catalog, status := l.watcher.Catalog(), opened.Status()
+		catalog, status := l.watcher.Catalog(), r.Status()
 		registered, ok := catalog.Stores[l.settings.Name]
 		if catalog.Revision > 0 && (!ok || registered.Replica != status.ID || registered.Address != l.settings.InternalAddress) {
 			l.register(ctx, status.ID)
 		}
-		opened.Do(func() { l.executor.orders.Observe(nowMillis(), l.machine.Orders()) })
+		r.Do(func() { l.executor.orders.Observe(nowMillis(), l.machine.Orders()) })
 		if status.Serving {
-			l.maintainGroup(ctx, opened, catalog, status)
+			l.maintainGroup(ctx, r, catalog, status)
 		}
 	})
 }
 
-func (l *Ledger) maintainGroup(ctx context.Context, opened *replica.Replica, catalog *directory.Catalog, status *replica.Status) {
+func (l *Ledger) maintainGroup(ctx context.Context, r *replica.Replica, catalog *directory.Catalog, status *replica.Status) {
 	retiring := map[consensus.ReplicaID]bool{}
 	retiringLeft := false
 	for _, store := range catalog.Stores {
@@ -253,7 +253,7 @@
 		_, isMember := consensus.Membership{Members: status.Members}.Member(store.Replica)
 		retiringLeft = retiringLeft || !store.Retired && !isMember
 	}
-	opened.SetRetiring(retiring)
+	r.SetRetiring(retiring)
 	if !shouldReportGroup(status, catalog.Group.Members, retiringLeft) {
 		return
 	}
--- a/server/load.go
+++ b/server/load.go
@@ -28,35 +28,35 @@
 
 // runLoad executes a load order, which is sent until the engine holds the version. Each request names the
 // engine's expected sequence, so that of a delayed request and its retry only one takes effect.
-func (t *leadership) runLoad(order scheduler.LoadOrder) {
-	limited, cancel := context.WithTimeout(t.context, loadTimeout)
+func (l *leadership) runLoad(order scheduler.LoadOrder) {
+	limited, cancel := context.WithTimeout(l.context, loadTimeout)
 	defer cancel()
 	began := clock.Now()
-	held, loaded := t.loadUntilHeld(limited, order)
+	held, loaded := l.loadUntilHeld(limited, order)
 	outcome := "done"
 	if held < order.Version {
 		outcome = "failed"
 	}
-	t.metrics.loads.WithLabelValues(outcome).Observe(clock.Since(began).Seconds())
-	t.loop.Submit(func() {
-		t.loadsCheckedAt = time.Time{}
-		line := event.LoadEnded.On(t.logger).Str("engine", order.Backend.ID).Str("model", order.Model).
+	l.metrics.loads.WithLabelValues(outcome).Observe(clock.Since(began).Seconds())
+	l.loop.Submit(func() {
+		l.loadsCheckedAt = time.Time{}
+		line := event.LoadEnded.On(l.logger).Str("engine", order.Backend.ID).Str("model", order.Model).
 			Uint("version", order.Version).Uint("held", held)
 		line.Send()
 		if held >= order.Version {
-			t.scheduler.LoadCompleted(nowMillis(), order.Backend.ID, order.Model, held, loaded)
+			l.scheduler.LoadCompleted(nowMillis(), order.Backend.ID, order.Model, held, loaded)
 			return
 		}
-		t.scheduler.LoadFailed(nowMillis(), order.Backend.ID)
+		l.scheduler.LoadFailed(nowMillis(), order.Backend.ID)
 	})
 }
 
 // loadUntilHeld returns the version that the engine holds at the end, 0 if unknown, and whether this order
 // loaded it.
-func (t *leadership) loadUntilHeld(ctx context.Context, order scheduler.LoadOrder) (held uint64, loaded bool) {
+func (l *leadership) loadUntilHeld(ctx context.Context, order scheduler.LoadOrder) (held uint64, loaded bool) {
 	for ctx.Err() == nil {
-		report, err := t.queryEngine(ctx, order.Backend)
-		if err != nil || !t.isSameIncarnation(order.Backend, report) {
+		report, err := l.queryEngine(ctx, order.Backend)
+		if err != nil || !l.isSameIncarnation(order.Backend, report) {
 			return 0, false
 		}
 		if held := report.versionOf(order.Model); held >= order.Version {
@@ -66,8 +66,8 @@
 			sleep(ctx, loadPollInterval)
 			continue
 		}
-		request := LoadRequest{Order: order, Holder: t.settings.Name, Fence: t.term, Sequence: report.Sequence}
-		switch t.sendOrder(ctx, request) {
+		request := LoadRequest{Order: order, Holder: l.settings.Name, Fence: l.term, Sequence: report.Sequence}
+		switch l.sendOrder(ctx, request) {
 		case LoadHeld:
 			return order.Version, false
 		case LoadRefused:
@@ -76,7 +76,7 @@
 			sleep(ctx, conflictBackoff)
 		case LoadStarted:
 			sleep(ctx, minLoadTime)
-			if held := t.awaitLoad(ctx, order); held >= order.Version {
+			if held := l.awaitLoad(ctx, order); held >= order.Version {
 				return held, true
 			}
 		}
@@ -86,18 +86,18 @@
 
 // sendOrder records the order in the ledger for the next leader, then sends it. An order is not sent if
 // recording took longer than duty.MaxStartDelay.
-func (t *leadership) sendOrder(ctx context.Context, request LoadRequest) LoadAnswer {
+func (l *leadership) sendOrder(ctx context.Context, request LoadRequest) LoadAnswer {
 	limited, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	began := clock.Now()
-	record := &duty.Action{Subject: orderSubject(request.Order.Backend), Holder: t.settings.Name, At: nowMillis()}
-	if _, err := t.replica.Execute(limited, ledger.Command{Order: record}.Encode()); err != nil || clock.Since(began) > duty.MaxStartDelay {
+	record := &duty.Action{Subject: orderSubject(request.Order.Backend), Holder: l.settings.Name, At: nowMillis()}
+	if _, err := l.replica.Execute(limited, ledger.Command{Order: record}.Encode()); err != nil || clock.Since(began) > duty.MaxStartDelay {
 		return LoadConflict
 	}
 	request.SendBy = began.Add(duty.MaxStartDelay)
-	answer := t.engines.Load(limited, request)
-	t.metrics.orders.WithLabelValues(strconv.Itoa(int(answer))).Inc()
-	event.LoadOrdered.On(t.logger).Str("engine", request.Order.Backend.ID).Uint("version", request.Order.Version).
+	answer := l.engines.Load(limited, request)
+	l.metrics.orders.WithLabelValues(strconv.Itoa(int(answer))).Inc()
+	event.LoadOrdered.On(l.logger).Str("engine", request.Order.Backend.ID).Uint("version", request.Order.Version).
 		Uint("fence", request.Fence).Uint("sequence", request.Sequence).Uint("answer", uint64(answer)).Send()
 	return answer
 }
@@ -108,20 +108,20 @@
 
 // isSameIncarnation reports whether the report is from the incarnation that the order is meant for. A later
 // one reports its versions with its own registration and counts orders from zero.
-func (t *leadership) isSameIncarnation(backend directory.Backend, report EngineReport) bool {
+func (l *leadership) isSameIncarnation(backend directory.Backend, report EngineReport) bool {
 	if report.StartTime == backend.Born || report.StartTime == 0 || backend.Born == 0 {
 		return true
 	}
-	event.EngineRestarted.On(t.logger).Str("engine", backend.ID).Int("born", report.StartTime).Send()
+	event.EngineRestarted.On(l.logger).Str("engine", backend.ID).Int("born", report.StartTime).Send()
 	return false
 }
 
 // awaitLoad polls the engine until its load has ended, and returns the version that it holds.
-func (t *leadership) awaitLoad(ctx context.Context, order scheduler.LoadOrder) uint64 {
+func (l *leadership) awaitLoad(ctx context.Context, order scheduler.LoadOrder) uint64 {
 	for ctx.Err() == nil {
-		report, err := t.queryEngine(ctx, order.Backend)
+		report, err := l.queryEngine(ctx, order.Backend)
 		held := report.versionOf(order.Model)
-		if err != nil || !t.isSameIncarnation(order.Backend, report) {
+		if err != nil || !l.isSameIncarnation(order.Backend, report) {
 			return 0
 		}
 		if held >= order.Version || !report.Busy {
@@ -132,10 +132,10 @@
 	return 0
 }
 
-func (t *leadership) queryEngine(ctx context.Context, backend directory.Backend) (EngineReport, error) {
+func (l *leadership) queryEngine(ctx context.Context, backend directory.Backend) (EngineReport, error) {
 	limited, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return t.engines.Report(limited, backend)
+	return l.engines.Report(limited, backend)
 }
 
 func (r EngineReport) versionOf(model string) uint64 {
--- a/server/paces.go
+++ b/server/paces.go
@@ -16,18 +16,18 @@
 )
 
 // recordPaces records the engines' paces in the ledger if they have changed, for the next leader.
-func (t *leadership) recordPaces() {
-	if time.Since(t.pacesCheckedAt) < pacesInterval {
+func (l *leadership) recordPaces() {
+	if time.Since(l.pacesCheckedAt) < pacesInterval {
 		return
 	}
-	t.pacesCheckedAt = time.Now()
-	paces := t.scheduler.Paces()
-	if !pacesChanged(t.recordedPaces, paces) {
+	l.pacesCheckedAt = time.Now()
+	paces := l.scheduler.Paces()
+	if !pacesChanged(l.recordedPaces, paces) {
 		return
 	}
-	t.recordedPaces = paces
-	event.PacesRecorded.On(t.logger).Uint("engines", uint64(len(paces))).Send()
-	go t.replica.Execute(t.context, ledger.Command{Paces: &ledger.Paces{Millis: paces}}.Encode())
+	l.recordedPaces = paces
+	event.PacesRecorded.On(l.logger).Uint("engines", uint64(len(paces))).Send()
+	go l.replica.Execute(l.context, ledger.Command{Paces: &ledger.Paces{Millis: paces}}.Encode())
 }
 
 // pacesChanged reports whether any engine's pace differs noticeably from the recorded one.
--- a/server/plan.go
+++ b/server/plan_metrics.go
@@ -13,15 +13,15 @@
 const planLogInterval = time.Second
 
 // publishPlan stores the counts of the current plan for metrics, and logs deferred and late groups.
-func (t *leadership) publishPlan() {
-	counts := t.scheduler.PlanCounts()
-	t.planCounts.Store(&counts)
-	if counts.Deferred+counts.Late == 0 || clock.Since(t.planLoggedAt) < planLogInterval {
+func (l *leadership) publishPlan() {
+	counts := l.scheduler.PlanCounts()
+	l.planCounts.Store(&counts)
+	if counts.Deferred+counts.Late == 0 || clock.Since(l.planLoggedAt) < planLogInterval {
 		return
 	}
-	t.planLoggedAt = clock.Now()
-	event.GroupsDeferred.On(t.logger).Uint("chosen", uint64(counts.Chosen)).Uint("put_back", uint64(counts.Deferred)).
-		Uint("late", uint64(counts.Late)).Str("shares", t.scheduler.FormatShares()).Send()
+	l.planLoggedAt = clock.Now()
+	event.GroupsDeferred.On(l.logger).Uint("chosen", uint64(counts.Chosen)).Uint("put_back", uint64(counts.Deferred)).
+		Uint("late", uint64(counts.Late)).Str("shares", l.scheduler.FormatShares()).Send()
 }
 
 // collectPlan emits the group counts of the leader's last plan.
--- a/server/process.go
+++ b/server/process.go
@@ -58,21 +58,21 @@
 
 // Listen opens a listener for each address that is not empty.
 func Listen(internal, external, ready, metrics string) (Listeners, error) {
-	var opened Listeners
+	var listeners Listeners
 	for _, target := range []struct {
 		address string
 		into    *net.Listener
-	}{{internal, &opened.Internal}, {external, &opened.External}, {ready, &opened.Ready}, {metrics, &opened.Metrics}} {
+	}{{internal, &listeners.Internal}, {external, &listeners.External}, {ready, &listeners.Ready}, {metrics, &listeners.Metrics}} {
 		if target.address == "" {
 			continue
 		}
 		listener, err := net.Listen("tcp", target.address)
 		if err != nil {
-			return opened, err
+			return listeners, err
 		}
 		*target.into = listener
 	}
-	return opened, nil
+	return listeners, nil
 }
 
 // serveMetrics serves metrics, profiles and the added routes. It does nothing if the listener is nil.
--- a/server/quarantined_sample.go
+++ b/server/quarantined_sample.go
@@ -12,54 +12,54 @@
 
 // isQuarantined reports whether the task's sample is quarantined. If a trial is offered, it requests it
 // outside the event loop.
-func (t *leadership) isQuarantined(task *scheduler.Task) bool {
-	if t.guard.IsIdle() {
+func (l *leadership) isQuarantined(task *scheduler.Task) bool {
+	if l.guard.IsIdle() {
 		return false
 	}
-	verdict := t.guard.CheckSubject(task.Subject())
+	verdict := l.guard.CheckSubject(task.Subject())
 	if !verdict.Quarantined {
 		return false
 	}
-	if !t.quarantined[verdict.Subject.Content] {
-		t.quarantined[verdict.Subject.Content] = true
-		event.SampleQuarantined.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("content", string(verdict.Fingerprint)).Send()
+	if !l.quarantined[verdict.Subject.Content] {
+		l.quarantined[verdict.Subject.Content] = true
+		event.SampleQuarantined.On(l.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("content", string(verdict.Fingerprint)).Send()
 	}
-	if verdict.TrialOffered && !t.requestingTrial[verdict.Fingerprint] {
-		t.requestingTrial[verdict.Fingerprint] = true
-		go t.takeTrial(verdict)
+	if verdict.TrialOffered && !l.requestingTrial[verdict.Fingerprint] {
+		l.requestingTrial[verdict.Fingerprint] = true
+		go l.takeTrial(verdict)
 	}
 	return true
 }
 
 // isPostponed reports whether the task's sample is a suspect that must wait, because too many backends
 // are unavailable after crashes.
-func (t *leadership) isPostponed(task *scheduler.Task, services []string) bool {
-	if t.guard.IsIdle() {
+func (l *leadership) isPostponed(task *scheduler.Task, services []string) bool {
+	if l.guard.IsIdle() {
 		task.KindSuspected = false
 		return false
 	}
-	verdict := t.guard.CheckSubject(task.Subject())
+	verdict := l.guard.CheckSubject(task.Subject())
 	task.KindSuspected = verdict.KnownKindCrashes > 0
-	return verdict.IsSuspect() && t.forwarder.PostponesSuspects(t.catalog, services)
+	return verdict.IsSuspect() && l.forwarder.PostponesSuspects(l.catalog, services)
 }
 
 // takeTrial requests a trial. A trial of a kind also permits only this sample.
-func (t *leadership) takeTrial(verdict quarantine.Verdict) {
-	if t.guard.TakeTrial(t.context, verdict.Fingerprint) {
-		t.guard.Permit(verdict.Subject.Content)
+func (l *leadership) takeTrial(verdict quarantine.Verdict) {
+	if l.guard.TakeTrial(l.context, verdict.Fingerprint) {
+		l.guard.Permit(verdict.Subject.Content)
 	}
-	t.loop.Submit(func() { delete(t.requestingTrial, verdict.Fingerprint) })
+	l.loop.Submit(func() { delete(l.requestingTrial, verdict.Fingerprint) })
 }
 
 // checkBeforeRun returns the verdict on a sample that is about to run, and whether the run is a trial,
 // which uses up its permit.
-func (t *leadership) checkBeforeRun(task *scheduler.Task) (verdict quarantine.Verdict, trial bool) {
-	if t.guard.IsIdle() {
+func (l *leadership) checkBeforeRun(task *scheduler.Task) (verdict quarantine.Verdict, trial bool) {
+	if l.guard.IsIdle() {
 		return quarantine.Verdict{}, false
 	}
 	subject := task.Subject()
-	trial = t.guard.UsePermit(subject.Content)
-	return t.guard.CheckSubject(subject), trial
+	trial = l.guard.UsePermit(subject.Content)
+	return l.guard.CheckSubject(subject), trial
 }
 
 // guardedEngine runs samples and records which of them crash their engines. It belongs to the runner and
--- a/server/record.go
+++ b/server/record.go
@@ -31,34 +31,34 @@
 
 // record commits the pending results. At most one commit is in progress, and commits are spaced to batch
 // results, since each one costs every replica a sync.
-func (t *leadership) record() {
-	if t.recording || len(t.results) == 0 {
+func (l *leadership) record() {
+	if l.recording || len(l.results) == 0 {
 		return
 	}
-	if wait := time.Until(t.recordAfter); wait > 0 {
-		t.recording = true
+	if wait := time.Until(l.recordAfter); wait > 0 {
+		l.recording = true
 		time.AfterFunc(wait, func() {
-			t.loop.Submit(func() { t.recording = false })
+			l.loop.Submit(func() { l.recording = false })
 		})
 		return
 	}
-	pending := t.results
-	t.results, t.recording = nil, true
+	pending := l.results
+	l.results, l.recording = nil, true
 	go func() {
-		retry := t.commit(pending)
-		t.loop.Submit(func() {
-			t.recording = false
-			t.results = append(retry, t.results...)
-			t.recordAfter = time.Now().Add(recordInterval)
+		retry := l.commit(pending)
+		l.loop.Submit(func() {
+			l.recording = false
+			l.results = append(retry, l.results...)
+			l.recordAfter = time.Now().Add(recordInterval)
 			if len(retry) > 0 {
-				t.recordAfter = time.Now().Add(recordRetryDelay)
+				l.recordAfter = time.Now().Add(recordRetryDelay)
 			}
 		})
 	}()
 }
 
 // commit records results step by step and returns those that must be recorded again.
-func (t *leadership) commit(pending []pendingResult) []pendingResult {
+func (l *leadership) commit(pending []pendingResult) []pendingResult {
 	var steps []string
 	byStep := map[string][]pendingResult{}
 	for _, entry := range pending {
@@ -75,16 +75,16 @@
 			record.Results = append(record.Results, entry.result)
 		}
 		began := time.Now()
-		limited, cancel := context.WithTimeout(t.context, recordTimeout)
-		_, err := t.replica.Execute(limited, ledger.Command{Record: record}.Encode())
+		limited, cancel := context.WithTimeout(l.context, recordTimeout)
+		_, err := l.replica.Execute(limited, ledger.Command{Record: record}.Encode())
 		cancel()
-		t.metrics.records.WithLabelValues(outcomeLabel(err)).Observe(time.Since(began).Seconds())
-		line := event.ResultsRecorded.On(t.logger).Str("step", step).Uint("results", uint64(len(record.Results)))
+		l.metrics.records.WithLabelValues(outcomeLabel(err)).Observe(time.Since(began).Seconds())
+		line := event.ResultsRecorded.On(l.logger).Str("step", step).Uint("results", uint64(len(record.Results)))
 		if err != nil {
 			line.Err(err)
 			retry = append(retry, byStep[step]...)
 		} else {
-			retry = append(retry, t.incompleteResults(step, byStep[step])...)
+			retry = append(retry, l.incompleteResults(step, byStep[step])...)
 		}
 		line.Send()
 	}
@@ -93,10 +93,10 @@
 
 // incompleteResults returns, with complete texts, the results that the ledger could not complete from its
 // checkpoints.
-func (t *leadership) incompleteResults(step string, recorded []pendingResult) []pendingResult {
+func (l *leadership) incompleteResults(step string, recorded []pendingResult) []pendingResult {
 	var missing []pendingResult
-	t.replica.Do(func() {
-		entry := t.machine.Step(step)
+	l.replica.Do(func() {
+		entry := l.machine.Step(step)
 		if entry == nil || entry.Ended {
 			return
 		}
@@ -107,7 +107,7 @@
 		}
 	})
 	if len(missing) > 0 {
-		event.ResultsIncomplete.On(t.logger).Str("step", step).Uint("results", uint64(len(missing))).Send()
+		event.ResultsIncomplete.On(l.logger).Str("step", step).Uint("results", uint64(len(missing))).Send()
 	}
 	return missing
 }
--- a/server/moves.go
+++ b/server/reschedule.go
@@ -8,20 +8,20 @@
 
 // moveSlowRuns updates the engines' paces and cancels runs that would finish much earlier on another
 // engine.
-func (t *leadership) moveSlowRuns() {
-	if t.catalog == nil {
+func (l *leadership) moveSlowRuns() {
+	if l.catalog == nil {
 		return
 	}
 	now := nowMillis()
-	for task, progress := range t.progress {
+	for task, progress := range l.progress {
 		at, events := progress.observed(now)
-		t.scheduler.ObserveRun(at, task, events)
+		l.scheduler.ObserveRun(at, task, events)
 	}
-	t.scheduler.UpdatePaces()
-	for _, move := range t.scheduler.ChooseMoves(now, t.servicesOf) {
-		event.SampleMoved.On(t.logger).Str("sample", move.Task.Sample.ID).Str("engine", move.From).Str("to", move.To).
+	l.scheduler.UpdatePaces()
+	for _, move := range l.scheduler.ChooseMoves(now, l.servicesOf) {
+		event.SampleMoved.On(l.logger).Str("sample", move.Task.Sample.ID).Str("engine", move.From).Str("to", move.To).
 			Uint("pace", micros(move.FromPace)).Uint("to_pace", micros(move.ToPace)).Uint("expected", uint64(move.ExpectedEvents)).Send()
-		t.cancel(move.Task)
+		l.cancel(move.Task)
 	}
 }
 
@@ -34,16 +34,16 @@
 
 // updateSpeculativeRuns starts speculative runs of samples that will probably be resubmitted, and cancels
 // those that no step has claimed.
-func (t *leadership) updateSpeculativeRuns() {
-	if t.catalog == nil || time.Since(t.speculationCheckedAt) < speculationInterval || t.freshness.isStale(nowMillis()) || !t.copyIsCurrent(nowMillis()) {
+func (l *leadership) updateSpeculativeRuns() {
+	if l.catalog == nil || time.Since(l.speculationCheckedAt) < speculationInterval || l.freshness.isStale(nowMillis()) || !l.copyIsCurrent(nowMillis()) {
 		return
 	}
-	t.speculationCheckedAt = time.Now()
-	for _, task := range t.scheduler.EndUnusedSpeculative() {
-		event.RunAheadCancelled.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Send()
-		t.cancel(task)
+	l.speculationCheckedAt = time.Now()
+	for _, task := range l.scheduler.EndUnusedSpeculative() {
+		event.SpeculativeRunCancelled.On(l.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Send()
+		l.cancel(task)
 	}
-	for _, assignment := range t.scheduler.StartSpeculative(nowMillis(), t.servicesOf) {
-		t.startRun(assignment)
+	for _, assignment := range l.scheduler.StartSpeculative(nowMillis(), l.servicesOf) {
+		l.startRun(assignment)
 	}
 }
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -171,6 +171,6 @@
 	gauge(emit, "directory_age_seconds", "Time since the last answer of the directory.", w.ageSeconds())
 	gauge(emit, "copy_age_seconds", "Time since this process's copy of the directory was last known to be complete.", w.copyAgeSeconds())
 	const name, help = "copy_questions_total", "Requests for changes missing from an aging copy of the directory, by outcome."
-	counter(emit, name, help, w.queries.Load(), "outcome", "answered")
-	counter(emit, name, help, w.failedQueries.Load(), "outcome", "unanswered")
+	counter(emit, name, help, w.refreshes.Load(), "outcome", "answered")
+	counter(emit, name, help, w.failedRefreshes.Load(), "outcome", "unanswered")
 }
--- a/server/run.go
+++ b/server/run.go
@@ -12,16 +12,16 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-func (t *leadership) cancel(task *scheduler.Task) {
-	if cancel := t.cancels[task]; cancel != nil {
+func (l *leadership) cancel(task *scheduler.Task) {
+	if cancel := l.cancels[task]; cancel != nil {
 		cancel()
-		delete(t.cancels, task)
+		delete(l.cancels, task)
 	}
 }
 
 // eventCount returns the number of events in the task's text so far.
-func (t *leadership) eventCount(task *scheduler.Task) uint64 {
-	if progress := t.progress[task]; progress != nil {
+func (l *leadership) eventCount(task *scheduler.Task) uint64 {
+	if progress := l.progress[task]; progress != nil {
 		text, _ := progress.read()
 		return text.Last
 	}
@@ -29,14 +29,14 @@
 }
 
 // startRun starts the assigned run.
-func (t *leadership) startRun(assignment scheduler.Assignment) {
+func (l *leadership) startRun(assignment scheduler.Assignment) {
 	task := assignment.Task
-	link := t.runners.LinkFor(assignment.Backend)
-	event.SampleStarted.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).
+	link := l.runners.LinkFor(assignment.Backend)
+	event.SampleStarted.On(l.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).
 		Str("engine", assignment.Backend.ID).Str("runner", link.Name()).Uint("attempt", uint64(task.Attempts)).Uint("after", task.Text.Last).
 		Uint("expected", uint64(assignment.ExpectedEvents)).Uint("pace", micros(assignment.Pace)).Uint("ahead", boolToUint(task.IsSpeculative())).
 		Int("spare_ms", assignment.SlackMillis).Send()
-	run := t.beginRun(assignment)
+	run := l.beginRun(assignment)
 	request := runner.Request{
 		Backend: assignment.Backend, Step: task.Step.ID, Host: task.Step.Host, Tenant: task.Step.Tenant,
 		Sample: task.Sample, Text: task.Text, DecidedAt: clock.Now(),
@@ -47,17 +47,17 @@
 
 // adoptRuns continues runs of an earlier leader whose samples are waiting and whose texts are usable. It is
 // called by a runner's link and blocks until the loop has executed it.
-func (t *leadership) adoptRuns(orphans []*runner.OrphanedRun) {
-	eventloop.Call(t.loop, func() struct{} {
-		t.includeEngines(orphans)
+func (l *leadership) adoptRuns(orphans []*runner.OrphanedRun) {
+	eventloop.Call(l.loop, func() struct{} {
+		l.includeEngines(orphans)
 		for _, orphan := range orphans {
-			assignment, ok := t.scheduler.Adopt(nowMillis(), orphan.Step, orphan.Sample, orphan.Engine, orphan.Text)
+			assignment, ok := l.scheduler.Adopt(nowMillis(), orphan.Step, orphan.Sample, orphan.Engine, orphan.Text)
 			if !ok {
 				continue
 			}
-			event.RunAdopted.On(t.logger).Str("sample", orphan.Sample).Str("step", orphan.Step).Str("engine", orphan.Engine).
+			event.RunAdopted.On(l.logger).Str("sample", orphan.Sample).Str("step", orphan.Step).Str("engine", orphan.Engine).
 				Str("runner", orphan.Name()).Uint("after", orphan.Text.Last).Send()
-			run := t.beginRun(assignment)
+			run := l.beginRun(assignment)
 			orphan.Accept(run.addBatch)
 			go run.awaitEnd(orphan.Wait)
 		}
@@ -66,65 +66,65 @@
 }
 
 // includeEngines adds the engines of the orphaned runs to the working sets.
-func (t *leadership) includeEngines(orphans []*runner.OrphanedRun) {
+func (l *leadership) includeEngines(orphans []*runner.OrphanedRun) {
 	ids := make([]string, 0, len(orphans))
 	for _, orphan := range orphans {
 		ids = append(ids, orphan.Engine)
 	}
-	if t.catalog == nil {
+	if l.catalog == nil {
 		return
 	}
-	for name := range t.catalog.Services {
-		t.workingSet(name).Include(ids)
+	for name := range l.catalog.Services {
+		l.workingSet(name).Include(ids)
 	}
-	t.syncEngines()
+	l.syncEngines()
 }
 
-func (t *leadership) runEnded(task *scheduler.Task, assignment scheduler.Assignment, end scheduler.RunEnd, text scheduler.Text, version uint64) {
+func (l *leadership) runEnded(task *scheduler.Task, assignment scheduler.Assignment, end scheduler.RunEnd, text scheduler.Text, version uint64) {
 	if task.Run == assignment.Run {
-		delete(t.progress, task)
+		delete(l.progress, task)
 	}
 	if task.State == scheduler.Finished && task.Run == assignment.Run {
 		text.Complete = end == scheduler.Complete
-		t.scheduler.KeepText(task, text)
+		l.scheduler.KeepText(task, text)
 		return
 	}
 	if task.State != scheduler.Running || task.Run != assignment.Run {
 		return
 	}
-	delete(t.cancels, task)
+	delete(l.cancels, task)
 	if version > 0 {
-		t.scheduler.RecordVersion(assignment.Backend.ID, task.Step.Model, version)
+		l.scheduler.RecordVersion(assignment.Backend.ID, task.Step.Model, version)
 	}
 	task.Text = text
 	speculative := task.IsSpeculative()
-	t.scheduler.RunEnded(nowMillis(), task, assignment.Run, end)
-	t.metrics.runs.WithLabelValues(strconv.Itoa(int(end))).Inc()
-	event.SampleRunEnded.On(t.logger).Str("sample", task.Sample.ID).Str("engine", assignment.Backend.ID).
+	l.scheduler.RunEnded(nowMillis(), task, assignment.Run, end)
+	l.metrics.runs.WithLabelValues(strconv.Itoa(int(end))).Inc()
+	event.SampleRunEnded.On(l.logger).Str("sample", task.Sample.ID).Str("engine", assignment.Backend.ID).
 		Uint("end", uint64(end)).Uint("events", text.Last).Uint("state", uint64(task.State)).Send()
 	if end == scheduler.Failed && !speculative {
-		t.recordFailures(task)
+		l.recordFailures(task)
 	}
 	switch {
 	case speculative:
 	case end == scheduler.Unprocessable:
-		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "impossible")
+		l.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "impossible")
 	case end == scheduler.Failed && task.Failures.Runs >= max(task.Step.Attempts, 1):
-		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "failed")
+		l.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "failed")
 	case task.State == scheduler.Scoring:
-		t.score(task)
+		l.score(task)
 	}
 }
 
 // recordFailures records the task's failure counts for later leaders. If that fails, the next failure
 // records them again; if the leader is lost before then, one failure is not counted.
-func (t *leadership) recordFailures(task *scheduler.Task) {
+func (l *leadership) recordFailures(task *scheduler.Task) {
 	command := &ledger.Failed{Step: task.Step.ID, Sample: task.Sample.ID, Counts: task.Failures}
 	go func() {
-		limited, cancel := context.WithTimeout(t.context, recordTimeout)
+		limited, cancel := context.WithTimeout(l.context, recordTimeout)
 		defer cancel()
-		_, err := t.replica.Execute(limited, ledger.Command{Failed: command}.Encode())
-		line := event.FailuresRecorded.On(t.logger).Str("sample", command.Sample).Str("step", command.Step).
+		_, err := l.replica.Execute(limited, ledger.Command{Failed: command}.Encode())
+		line := event.FailuresRecorded.On(l.logger).Str("sample", command.Sample).Str("step", command.Step).
 			Uint("runs", uint64(command.Counts.Runs)).Uint("rewards", uint64(command.Counts.Rewards))
 		if err != nil {
 			line.Err(err)
@@ -133,25 +133,25 @@
 	}()
 }
 
-func (t *leadership) finish(task *scheduler.Task, result ledger.Result, reason string) {
-	t.cancel(task)
-	checkpointed := t.checkpointed[task]
-	delete(t.checkpointed, task)
-	if t.scheduler.Finish(task) {
-		t.reportStepCompleted(task)
+func (l *leadership) finish(task *scheduler.Task, result ledger.Result, reason string) {
+	l.cancel(task)
+	checkpointed := l.checkpointed[task]
+	delete(l.checkpointed, task)
+	if l.scheduler.Finish(task) {
+		l.reportStepCompleted(task)
 	}
-	t.metrics.samples.WithLabelValues(strconv.Itoa(int(result.State))).Inc()
-	t.results = append(t.results, newPendingResult(task, result, checkpointed))
+	l.metrics.samples.WithLabelValues(strconv.Itoa(int(result.State))).Inc()
+	l.results = append(l.results, newPendingResult(task, result, checkpointed))
 	if result.State == ledger.FailedPermanently {
-		event.SampleFailed.On(t.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("reason", reason).Send()
+		event.SampleFailed.On(l.logger).Str("sample", task.Sample.ID).Str("step", task.Step.ID).Str("reason", reason).Send()
 	}
 }
 
 // reportStepCompleted logs and measures the completion of a step. lastTask is the task that completed it.
-func (t *leadership) reportStepCompleted(lastTask *scheduler.Task) {
+func (l *leadership) reportStepCompleted(lastTask *scheduler.Task) {
 	elapsed := nowMillis() - lastTask.Step.SubmittedAt
-	t.metrics.steps.WithLabelValues().Observe(float64(elapsed) / 1000)
-	event.StepCompleted.On(t.logger).Str("step", lastTask.Step.ID).Uint("number", uint64(lastTask.Step.Number)).Int("ms", elapsed).
+	l.metrics.steps.WithLabelValues().Observe(float64(elapsed) / 1000)
+	event.StepCompleted.On(l.logger).Str("step", lastTask.Step.ID).Uint("number", uint64(lastTask.Step.Number)).Int("ms", elapsed).
 		Str("sample", lastTask.Sample.ID).Str("engine", lastTask.Engine).Uint("events", lastTask.Text.Last).
 		Uint("predicted_tokens", uint64(lastTask.Sample.Predicted)).Uint("attempts", uint64(lastTask.Attempts)).Send()
 }
--- a/server/score.go
+++ b/server/score.go
@@ -15,19 +15,19 @@
 )
 
 // score requests the score of a complete text, then finishes the task.
-func (t *leadership) score(task *scheduler.Task) {
+func (l *leadership) score(task *scheduler.Task) {
 	if task.Sample.Reward == nil {
-		t.finish(task, succeededResult(task, ""), "")
+		l.finish(task, succeededResult(task, ""), "")
 		return
 	}
-	scoreContext, cancel := context.WithCancel(t.context)
-	t.cancels[task] = cancel
+	scoreContext, cancel := context.WithCancel(l.context)
+	l.cancels[task] = cancel
 	failures := task.Failures.Rewards
 	go func() {
 		defer cancel()
-		score, outcome := t.callReward(scoreContext, task, failures)
+		score, outcome := l.callReward(scoreContext, task, failures)
 		if outcome != rewardCancelled {
-			t.loop.Submit(func() { t.scoringEnded(task, score, outcome) })
+			l.loop.Submit(func() { l.scoringEnded(task, score, outcome) })
 		}
 	}()
 }
@@ -45,24 +45,24 @@
 )
 
 // recordRewardFailures records the failures of a task's reward calls.
-func (t *leadership) recordRewardFailures(task *scheduler.Task, failures int) {
+func (l *leadership) recordRewardFailures(task *scheduler.Task, failures int) {
 	if task.State != scheduler.Scoring {
 		return
 	}
 	task.Failures.Rewards = max(task.Failures.Rewards, failures)
-	t.recordFailures(task)
+	l.recordFailures(task)
 }
 
-func (t *leadership) scoringEnded(task *scheduler.Task, score string, outcome rewardOutcome) {
+func (l *leadership) scoringEnded(task *scheduler.Task, score string, outcome rewardOutcome) {
 	if task.State != scheduler.Scoring {
 		return
 	}
-	delete(t.cancels, task)
+	delete(l.cancels, task)
 	if outcome == rewardFailed {
-		t.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "no score")
+		l.finish(task, ledger.Result{Sample: task.Sample.ID, State: ledger.FailedPermanently}, "no score")
 		return
 	}
-	t.finish(task, succeededResult(task, score), "")
+	l.finish(task, succeededResult(task, score), "")
 }
 
 func succeededResult(task *scheduler.Task, score string) ledger.Result {
@@ -74,15 +74,15 @@
 
 // callReward retries the reward call until it succeeds or has failed as often as its route allows. The
 // failures under earlier leaders count, too.
-func (t *leadership) callReward(ctx context.Context, task *scheduler.Task, failures int) (score string, outcome rewardOutcome) {
+func (l *leadership) callReward(ctx context.Context, task *scheduler.Task, failures int) (score string, outcome rewardOutcome) {
 	reward := task.Sample.Reward
 	for ctx.Err() == nil {
-		catalog := t.watcher.Catalog()
+		catalog := l.watcher.Catalog()
 		path, _, _ := strings.Cut(reward.Path, "?")
 		route, ok := catalog.Table.Match(reward.Host, path)
-		if ok && t.rewardLimiter.acquire(ctx, route.Key(), maxRewardCalls(catalog, route)) {
-			result := t.sendReward(ctx, catalog, route, reward)
-			t.rewardLimiter.release(route.Key())
+		if ok && l.rewardLimiter.acquire(ctx, route.Key(), maxRewardCalls(catalog, route)) {
+			result := l.sendReward(ctx, catalog, route, reward)
+			l.rewardLimiter.release(route.Key())
 			if result.Response != nil && result.Response.Status/100 == 2 {
 				return result.Response.Signature, rewardScored
 			}
@@ -91,7 +91,7 @@
 				return "", rewardFailed
 			}
 			if result.Failures > 0 {
-				t.loop.Submit(func() { t.recordRewardFailures(task, failures) })
+				l.loop.Submit(func() { l.recordRewardFailures(task, failures) })
 			}
 		}
 		select {
@@ -104,18 +104,18 @@
 
 // sendReward sends the call once. A call of a suspected kind is postponed while another one of that kind is
 // active.
-func (t *leadership) sendReward(ctx context.Context, catalog *directory.Catalog, route routing.Route, reward *ledger.Reward) forward.Result {
+func (l *leadership) sendReward(ctx context.Context, catalog *directory.Catalog, route routing.Route, reward *ledger.Reward) forward.Result {
 	timeout := time.Duration(route.TimeoutMillis) * time.Millisecond
 	request := &forward.Request{
 		ID: reward.ID, StableID: true, Method: http.MethodPost, Host: reward.Host, Target: reward.Path,
 		Header: http.Header{}, Body: reward.Body, Deadline: clock.Now().Add(timeout),
 	}
-	if verdict := t.guard.CheckContent(request.Content()); verdict.KnownKindCrashes > 0 {
+	if verdict := l.guard.CheckContent(request.Content()); verdict.KnownKindCrashes > 0 {
 		kind := verdict.Subject.Kind
-		if !t.turns.tryLock(kind) {
+		if !l.kindLocks.tryLock(kind) {
 			return forward.Result{Reason: forward.Postponed}
 		}
-		defer t.turns.unlock(kind)
+		defer l.kindLocks.unlock(kind)
 	}
-	return t.forwarder.Do(ctx, catalog, route, request)
+	return l.forwarder.Do(ctx, catalog, route, request)
 }
--- a/server/suspension_test.go
+++ b/server/suspension_test.go
@@ -25,7 +25,7 @@
 	require.True(t, fresh.isStale(nowMillis()))
 }
 
-// TestLeaseExpiresDuringSuspension checks that a lease may expire during a suspension, and that one taken
+// TestLeaseExpiresDuringSuspension checks that a lease may expire during a suspension, and that one acquired
 // meanwhile is waited for in full.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	source := &clock.Suspendable{}
--- a/server/watch.go
+++ b/server/watch.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// watchBackoff is the pause before the next replica is asked, and watchRoundBackoff that after all
+	// watchBackoff is the pause before the next replica is queried, and watchRoundBackoff that after all
 	// replicas have failed, which limits the load on a directory without a leader.
 	watchBackoff      = 50 * time.Millisecond
 	watchRoundBackoff = 200 * time.Millisecond
@@ -53,13 +53,13 @@
 	// not answer a call.
 	leader, unresponsive string
 
-	// age tells whether the copy is fresh enough to act on, and proof tracks what the keepalives of the
-	// current watch prove about it; proof is used only by Run.
-	age   copyAge
-	proof watchTracker
-	// inFlight is the running query, or nil. The counters count finished queries.
-	inFlight               *copyRefresh
-	queries, failedQueries atomic.Uint64
+	// age tells whether the copy is fresh enough to act on, and tracker derives it from the keepalives of
+	// the current watch; tracker is used only by Run.
+	age     copyAge
+	tracker watchTracker
+	// inFlight is the running refresh, or nil. The counters count finished refreshes.
+	inFlight                   *copyRefresh
+	refreshes, failedRefreshes atomic.Uint64
 	// isDisconnected is set once it was logged that no replica answers, until one does.
 	isDisconnected atomic.Bool
 }
@@ -104,7 +104,7 @@
 			}
 			continue
 		}
-		w.proof.reset()
+		w.tracker.reset()
 		position++
 		failures++
 		awaySince = clock.Now()
@@ -116,7 +116,7 @@
 // preferred one again, which avoids traffic between zones and evens out the load.
 const preferredReplicaRetryInterval = 15 * time.Second
 
-// backOff pauses before the next replica is asked. After all have failed it reloads the seeds.
+// backOff pauses before the next replica is queried. After all have failed it reloads the seeds.
 func (w *Watcher) backOff(ctx context.Context, failures, addresses int, err error) {
 	if failures == addresses && ctx.Err() == nil {
 		event.DirectoryUnreachable.On(w.logger).Uint("revision", w.Catalog().Revision).Err(err).Send()
@@ -216,17 +216,17 @@
 		return err
 	}
 	requestedAt := nowMillis()
-	w.proof.start(requestedAt, address)
+	w.tracker.start(requestedAt, address)
 	response, err := w.client.Do(request)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return replica.ErrUnavailable.New("%s answered %d", address, response.StatusCode)
+		return replica.ErrUnavailable.New("%s responded with status %d", address, response.StatusCode)
 	}
 	onData()
-	w.proof.recordReceived(nowMillis())
+	w.tracker.recordReceived(nowMillis())
 	body, err := readWatch(response.Body, func() {
 		onData()
 		w.syncedAt.Store(nowMillis())
@@ -242,26 +242,26 @@
 		return err
 	}
 	if w.apply(catalog, delta) {
-		w.recordProof(catalog, requestedAt, isMarkedFresh(response))
+		w.recordWatchAnswer(catalog, requestedAt, isMarkedFresh(response))
 	}
 	return nil
 }
 
-// recordProof records what the answer to a watch proves about the age of the copy.
-func (w *Watcher) recordProof(before *directory.Catalog, requestedAt int64, isFresh bool) {
+// recordWatchAnswer records what the answer to a watch confirms about the age of the copy.
+func (w *Watcher) recordWatchAnswer(before *directory.Catalog, requestedAt int64, isFresh bool) {
 	switch {
 	case before.Revision == 0:
 		// The first answer holds everything that was acknowledged before the request.
 		w.age.recordConfirmed(requestedAt)
 	case isFresh:
-		w.age.recordConfirmed(requestedAt - maxLineAge.Milliseconds())
+		w.age.recordConfirmed(requestedAt - maxKeepaliveAge.Milliseconds())
 	}
 }
 
 // recordKeepalive records a keepalive of the watch.
 func (w *Watcher) recordKeepalive() {
-	if provenAt, proves := w.proof.recordLine(nowMillis()); proves {
-		w.age.recordConfirmed(provenAt)
+	if confirmedAt, ok := w.tracker.recordKeepalive(nowMillis()); ok {
+		w.age.recordConfirmed(confirmedAt)
 	}
 }
 
--- a/server/watch_test.go
+++ b/server/watch_test.go
@@ -222,7 +222,7 @@
 	<-changed
 	require.Equal(t, uint64(3), w.Catalog().Version)
 	require.LessOrEqual(t, clock.now, 1200*time.Millisecond)
-	require.Empty(t, reached, "the unresponsive replica is asked once")
+	require.Empty(t, reached, "the unresponsive replica is called once")
 }
 
 // TestKeepalivesExtendWatch checks that a watch stays open as long as keepalives arrive.
