--- a/server/backend_return_test.go
+++ b/server/backend_return_test.go
@@ -36,16 +36,16 @@
 	return registered
 }
 
-// eventually requires that the condition holds within eventuallyTimeout.
+// eventually requires that the condition holds within waitTimeout.
 func eventually(t *testing.T, condition func() bool, message string) {
 	t.Helper()
-	require.Eventually(t, condition, eventuallyTimeout, eventuallyInterval, message)
+	require.Eventually(t, condition, waitTimeout, pollInterval, message)
 }
 
 // never requires that the condition does not hold at any time during the duration.
 func never(t *testing.T, duration time.Duration, condition func() bool, message string) {
 	t.Helper()
-	require.Never(t, condition, duration, eventuallyInterval, message)
+	require.Never(t, condition, duration, pollInterval, message)
 }
 
 // leaderOf returns the replica that leads and serves.
@@ -268,7 +268,7 @@
 }
 
 // TestBackendReclaimsItsAddress checks that a running backend gets its address back after a delayed heartbeat
-// of a crashed one has taken it.
+// of a crashed one has claimed it.
 func TestBackendReclaimsItsAddress(t *testing.T) {
 	members := startMembers(t, unprepared)
 	d := members[0].directory
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -171,6 +171,6 @@
 	gauge(emit, "directory_age_seconds", "Time since the directory last answered.", w.ageSeconds())
 	gauge(emit, "copy_age_seconds", "Time since this process's copy of the directory is known to have held everything.", w.copyAgeSeconds())
 	const name, help = "copy_questions_total", "Questions what a copy that grows old misses, by outcome."
-	counter(emit, name, help, w.queries.Load(), "outcome", "answered")
-	counter(emit, name, help, w.failedQueries.Load(), "outcome", "unanswered")
+	counter(emit, name, help, w.refreshes.Load(), "outcome", "answered")
+	counter(emit, name, help, w.failedRefreshes.Load(), "outcome", "unanswered")
 }
