--- a/internal/golden/read.sh
+++ b/internal/golden/read.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Has an earlier commit read what this build writes; see README.md. Run it from the repository's
-# root, after write.sh has made the worktree.
+# Tests that an earlier commit can read the data that this build writes; see README.md. Run this
+# script from the repository's root, after write.sh has created the worktree.
 set -u
 commit=$1
 old=/tmp/golden-$commit
--- a/internal/golden/write.sh
+++ b/internal/golden/write.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Writes the golden files of a commit; see README.md. Run it from the repository's root.
+# Writes the golden files of a commit; see README.md. Run this script from the repository's root.
 set -eu
 commit=$1
 old=/tmp/golden-$commit
