--- a/Makefile
+++ b/Makefile
@@ -16,15 +16,15 @@
 	mkdir -p bin
 	$(GO) build -ldflags "$(LDFLAGS)" -o bin/ ./cmd/...
 
-# Tests that are known to fail, by the names that begin the lines of KNOWN-RED.txt, are passed over.
+# Tests that are known to fail are skipped; their names begin the lines of KNOWN-RED.txt.
 KNOWN_RED := $(shell cut -d: -f1 KNOWN-RED.txt 2>/dev/null | paste -sd'|' -)
 test:
 	$(GO) test $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$') ./...
 
-# Random faults on real processes; the seed draws them.
+# Injects random faults into real processes. The seed determines the faults.
 SOAK_FAULTS ?= 60
 SOAK_SEED ?= 1
-# SOAK_FROM names an earlier commit, whose build each process runs until its first restart.
+# SOAK_FROM is an earlier commit. Each process runs its build until the first restart.
 SOAK_EARLIER := $(CURDIR)/bin/soak-$(SOAK_FROM)
 soak: $(if $(SOAK_FROM),$(SOAK_EARLIER))
 	$(GO) test ./platform -run '^TestSoak$$' -count=1 -v -timeout 30m -soak.faults $(SOAK_FAULTS) -soak.seed $(SOAK_SEED) $(if $(SOAK_FROM),-soak.from $(SOAK_EARLIER))
@@ -52,7 +52,7 @@
 generate: $(TOOLS)/buf $(TOOLS)/protoc-gen-go $(TOOLS)/protoc-gen-connect-go
 	$(TOOLS)/buf generate
 
-# The tools are installed once for each pinned version.
+# Each pinned version of a tool is installed once.
 $(TOOLS)/buf: Makefile
 	GOBIN=$(TOOLS) $(GO) install github.com/bufbuild/buf/cmd/buf@$(BUF_VERSION)
 	touch $@
