--- a/api/dillchute/v1/dillchutev1connect/dillchute.connect.go
+++ b/api/dillchute/v1/dillchutev1connect/dillchute.connect.go
@@ -2,10 +2,10 @@
 //
 // Source: dillchute/v1/dillchute.proto
 
-// Package dillchute.v1 is the public control interface of dillchute: what
-// operators, automation and trainers call. Every call is served by the leader
-// of the control replicas; other replicas answer with code "unavailable" and a
-// Dillchute-Leader header that names the leader's address.
+// Package dillchute.v1 is the public control interface of dillchute, for
+// operators, automation and trainers. The leader of the control replicas serves
+// every call. Other replicas respond with code "unavailable" and a
+// Dillchute-Leader header that holds the leader's address.
 package dillchutev1connect
 
 import (
@@ -66,17 +66,17 @@
 // OperationsClient is a client for the dillchute.v1.Operations service.
 type OperationsClient interface {
 	// Apply replaces the whole set of declared pools if the caller's base
-	// revision is still the newest. A resent change identity returns the first outcome.
+	// revision is still the newest. A repeated change ID returns the first outcome.
 	Apply(context.Context, *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error)
 	// GetDeclarations returns the declared pools and their revision.
 	GetDeclarations(context.Context, *connect.Request[v1.GetDeclarationsRequest]) (*connect.Response[v1.GetDeclarationsResponse], error)
 	// GetHistory returns the newest accepted changes, newest first.
 	GetHistory(context.Context, *connect.Request[v1.GetHistoryRequest]) (*connect.Response[v1.GetHistoryResponse], error)
-	// GetStatus returns replicas, nodes, engines and pools as control sees them.
+	// GetStatus returns the replicas, nodes, engines and pools known to the leader.
 	GetStatus(context.Context, *connect.Request[v1.GetStatusRequest]) (*connect.Response[v1.GetStatusResponse], error)
-	// DrainNode tells a node to finish its work and give its engines away.
+	// DrainNode orders a node to finish its work and release its engines.
 	DrainNode(context.Context, *connect.Request[v1.DrainNodeRequest]) (*connect.Response[v1.DrainNodeResponse], error)
-	// DrainEngine marks an engine as leaving: it gets no new work.
+	// DrainEngine marks an engine as leaving, so that it gets no new work.
 	DrainEngine(context.Context, *connect.Request[v1.DrainEngineRequest]) (*connect.Response[v1.DrainEngineResponse], error)
 	// ChangeMembership adds a learner, promotes it, or removes a control replica.
 	ChangeMembership(context.Context, *connect.Request[v1.ChangeMembershipRequest]) (*connect.Response[v1.ChangeMembershipResponse], error)
@@ -187,17 +187,17 @@
 // OperationsHandler is an implementation of the dillchute.v1.Operations service.
 type OperationsHandler interface {
 	// Apply replaces the whole set of declared pools if the caller's base
-	// revision is still the newest. A resent change identity returns the first outcome.
+	// revision is still the newest. A repeated change ID returns the first outcome.
 	Apply(context.Context, *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error)
 	// GetDeclarations returns the declared pools and their revision.
 	GetDeclarations(context.Context, *connect.Request[v1.GetDeclarationsRequest]) (*connect.Response[v1.GetDeclarationsResponse], error)
 	// GetHistory returns the newest accepted changes, newest first.
 	GetHistory(context.Context, *connect.Request[v1.GetHistoryRequest]) (*connect.Response[v1.GetHistoryResponse], error)
-	// GetStatus returns replicas, nodes, engines and pools as control sees them.
+	// GetStatus returns the replicas, nodes, engines and pools known to the leader.
 	GetStatus(context.Context, *connect.Request[v1.GetStatusRequest]) (*connect.Response[v1.GetStatusResponse], error)
-	// DrainNode tells a node to finish its work and give its engines away.
+	// DrainNode orders a node to finish its work and release its engines.
 	DrainNode(context.Context, *connect.Request[v1.DrainNodeRequest]) (*connect.Response[v1.DrainNodeResponse], error)
-	// DrainEngine marks an engine as leaving: it gets no new work.
+	// DrainEngine marks an engine as leaving, so that it gets no new work.
 	DrainEngine(context.Context, *connect.Request[v1.DrainEngineRequest]) (*connect.Response[v1.DrainEngineResponse], error)
 	// ChangeMembership adds a learner, promotes it, or removes a control replica.
 	ChangeMembership(context.Context, *connect.Request[v1.ChangeMembershipRequest]) (*connect.Response[v1.ChangeMembershipResponse], error)
@@ -307,10 +307,10 @@
 
 // RolloutsClient is a client for the dillchute.v1.Rollouts service.
 type RolloutsClient interface {
-	// SubmitStep asks for the samples of one training step. Resending is safe.
+	// SubmitStep requests the samples of one training step. It is safe to repeat.
 	SubmitStep(context.Context, *connect.Request[v1.SubmitStepRequest]) (*connect.Response[v1.SubmitStepResponse], error)
 	// Fetch returns completed samples after the cursor. A newer fetch of the
-	// same trainer voids earlier ones. It waits up to wait_milliseconds.
+	// same trainer invalidates earlier ones. It waits up to wait_milliseconds.
 	Fetch(context.Context, *connect.Request[v1.FetchRequest]) (*connect.Response[v1.FetchResponse], error)
 	// PublishWeights makes a new weight version of a model the newest one.
 	PublishWeights(context.Context, *connect.Request[v1.PublishWeightsRequest]) (*connect.Response[v1.PublishWeightsResponse], error)
@@ -372,10 +372,10 @@
 
 // RolloutsHandler is an implementation of the dillchute.v1.Rollouts service.
 type RolloutsHandler interface {
-	// SubmitStep asks for the samples of one training step. Resending is safe.
+	// SubmitStep requests the samples of one training step. It is safe to repeat.
 	SubmitStep(context.Context, *connect.Request[v1.SubmitStepRequest]) (*connect.Response[v1.SubmitStepResponse], error)
 	// Fetch returns completed samples after the cursor. A newer fetch of the
-	// same trainer voids earlier ones. It waits up to wait_milliseconds.
+	// same trainer invalidates earlier ones. It waits up to wait_milliseconds.
 	Fetch(context.Context, *connect.Request[v1.FetchRequest]) (*connect.Response[v1.FetchResponse], error)
 	// PublishWeights makes a new weight version of a model the newest one.
 	PublishWeights(context.Context, *connect.Request[v1.PublishWeightsRequest]) (*connect.Response[v1.PublishWeightsResponse], error)
