--- a/Makefile
+++ b/Makefile
@@ -24,7 +24,7 @@
 # Injects random faults into real processes. The seed determines the faults.
 SOAK_FAULTS ?= 60
 SOAK_SEED ?= 1
-# SOAK_FROM is an earlier commit. Each process runs its build until the first restart.
+# SOAK_FROM is an earlier commit. Each process runs that commit's build until its first restart.
 SOAK_EARLIER := $(CURDIR)/bin/soak-$(SOAK_FROM)
 soak: $(if $(SOAK_FROM),$(SOAK_EARLIER))
 	$(GO) test ./platform -run '^TestSoak$$' -count=1 -v -timeout 30m -soak.faults $(SOAK_FAULTS) -soak.seed $(SOAK_SEED) $(if $(SOAK_FROM),-soak.from $(SOAK_EARLIER))
