--- a/admission/limiters_test.go
+++ b/admission/limiters_test.go
@@ -52,7 +52,7 @@
 	requests, accepted := t.requests.current(now, throttleTimeConstant), t.accepted.current(now, throttleTimeConstant)
 	t.requests.add(now, throttleTimeConstant)
 	if t.random.Float64() < (requests-throttleMultiplier*accepted)/(requests+1) {
-		return Decision{RetryAfter: RetryAfter(modelDeadline, t.random.Float64())}
+		return Decision{RetryAfter: RetryAfter(simDeadline, t.random.Float64())}
 	}
 	return Decision{Admitted: true}
 }
@@ -125,12 +125,12 @@
 				b.Run(fmt.Sprintf("%d gateways/x%g/%s", gateways, factor, name), func(b *testing.B) {
 					s.newLimiter = limit
 					for range b.N {
-						m := s.run()
-						b.ReportMetric(float64(m.inTarget)/m.servable(), "in_target/servable")
-						b.ReportMetric(float64(m.retriedInTarget)/m.servable(), "retried/servable")
-						b.ReportMetric(float64(m.late)/float64(m.offered), "late/offered")
-						b.ReportMetric(float64(m.attempts)/float64(m.offered), "attempts/offered")
-						b.ReportMetric(m.reward/(0.2*m.servable()), "reward/servable")
+						sim := s.run()
+						b.ReportMetric(float64(sim.inTarget)/sim.servable(), "in_target/servable")
+						b.ReportMetric(float64(sim.retriedInTarget)/sim.servable(), "retried/servable")
+						b.ReportMetric(float64(sim.late)/float64(sim.offered), "late/offered")
+						b.ReportMetric(float64(sim.attempts)/float64(sim.offered), "attempts/offered")
+						b.ReportMetric(sim.reward/(0.2*sim.servable()), "reward/servable")
 					}
 				})
 			}
@@ -141,7 +141,7 @@
 // BenchmarkAdmit measures an admission decision under a limit with many tenants.
 func BenchmarkAdmit(b *testing.B) {
 	l := NewLocalLimiter(rand.New(rand.NewPCG(1, 2)))
-	now := modelEpoch
+	now := simEpoch
 	startLimit(l, now)
 	names := make([]string, 10_000)
 	for position := range names {
@@ -153,14 +153,14 @@
 		if position%20 == 0 {
 			observeSlowAnswers(l, now)
 		}
-		l.Admit(now, Request{Service: "s", Tenant: names[position%len(names)], Target: modelTarget, Remaining: modelDeadline})
+		l.Admit(now, Request{Service: "s", Tenant: names[position%len(names)], Target: simTarget, Remaining: simDeadline})
 	}
 }
 
 // BenchmarkDivide measures a division among the maximum number of callers.
 func BenchmarkDivide(b *testing.B) {
 	var s fairShares
-	now := modelEpoch
+	now := simEpoch
 	for position := range 2 * maxCallers {
 		s.recordRequest(now, Request{Tenant: fmt.Sprint("tenant-", position), Priority: position % priorityLevels}, 0.5)
 	}
--- a/admission/local_test.go
+++ b/admission/local_test.go
@@ -48,7 +48,7 @@
 }
 
 func newRequest() Request {
-	return Request{Service: "s", Target: modelTarget, Remaining: modelDeadline}
+	return Request{Service: "s", Target: simTarget, Remaining: simDeadline}
 }
 
 func observeSlowAnswers(l *LocalLimiter, now time.Time) {
@@ -69,7 +69,7 @@
 // TestSlowAnswersStartLimit checks that slow answers of all backends start a limit, and that the
 // admitted fraction falls while they continue.
 func TestSlowAnswersStartLimit(t *testing.T) {
-	l, now := newTestLimiter(), modelEpoch
+	l, now := newTestLimiter(), simEpoch
 	learnBaseline(l, now)
 	require.False(t, l.IsLimiting(now, "s"))
 	observeSlowAnswers(l, now)
@@ -79,7 +79,7 @@
 
 // TestOneSlowBackendDoesNotStartLimit checks one slow backend of four.
 func TestOneSlowBackendDoesNotStartLimit(t *testing.T) {
-	l, now := newTestLimiter(), modelEpoch
+	l, now := newTestLimiter(), simEpoch
 	learnBaseline(l, now)
 	for position := range 400 {
 		now = now.Add(5 * time.Millisecond)
@@ -94,7 +94,7 @@
 
 // TestOneRefusingBackendDoesNotStartLimit checks one backend of four that refuses every request.
 func TestOneRefusingBackendDoesNotStartLimit(t *testing.T) {
-	l, now := newTestLimiter(), modelEpoch
+	l, now := newTestLimiter(), simEpoch
 	learnBaseline(l, now)
 	for position := range 400 {
 		now = now.Add(5 * time.Millisecond)
@@ -110,7 +110,7 @@
 // TestRefusalsByMostBackendsStartLimit covers backends without a queue, which refuse when they are
 // full.
 func TestRefusalsByMostBackendsStartLimit(t *testing.T) {
-	l, now := newTestLimiter(), modelEpoch
+	l, now := newTestLimiter(), simEpoch
 	learnBaseline(l, now)
 	for backend := range 4 {
 		l.Observe(now, refused(backend))
@@ -121,7 +121,7 @@
 // TestSlowerWorkRaisesBaseline checks that everything is admitted two seconds after requests have
 // begun to take four times as long, if no backend refuses any.
 func TestSlowerWorkRaisesBaseline(t *testing.T) {
-	l, now := newTestLimiter(), modelEpoch
+	l, now := newTestLimiter(), simEpoch
 	learnBaseline(l, now)
 	slowLatency := 4 * baselineLatency
 	require.Less(t, countAdmitted(l, now, 200, slowLatency, newRequest()), 200)
@@ -132,11 +132,11 @@
 
 // TestLongWorkDoesNotStartLimit covers requests whose work itself takes most of the latency target.
 func TestLongWorkDoesNotStartLimit(t *testing.T) {
-	l, now, random := newTestLimiter(), modelEpoch, rand.New(rand.NewPCG(5, 6))
+	l, now, random := newTestLimiter(), simEpoch, rand.New(rand.NewPCG(5, 6))
 	refusals := 0
 	for position := range 4000 {
 		now = now.Add(5 * time.Millisecond)
-		latency := time.Duration(float64(modelTarget) * (0.4 + 0.6*random.Float64()))
+		latency := time.Duration(float64(simTarget) * (0.4 + 0.6*random.Float64()))
 		l.Observe(now, answered(position%4, latency))
 		if !l.Admit(now, newRequest()).Admitted {
 			refusals++
@@ -149,7 +149,7 @@
 // and without further answers.
 func TestLimitEndsAfterOverload(t *testing.T) {
 	for _, hasAnswers := range []bool{false, true} {
-		l, now := newTestLimiter(), modelEpoch
+		l, now := newTestLimiter(), simEpoch
 		startLimit(l, now)
 		countAdmitted(l, now, 400, queuedLatency, newRequest())
 		now = now.Add(time.Second)
@@ -164,7 +164,7 @@
 // TestUrgentRequestsAreAdmittedFirst checks that a limit prefers the higher priority without starving
 // the lower one.
 func TestUrgentRequestsAreAdmittedFirst(t *testing.T) {
-	l, now := newTestLimiter(), modelEpoch
+	l, now := newTestLimiter(), simEpoch
 	startLimit(l, now)
 	var admitted [2]int
 	for position := range 4000 {
@@ -197,7 +197,7 @@
 
 // TestTooLate checks that a request that cannot be answered before its deadline is refused.
 func TestTooLate(t *testing.T) {
-	l, now := newTestLimiter(), modelEpoch
+	l, now := newTestLimiter(), simEpoch
 	startLimit(l, now)
 	request := newRequest()
 	request.Remaining = 50 * time.Millisecond
@@ -214,7 +214,7 @@
 		latency   time.Duration
 		wantLimit bool
 	}{{waiting: 24, latency: baselineLatency, wantLimit: true}, {waiting: 0, latency: queuedLatency, wantLimit: false}} {
-		l, now := newTestLimiter(), modelEpoch
+		l, now := newTestLimiter(), simEpoch
 		learnBaseline(l, now)
 		for backend := range maxSamples {
 			observation := answered(backend%4, test.latency)
@@ -228,9 +228,9 @@
 // TestPrune checks that services without a limit are dropped.
 func TestPrune(t *testing.T) {
 	l := newTestLimiter()
-	learnBaseline(l, modelEpoch)
+	learnBaseline(l, simEpoch)
 	l.Prune(func(string) bool { return false })
-	require.Empty(t, l.Statuses(modelEpoch))
+	require.Empty(t, l.Statuses(simEpoch))
 }
 
 // TestFairShares checks each division: the total matches the admitted fraction, lower priorities and
@@ -240,7 +240,7 @@
 		admittedFraction := rapid.Float64Range(minAdmittedFraction, 1).Draw(t, "share")
 		callers := rapid.IntRange(1, 40).Draw(t, "callers")
 		var s fairShares
-		now := modelEpoch
+		now := simEpoch
 		for position := range callers {
 			request := Request{
 				Tenant: fmt.Sprint(position), Priority: rapid.IntRange(0, priorityLevels-1).Draw(t, "priority"),
@@ -276,7 +276,7 @@
 // TestCountersAreBounded checks that the number of counters is bounded for any number of tenants.
 func TestCountersAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now := newTestLimiter(), modelEpoch
+		l, now := newTestLimiter(), simEpoch
 		startLimit(l, now)
 		request := newRequest()
 		for position := range rapid.IntRange(1, 3000).Draw(t, "requests") {
@@ -295,7 +295,7 @@
 // observations, and that everything is admitted after two seconds without any.
 func TestAdmittedFractionStaysInRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now := newTestLimiter(), modelEpoch
+		l, now := newTestLimiter(), simEpoch
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond)
 			backend := rapid.IntRange(0, 5).Draw(t, "backend")
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -30,17 +30,17 @@
 // Each gateway sees only a few requests of each tenant, which limits how fair it can be.
 var minFairness = map[int]float64{0: 0.8, 2: 0.7}
 
-func checkOverload(t *testing.T, m *model, factor float64) {
+func checkOverload(t *testing.T, sim *simulation, factor float64) {
 	t.Logf("servable %.0f, in target %d, in target after a retry %d, late %d, refused once %d, twice %d, %d attempts for %d requests, fairness %.2f, minimum %.2f, idle refusals %d, not admitted %d, last refusal %v after the surge",
-		m.servable(), m.inTarget, m.retriedInTarget, m.late, m.refusedOnce, m.refusedTwice, m.attempts, m.offered, m.smallTenantFairness(), m.minFairness(), m.idleRefusals, m.notAdmitted, m.lastRefusedAt-calmDuration-m.surgeDuration)
-	require.Zero(t, m.refusedBefore)
+		sim.servable(), sim.inTarget, sim.retriedInTarget, sim.late, sim.refusedOnce, sim.refusedTwice, sim.attempts, sim.offered, sim.smallTenantFairness(), sim.minFairness(), sim.idleRefusals, sim.notAdmitted, sim.lastRefusedAt-calmDuration-sim.surgeDuration)
+	require.Zero(t, sim.refusedBefore)
 	if factor <= 0.8 {
-		require.Zero(t, m.refusedOnce)
+		require.Zero(t, sim.refusedOnce)
 	}
-	require.GreaterOrEqual(t, float64(m.inTarget+m.retriedInTarget), 0.9*m.servable())
-	require.Less(t, float64(m.late), 0.03*float64(m.offered))
-	if m.tenants > 0 {
-		require.GreaterOrEqual(t, m.smallTenantFairness(), minFairness[m.downBackends])
+	require.GreaterOrEqual(t, float64(sim.inTarget+sim.retriedInTarget), 0.9*sim.servable())
+	require.Less(t, float64(sim.late), 0.03*float64(sim.offered))
+	if sim.tenants > 0 {
+		require.GreaterOrEqual(t, sim.smallTenantFairness(), minFairness[sim.downBackends])
 	}
-	require.LessOrEqual(t, m.lastRefusedAt, calmDuration+m.surgeDuration+time.Second)
+	require.LessOrEqual(t, sim.lastRefusedAt, calmDuration+sim.surgeDuration+time.Second)
 }
--- a/admission/model_test.go
+++ b/admission/simulation_test.go
@@ -35,16 +35,16 @@
 }
 
 const (
-	modelTarget    = 150 * time.Millisecond
-	modelDeadline  = 800 * time.Millisecond
-	modelWorkTime  = 25 * time.Millisecond
+	simTarget      = 150 * time.Millisecond
+	simDeadline    = 800 * time.Millisecond
+	simWorkTime    = 25 * time.Millisecond
 	clientLatency  = 3 * time.Millisecond
 	backendLatency = 800 * time.Microsecond
 	calmDuration   = 3 * time.Second
 )
 
 func (s scenario) capacity(backends int) float64 {
-	return float64(backends*s.slots) / modelWorkTime.Seconds()
+	return float64(backends*s.slots) / simWorkTime.Seconds()
 }
 
 // results counts requests of the surge by outcome.
@@ -61,7 +61,7 @@
 	lastRefusedAt time.Duration
 }
 
-type modelRequest struct {
+type simRequest struct {
 	startedAt, sentAt time.Duration
 	tenant            int
 	priority          int
@@ -75,16 +75,16 @@
 	triedBackends uint64
 }
 
-type modelAttempt struct {
-	request   *modelRequest
+type simAttempt struct {
+	request   *simRequest
 	gateway   int
 	backend   int
 	startedAt time.Duration
 }
 
-type modelBackend struct {
+type simBackend struct {
 	running    int
-	waiting    []*modelAttempt
+	waiting    []*simAttempt
 	down       bool
 	workFactor float64
 }
@@ -95,25 +95,25 @@
 	avoidedUntil time.Duration
 }
 
-type modelGateway struct {
+type simGateway struct {
 	limiter Limiter
 	views   []backendView
 }
 
-type modelEvent struct {
+type simEvent struct {
 	at       time.Duration
 	sequence int
 	run      func()
 }
 
-type eventQueue []modelEvent
+type eventQueue []simEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(modelEvent)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -121,33 +121,33 @@
 	return last
 }
 
-// model simulates a scenario in virtual time.
-type model struct {
+// simulation runs a scenario in virtual time.
+type simulation struct {
 	scenario
 	results
 	random          *rand.Rand
 	now             time.Duration
 	scheduledEvents int
 	events          eventQueue
-	gatewayStates   []*modelGateway
-	backendStates   []*modelBackend
+	gatewayStates   []*simGateway
+	backendStates   []*simBackend
 }
 
-var modelEpoch = time.Unix(1_000_000, 0)
+var simEpoch = time.Unix(1_000_000, 0)
 
-func (m *model) schedule(delay time.Duration, run func()) {
-	m.scheduledEvents++
-	heap.Push(&m.events, modelEvent{m.now + delay, m.scheduledEvents, run})
+func (s *simulation) schedule(delay time.Duration, run func()) {
+	s.scheduledEvents++
+	heap.Push(&s.events, simEvent{s.now + delay, s.scheduledEvents, run})
 }
 
-func (m *model) currentTime() time.Time { return modelEpoch.Add(m.now) }
+func (s *simulation) currentTime() time.Time { return simEpoch.Add(s.now) }
 
 // run simulates a calm period, the surge and another calm period.
-func (s scenario) run() *model {
-	m := &model{scenario: s, random: rand.New(rand.NewPCG(s.seed, 1))}
-	m.byTenant = map[int]*[2]int{}
+func (s scenario) run() *simulation {
+	sim := &simulation{scenario: s, random: rand.New(rand.NewPCG(s.seed, 1))}
+	sim.byTenant = map[int]*[2]int{}
 	for position := range s.gateways {
-		m.gatewayStates = append(m.gatewayStates, &modelGateway{
+		sim.gatewayStates = append(sim.gatewayStates, &simGateway{
 			limiter: s.newLimiter(rand.New(rand.NewPCG(s.seed, uint64(position)+2))), views: make([]backendView, s.backends),
 		})
 	}
@@ -156,135 +156,137 @@
 		if position < len(s.workFactors) {
 			workFactor = s.workFactors[position]
 		}
-		m.backendStates = append(m.backendStates, &modelBackend{workFactor: workFactor})
-	}
-	m.scheduleArrival()
-	m.schedule(calmDuration, func() { m.setDown(true) })
-	m.schedule(calmDuration+s.surgeDuration, func() { m.setDown(false) })
-	for len(m.events) > 0 {
-		next := heap.Pop(&m.events).(modelEvent)
-		m.now = next.at
+		sim.backendStates = append(sim.backendStates, &simBackend{workFactor: workFactor})
+	}
+	sim.scheduleArrival()
+	sim.schedule(calmDuration, func() { sim.setDown(true) })
+	sim.schedule(calmDuration+s.surgeDuration, func() { sim.setDown(false) })
+	for len(sim.events) > 0 {
+		next := heap.Pop(&sim.events).(simEvent)
+		sim.now = next.at
 		next.run()
 	}
-	return m
+	return sim
 }
 
-func (m *model) setDown(down bool) {
-	for _, backend := range m.backendStates[:m.downBackends] {
+func (s *simulation) setDown(down bool) {
+	for _, backend := range s.backendStates[:s.downBackends] {
 		backend.down = down
 		for _, attempt := range backend.waiting {
-			m.failAttempt(attempt, false)
+			s.failAttempt(attempt, false)
 		}
 		backend.waiting = nil
 	}
 }
 
-func (m *model) inSurge() bool { return m.now >= calmDuration && m.now < calmDuration+m.surgeDuration }
+func (s *simulation) inSurge() bool {
+	return s.now >= calmDuration && s.now < calmDuration+s.surgeDuration
+}
 
 // scheduleArrival schedules the next first attempt.
-func (m *model) scheduleArrival() {
-	if m.now >= 2*calmDuration+m.surgeDuration {
+func (s *simulation) scheduleArrival() {
+	if s.now >= 2*calmDuration+s.surgeDuration {
 		return
 	}
-	rate := m.baseLoad * m.capacity(m.backends)
-	if m.inSurge() {
-		rate = m.surgeLoad * m.capacity(m.backends)
+	rate := s.baseLoad * s.capacity(s.backends)
+	if s.inSurge() {
+		rate = s.surgeLoad * s.capacity(s.backends)
 	}
 	// A gap ends at the start of the surge, when the rate changes.
-	gap := time.Duration(m.random.ExpFloat64() / rate * float64(time.Second))
-	if edge := calmDuration - m.now; edge > 0 && gap > edge {
-		m.schedule(edge, m.scheduleArrival)
+	gap := time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
+	if edge := calmDuration - s.now; edge > 0 && gap > edge {
+		s.schedule(edge, s.scheduleArrival)
 		return
 	}
-	m.schedule(gap, func() {
-		request := &modelRequest{startedAt: m.now, inSurge: m.inSurge(), priority: 1}
-		if m.tenants > 0 && m.random.Float64() < 0.5 {
-			request.tenant = 1 + m.random.IntN(m.tenants-1)
+	s.schedule(gap, func() {
+		request := &simRequest{startedAt: s.now, inSurge: s.inSurge(), priority: 1}
+		if s.tenants > 0 && s.random.Float64() < 0.5 {
+			request.tenant = 1 + s.random.IntN(s.tenants-1)
 		}
-		if m.random.Float64() < m.urgentFraction {
+		if s.random.Float64() < s.urgentFraction {
 			request.priority = 0
 		}
 		if request.inSurge {
-			m.offered++
-			m.tenantCounts(request)[0]++
-			m.byPriority[request.priority][0]++
+			s.offered++
+			s.tenantCounts(request)[0]++
+			s.byPriority[request.priority][0]++
 		}
-		m.schedule(clientLatency, func() { m.receive(request) })
-		m.scheduleArrival()
+		s.schedule(clientLatency, func() { s.receive(request) })
+		s.scheduleArrival()
 	})
 }
 
-func (m *model) tenantCounts(request *modelRequest) *[2]int {
-	counts := m.byTenant[request.tenant]
+func (s *simulation) tenantCounts(request *simRequest) *[2]int {
+	counts := s.byTenant[request.tenant]
 	if counts == nil {
 		counts = &[2]int{}
-		m.byTenant[request.tenant] = counts
+		s.byTenant[request.tenant] = counts
 	}
 	return counts
 }
 
 // receive handles an attempt of a caller at a gateway.
-func (m *model) receive(request *modelRequest) {
-	request.gateway = m.random.IntN(m.gateways)
-	request.sentAt, request.done, request.attempts, request.unreached, request.pending, request.triedBackends = m.now, false, 0, 0, 0, 0
-	gateway := m.gatewayStates[request.gateway]
+func (s *simulation) receive(request *simRequest) {
+	request.gateway = s.random.IntN(s.gateways)
+	request.sentAt, request.done, request.attempts, request.unreached, request.pending, request.triedBackends = s.now, false, 0, 0, 0, 0
+	gateway := s.gatewayStates[request.gateway]
 	admissionRequest := Request{
-		Service: "s", Priority: request.priority, IsRetry: request.isRetry, Target: modelTarget,
-		Remaining: modelDeadline - (m.now - request.startedAt),
+		Service: "s", Priority: request.priority, IsRetry: request.isRetry, Target: simTarget,
+		Remaining: simDeadline - (s.now - request.startedAt),
 	}
-	if m.tenants > 0 {
+	if s.tenants > 0 {
 		admissionRequest.Tenant = strconv.Itoa(request.tenant)
 	}
-	decision := gateway.limiter.Admit(m.currentTime(), admissionRequest)
+	decision := gateway.limiter.Admit(s.currentTime(), admissionRequest)
 	if !decision.Admitted {
-		m.notAdmitted++
-		m.countIdleRefusal()
-		m.refuse(request, decision.RetryAfter)
+		s.notAdmitted++
+		s.countIdleRefusal()
+		s.refuse(request, decision.RetryAfter)
 		return
 	}
-	m.send(request)
-	m.hedge(request)
+	s.send(request)
+	s.hedge(request)
 }
 
 // countIdleRefusal counts a refusal while backends had free capacity.
-func (m *model) countIdleRefusal() {
+func (s *simulation) countIdleRefusal() {
 	running, slots, waiting := 0, 0, 0
-	for _, backend := range m.backendStates {
+	for _, backend := range s.backendStates {
 		if !backend.down {
 			running += backend.running
-			slots += m.slots
+			slots += s.slots
 			waiting += len(backend.waiting)
 		}
 	}
 	if running*2 < slots && waiting == 0 {
-		m.idleRefusals++
+		s.idleRefusals++
 	}
 }
 
-func (m *model) hedge(request *modelRequest) {
-	sent := m.now
-	m.schedule(modelTarget/2, func() {
-		if m.hedges && !request.done && request.sentAt == sent && !m.gatewayStates[request.gateway].limiter.IsLimiting(m.currentTime(), "s") {
-			m.send(request)
-			m.hedge(request)
+func (s *simulation) hedge(request *simRequest) {
+	sent := s.now
+	s.schedule(simTarget/2, func() {
+		if s.hedges && !request.done && request.sentAt == sent && !s.gatewayStates[request.gateway].limiter.IsLimiting(s.currentTime(), "s") {
+			s.send(request)
+			s.hedge(request)
 		}
 	})
 }
 
 // send sends the request to the backend with the lowest estimated cost.
-func (m *model) send(request *modelRequest) bool {
+func (s *simulation) send(request *simRequest) bool {
 	if request.attempts >= 2 {
 		return false
 	}
-	gateway := m.gatewayStates[request.gateway]
+	gateway := s.gatewayStates[request.gateway]
 	best, bestCost := -1, 0.0
-	for position := range m.backendStates {
+	for position := range s.backendStates {
 		view := &gateway.views[position]
 		if request.triedBackends&(1<<position) != 0 {
 			continue
 		}
-		cost := max(view.latency, 10) * float64(view.inFlight+1) * (1 + 0.2*m.random.Float64())
-		if m.now < view.avoidedUntil {
+		cost := max(view.latency, 10) * float64(view.inFlight+1) * (1 + 0.2*s.random.Float64())
+		if s.now < view.avoidedUntil {
 			cost += 1e6
 		}
 		if best < 0 || cost < bestCost {
@@ -299,76 +301,76 @@
 	request.pending++
 	gateway.views[best].inFlight++
 	if request.inSurge {
-		m.attempts++
+		s.attempts++
 	}
-	attempt := &modelAttempt{request: request, gateway: request.gateway, backend: best, startedAt: m.now}
-	m.schedule(backendLatency, func() { m.deliver(attempt) })
+	attempt := &simAttempt{request: request, gateway: request.gateway, backend: best, startedAt: s.now}
+	s.schedule(backendLatency, func() { s.deliver(attempt) })
 	return true
 }
 
-func (m *model) deliver(attempt *modelAttempt) {
-	backend := m.backendStates[attempt.backend]
+func (s *simulation) deliver(attempt *simAttempt) {
+	backend := s.backendStates[attempt.backend]
 	switch {
 	case backend.down:
-		m.schedule(backendLatency, func() { m.failAttempt(attempt, false) })
-	case backend.running < m.slots:
-		m.execute(attempt)
-	case len(backend.waiting) < m.queueLength:
+		s.schedule(backendLatency, func() { s.failAttempt(attempt, false) })
+	case backend.running < s.slots:
+		s.execute(attempt)
+	case len(backend.waiting) < s.queueLength:
 		backend.waiting = append(backend.waiting, attempt)
 	default:
-		m.schedule(backendLatency, func() { m.failAttempt(attempt, true) })
+		s.schedule(backendLatency, func() { s.failAttempt(attempt, true) })
 	}
 }
 
-func (m *model) execute(attempt *modelAttempt) {
-	backend := m.backendStates[attempt.backend]
+func (s *simulation) execute(attempt *simAttempt) {
+	backend := s.backendStates[attempt.backend]
 	backend.running++
 	const spread = 0.47
-	workTime := modelWorkTime.Seconds() * 0.96 * math.Exp(m.random.NormFloat64()*spread-spread*spread/2) * backend.workFactor
-	if m.random.Float64() < 0.01 {
+	workTime := simWorkTime.Seconds() * 0.96 * math.Exp(s.random.NormFloat64()*spread-spread*spread/2) * backend.workFactor
+	if s.random.Float64() < 0.01 {
 		workTime *= 5
 	}
-	m.schedule(time.Duration(workTime*float64(time.Second)), func() {
+	s.schedule(time.Duration(workTime*float64(time.Second)), func() {
 		backend.running--
-		m.executeNext(backend)
+		s.executeNext(backend)
 		observed := Observation{Service: "s", Backend: strconv.Itoa(attempt.backend), Answered: true}
-		if m.reportsLoad {
-			observed.Waiting, observed.Slots = len(backend.waiting), m.slots
+		if s.reportsLoad {
+			observed.Waiting, observed.Slots = len(backend.waiting), s.slots
 		}
-		m.schedule(backendLatency, func() { m.completeAttempt(attempt, observed) })
+		s.schedule(backendLatency, func() { s.completeAttempt(attempt, observed) })
 	})
 }
 
-func (m *model) executeNext(backend *modelBackend) {
+func (s *simulation) executeNext(backend *simBackend) {
 	for len(backend.waiting) > 0 {
 		attempt := backend.waiting[0]
 		backend.waiting = backend.waiting[1:]
 		if !attempt.request.done {
-			m.execute(attempt)
+			s.execute(attempt)
 			return
 		}
 	}
 }
 
-func (m *model) completeAttempt(attempt *modelAttempt, observed Observation) {
-	gateway, request := m.gatewayStates[attempt.gateway], attempt.request
+func (s *simulation) completeAttempt(attempt *simAttempt, observed Observation) {
+	gateway, request := s.gatewayStates[attempt.gateway], attempt.request
 	view := &gateway.views[attempt.backend]
 	view.inFlight--
-	latency := m.now - attempt.startedAt
+	latency := s.now - attempt.startedAt
 	view.latency += 0.2 * (latency.Seconds()*1000 - view.latency)
 	view.avoidedUntil = 0
 	if request.done {
 		return
 	}
 	observed.Latency = latency
-	gateway.limiter.Observe(m.currentTime(), observed)
+	gateway.limiter.Observe(s.currentTime(), observed)
 	request.done = true
-	m.schedule(clientLatency, func() { m.recordAnswer(request) })
+	s.schedule(clientLatency, func() { s.recordAnswer(request) })
 }
 
 // failAttempt ends an attempt without an answer.
-func (m *model) failAttempt(attempt *modelAttempt, refused bool) {
-	gateway, request := m.gatewayStates[attempt.gateway], attempt.request
+func (s *simulation) failAttempt(attempt *simAttempt, refused bool) {
+	gateway, request := s.gatewayStates[attempt.gateway], attempt.request
 	view := &gateway.views[attempt.backend]
 	view.inFlight--
 	request.pending--
@@ -377,80 +379,80 @@
 		request.unreached++
 		request.attempts--
 	}
-	view.avoidedUntil = m.now + 1500*time.Millisecond
+	view.avoidedUntil = s.now + 1500*time.Millisecond
 	isLimiting := false
 	if refused {
-		view.avoidedUntil = m.now + 50*time.Millisecond
-		gateway.limiter.Observe(m.currentTime(), Observation{Service: "s", Backend: strconv.Itoa(attempt.backend), Refused: true})
-		isLimiting = gateway.limiter.IsLimiting(m.currentTime(), "s")
+		view.avoidedUntil = s.now + 50*time.Millisecond
+		gateway.limiter.Observe(s.currentTime(), Observation{Service: "s", Backend: strconv.Itoa(attempt.backend), Refused: true})
+		isLimiting = gateway.limiter.IsLimiting(s.currentTime(), "s")
 	}
-	if request.done || !isLimiting && m.send(request) || request.pending > 0 {
+	if request.done || !isLimiting && s.send(request) || request.pending > 0 {
 		return
 	}
 	request.done = true
-	m.refuse(request, 0)
+	s.refuse(request, 0)
 }
 
 // refuse returns a refusal to the caller, which retries once.
-func (m *model) refuse(request *modelRequest, retryAfter time.Duration) {
+func (s *simulation) refuse(request *simRequest, retryAfter time.Duration) {
 	if retryAfter == 0 {
-		retryAfter = m.defaultRetryAfter
+		retryAfter = s.defaultRetryAfter
 	}
 	if !request.inSurge {
-		if m.now < calmDuration {
-			m.refusedBefore++
+		if s.now < calmDuration {
+			s.refusedBefore++
 		} else {
-			m.refusedAfter++
+			s.refusedAfter++
 		}
 	}
-	m.lastRefusedAt = max(m.lastRefusedAt, m.now)
+	s.lastRefusedAt = max(s.lastRefusedAt, s.now)
 	if request.isRetry {
 		if request.inSurge {
-			m.refusedTwice++
-			m.reward -= 0.06
+			s.refusedTwice++
+			s.reward -= 0.06
 		}
 		return
 	}
 	if request.inSurge {
-		m.refusedOnce++
+		s.refusedOnce++
 	}
 	request.isRetry = true
 	// The caller opens a connection before it sends the retry.
-	m.schedule(clientLatency+retryAfter+3*clientLatency, func() { m.receive(request) })
+	s.schedule(clientLatency+retryAfter+3*clientLatency, func() { s.receive(request) })
 }
 
-func (m *model) recordAnswer(request *modelRequest) {
+func (s *simulation) recordAnswer(request *simRequest) {
 	if !request.inSurge {
 		return
 	}
-	m.tenantCounts(request)[1]++
-	m.byPriority[request.priority][1]++
-	latency, attemptLatency := m.now-request.startedAt, m.now-request.sentAt+clientLatency
+	s.tenantCounts(request)[1]++
+	s.byPriority[request.priority][1]++
+	latency, attemptLatency := s.now-request.startedAt, s.now-request.sentAt+clientLatency
 	switch {
-	case latency > modelDeadline:
-		m.failed++
+	case latency > simDeadline:
+		s.failed++
 		return
-	case latency <= modelTarget:
-		m.inTarget++
-		m.reward += 0.2
-	case request.isRetry && attemptLatency <= modelTarget:
-		m.retriedInTarget++
-		m.reward += 0.125
+	case latency <= simTarget:
+		s.inTarget++
+		s.reward += 0.2
+	case request.isRetry && attemptLatency <= simTarget:
+		s.retriedInTarget++
+		s.reward += 0.125
 	default:
-		m.late++
-		m.reward += 0.05
+		s.late++
+		s.reward += 0.05
 	}
 }
 
 // servable returns the number of requests that the backends could have served in the surge.
-func (m *model) servable() float64 {
-	return min(float64(m.offered), m.capacity(m.backends-m.downBackends)*m.surgeDuration.Seconds())
+func (s *simulation) servable() float64 {
+	return min(float64(s.offered), s.capacity(s.backends-s.downBackends)*s.surgeDuration.Seconds())
 }
 
 // fairLevel returns the largest number of answers per tenant under max-min fairness.
-func (m *model) fairLevel() float64 {
+func (s *simulation) fairLevel() float64 {
 	offered, remaining := []int{}, 0.0
-	for _, t := range m.byTenant {
+	for _, t := range s.byTenant {
 		offered, remaining = append(offered, t[0]), remaining+float64(t[1])
 	}
 	slices.Sort(offered)
@@ -464,9 +466,9 @@
 }
 
 // minFairness returns the smallest fraction of its fair share that any tenant got.
-func (m *model) minFairness() float64 {
-	fairLevel, fairness := m.fairLevel(), 1.0
-	for _, t := range m.byTenant {
+func (s *simulation) minFairness() float64 {
+	fairLevel, fairness := s.fairLevel(), 1.0
+	for _, t := range s.byTenant {
 		fairness = min(fairness, float64(t[1])/min(float64(t[0]), fairLevel))
 	}
 	return fairness
@@ -474,9 +476,9 @@
 
 // smallTenantFairness returns the fraction of their fair shares that all tenants but the large one
 // got.
-func (m *model) smallTenantFairness() float64 {
-	fairLevel, fair, served := m.fairLevel(), 0.0, 0.0
-	for name, t := range m.byTenant {
+func (s *simulation) smallTenantFairness() float64 {
+	fairLevel, fair, served := s.fairLevel(), 0.0, 0.0
+	for name, t := range s.byTenant {
 		if name > 0 {
 			fair, served = fair+min(float64(t[0]), fairLevel), served+float64(t[1])
 		}
--- a/bench/command/plays_test.go
+++ b/bench/command/plays_test.go
@@ -52,7 +52,7 @@
 	require.Equal(t, 1, code)
 	require.Contains(t, out, "play.log: replica-outside at 16.000 s, core-a-1")
 
-	healthyLog := writeFile(t, "sound.log", "10.0 core-a-1 {\"event\":1010}\n10.1 core-a-1 {\"event\":1012,\"members\":6}\n30.0 core-a-2 {\"event\":5012}\n")
+	healthyLog := writeFile(t, "healthy.log", "10.0 core-a-1 {\"event\":1010}\n10.1 core-a-1 {\"event\":1012,\"members\":6}\n30.0 core-a-2 {\"event\":5012}\n")
 	code, out, _ = runPlays(t, "check", "--site", site, healthyLog)
 	require.Zero(t, code)
 	require.Empty(t, out)
--- a/bench/fleet/fault.go
+++ b/bench/fleet/fault.go
@@ -61,7 +61,7 @@
 		switch fault.Action {
 		case ActionKill, ActionStart, ActionStop, ActionFreeze, ActionThaw, ActionWipe, ActionLeaving:
 		default:
-			return nil, workload.ErrInvalid.New("%s: faults[%d].action: %q is unknown", path, position, fault.Action)
+			return nil, workload.ErrInvalid.New("%s: faults[%d].action: unknown action %q", path, position, fault.Action)
 		}
 	}
 	sort.SliceStable(file.Faults, func(i, j int) bool { return file.Faults[i].After < file.Faults[j].After })
--- a/command/operate.go
+++ b/command/operate.go
@@ -361,7 +361,7 @@
 	defer cancel()
 	response, err := controls.DrainNode(ctx, &dillchutev1.DrainNodeRequest{Node: c.ID, Draining: !c.Undo})
 	if err == nil && !response.Found {
-		err = ErrFailed.New("there is no node %q", c.ID)
+		err = ErrFailed.New("unknown node %q", c.ID)
 	}
 	return err
 }
@@ -378,7 +378,7 @@
 	defer cancel()
 	response, err := controls.DrainEngine(ctx, &dillchutev1.DrainEngineRequest{Engine: c.ID, Leaving: !c.Undo})
 	if err == nil && !response.Found {
-		err = ErrFailed.New("there is no engine %q", c.ID)
+		err = ErrFailed.New("unknown engine %q", c.ID)
 	}
 	return err
 }
--- a/config/config.go
+++ b/config/config.go
@@ -60,7 +60,7 @@
 	Controls []string `yaml:"controls"`
 	// ScorerURL is the URL of the scoring service; empty for none.
 	ScorerURL string `yaml:"scorer_url"`
-	// DrainTimeout limits how long a planned stop waits for requests in flight.
+	// DrainTimeout limits how long a graceful shutdown waits for requests in flight.
 	DrainTimeout time.Duration `yaml:"drain_timeout"`
 	LogLevel     string        `yaml:"log_level"`
 	Pprof        bool          `yaml:"pprof"`
@@ -146,7 +146,7 @@
 		path := fmt.Sprintf("controls[%d]", position)
 		checks = append(checks,
 			fieldCheck{path, !validAddress(address), "must be an IP address and a port"},
-			fieldCheck{path, seen[address], "is listed twice"})
+			fieldCheck{path, seen[address], "is a duplicate"})
 		seen[address] = true
 	}
 	return validationError(checks)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -67,7 +67,7 @@
 		"platform by name":  {loadControl, "cluster: c\naddress: 127.0.0.1:1\ndata_folder: d\nplatform_url: http://platform:80\n", []string{"platform_url: must be"}},
 		"short lease":       {loadControl, "cluster: c\naddress: 127.0.0.1:1\ndata_folder: d\nlease: 10ms\n", []string{"lease: must be at least"}},
 		"no controls":       {loadNode, validNode[:len(validNode)-len("controls: [127.0.0.1:7000]\n")], []string{"controls: must not be empty"}},
-		"repeated control":  {loadNode, validNode[:len(validNode)-2] + ", 127.0.0.1:7000]\n", []string{"controls[1]: is listed twice"}},
+		"repeated control":  {loadNode, validNode[:len(validNode)-2] + ", 127.0.0.1:7000]\n", []string{"controls[1]: is a duplicate"}},
 		"wrong control":     {loadNode, validNode[:len(validNode)-2] + ", nowhere]\n", []string{"controls[1]: must be an IP address"}},
 		"several at a time": {loadNode, "drain_timeout: -1s\nlog_level: loud\n", []string{"id:", "zone:", "drain_timeout:", "log_level:"}},
 	}
--- a/config/roles.go
+++ b/config/roles.go
@@ -27,7 +27,7 @@
 	// MemoryLimit is the memory limit of the process in MiB; 0 for no limit.
 	MemoryLimit int    `yaml:"memory_limit_mib"`
 	LogLevel    string `yaml:"log_level"`
-	// Grace is the maximum duration of a planned stop.
+	// Grace is the maximum duration of a graceful shutdown.
 	Grace time.Duration `yaml:"grace"`
 	// CopyLimit is the maximum age of a process's copy of the directory when it dispatches work;
 	// an older copy is refreshed first. It bounds how long a deregistered backend can still be
--- a/consensus/raft.go
+++ b/consensus/raft.go
@@ -180,7 +180,7 @@
 		}
 		var change MembershipChange
 		if err := cbor.Unmarshal(entry.Data, &change); err != nil {
-			panic("consensus: cannot decode a membership change in the log: " + err.Error())
+			panic("consensus: decode membership change in the log: " + err.Error())
 		}
 		r.memberships = append(r.memberships, membershipRecord{
 			index: entry.Index, membership: r.Membership().apply(change),
@@ -278,7 +278,7 @@
 	}
 	data, err := cbor.Marshal(change)
 	if err != nil {
-		panic("consensus: cannot encode a membership change: " + err.Error())
+		panic("consensus: encode membership change: " + err.Error())
 	}
 	r.updateMemberships(r.appendEntry(EntryMembership, data))
 	r.syncFollowers()
--- a/directory/command.go
+++ b/directory/command.go
@@ -166,7 +166,7 @@
 var deterministic = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic("directory: creating the encoder: " + err.Error())
+		panic("directory: invalid encoder options: " + err.Error())
 	}
 	return mode
 }()
@@ -175,7 +175,7 @@
 func (c Command) Encode() []byte {
 	data, err := deterministic.Marshal(c)
 	if err != nil {
-		panic("directory: encoding a command: " + err.Error())
+		panic("directory: encode command: " + err.Error())
 	}
 	return data
 }
--- a/directory/machine.go
+++ b/directory/machine.go
@@ -209,7 +209,7 @@
 	result.Version = m.state.Version
 	encoded, err := deterministic.Marshal(result)
 	if err != nil {
-		panic("directory: encoding a result: " + err.Error())
+		panic("directory: encode result: " + err.Error())
 	}
 	return encoded
 }
--- a/directory/suspects_test.go
+++ b/directory/suspects_test.go
@@ -10,7 +10,7 @@
 	"github.com/dillchute/dillchute/quarantine"
 )
 
-const crashing = quarantine.Fingerprint("deadly")
+const crashingRequest = quarantine.Fingerprint("crashing")
 
 // reportCrashes reports that the request crashed count backends one after the other.
 func reportCrashes(m *Machine, fingerprint quarantine.Fingerprint, count int) {
@@ -24,16 +24,16 @@
 func TestSuspectsInSnapshotsAndDeltas(t *testing.T) {
 	m := NewMachine()
 	trailing := NewCatalog().With(m.DeltaSince(0))
-	reportCrashes(m, crashing, quarantine.CrashThreshold)
+	reportCrashes(m, crashingRequest, quarantine.CrashThreshold)
 	var snapshot bytes.Buffer
 	require.NoError(t, m.Snapshot()(&snapshot))
 	restored := NewMachine()
 	require.NoError(t, restored.Restore(&snapshot))
 	trailing = trailing.With(restored.DeltaSince(trailing.Revision))
 	fresh := NewCatalog().With(restored.DeltaSince(0))
-	require.True(t, trailing.Suspects[crashing].IsQuarantined())
-	require.True(t, fresh.Suspects[crashing].IsQuarantined())
-	restored.Apply(Command{Answered: []quarantine.Fingerprint{crashing}}.Encode())
+	require.True(t, trailing.Suspects[crashingRequest].IsQuarantined())
+	require.True(t, fresh.Suspects[crashingRequest].IsQuarantined())
+	restored.Apply(Command{Answered: []quarantine.Fingerprint{crashingRequest}}.Encode())
 	trailing = trailing.With(restored.DeltaSince(trailing.Revision))
 	require.Empty(t, trailing.Suspects)
 }
@@ -41,33 +41,33 @@
 // TestTrialIsTakenOnce: an offered trial is granted once, and offers for an earlier revision are ignored.
 func TestTrialIsTakenOnce(t *testing.T) {
 	m := NewMachine()
-	reportCrashes(m, crashing, quarantine.CrashThreshold)
-	_, revision, _ := m.Suspect(crashing)
+	reportCrashes(m, crashingRequest, quarantine.CrashThreshold)
+	_, revision, _ := m.Suspect(crashingRequest)
 	take := func() bool {
-		result, err := DecodeResult(m.Apply(Command{TakeTrial: crashing}.Encode()))
+		result, err := DecodeResult(m.Apply(Command{TakeTrial: crashingRequest}.Encode()))
 		require.NoError(t, err)
 		return result.Granted
 	}
 	require.False(t, take(), "no trial is offered")
-	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: crashing, Revision: revision}}.Encode())
+	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: crashingRequest, Revision: revision}}.Encode())
 	require.True(t, take())
 	require.False(t, take())
-	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: crashing, Revision: revision}}.Encode())
+	m.Apply(Command{OfferTrial: &SuspectRevision{Fingerprint: crashingRequest, Revision: revision}}.Encode())
 	require.False(t, take(), "an offer for an earlier revision")
-	m.Apply(Command{ForgetSuspect: &SuspectRevision{Fingerprint: crashing, Revision: revision}}.Encode())
-	_, _, exists := m.Suspect(crashing)
+	m.Apply(Command{ForgetSuspect: &SuspectRevision{Fingerprint: crashingRequest, Revision: revision}}.Encode())
+	_, _, exists := m.Suspect(crashingRequest)
 	require.True(t, exists, "the suspect has changed since")
 }
 
 // TestSuspectsAreBounded: above the limit, suspects that are not quarantined are evicted first.
 func TestSuspectsAreBounded(t *testing.T) {
 	m := NewMachine()
-	reportCrashes(m, crashing, quarantine.CrashThreshold)
+	reportCrashes(m, crashingRequest, quarantine.CrashThreshold)
 	for number := range maxSuspects + 10 {
 		reportCrashes(m, quarantine.Fingerprint(fmt.Sprint("other-", number)), 1)
 	}
 	require.Len(t, m.state.Suspects, maxSuspects)
-	suspect, _, ok := m.Suspect(crashing)
+	suspect, _, ok := m.Suspect(crashingRequest)
 	require.True(t, ok)
 	require.True(t, suspect.IsQuarantined())
 	_, _, ok = m.Suspect("other-0")
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -19,7 +19,7 @@
 	}
 	numbers := map[int]bool{}
 	for _, event := range All {
-		require.False(t, numbers[event.Number], "event %d is listed twice", event.Number)
+		require.False(t, numbers[event.Number], "duplicate event %d", event.Number)
 		numbers[event.Number] = true
 		defined = append(defined, fmt.Sprintf("%d %s %s", event.Number, event.Level, event.Message))
 	}
--- a/forward/load_report_test.go
+++ b/forward/load_report_test.go
@@ -48,7 +48,7 @@
 		forwarderSource, referenceSource := rand.NewPCG(seed, 1), rand.NewPCG(seed, 1)
 		f, random := New(nil, "z", newGuard()), rand.New(referenceSource)
 		f.random = rand.New(forwarderSource)
-		now := modelEpoch
+		now := simEpoch
 		var busy []directory.Backend
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 90_000).Draw(t, "pause")) * time.Millisecond)
@@ -100,12 +100,12 @@
 	for _, test := range cases {
 		t.Run(fmt.Sprintf("%d gateways, %d backends, slowdown %v", test.gateways, test.backends, test.lastSlowdown), func(t *testing.T) {
 			t.Parallel()
-			model := loadModel{gateways: test.gateways, backends: test.backends, lastSlowdown: test.lastSlowdown, slowedFraction: 0.15, utilization: 0.8}
-			baseline := model.meanOutcome()
+			scenario := loadScenario{gateways: test.gateways, backends: test.backends, lastSlowdown: test.lastSlowdown, slowedFraction: 0.15, utilization: 0.8}
+			baseline := scenario.meanOutcome()
 			t.Log("without reports", baseline)
 			for _, age := range []time.Duration{0, recent, older, expired} {
-				model.reportsLoad, model.reportAge = true, age
-				outcome := model.meanOutcome()
+				scenario.reportsLoad, scenario.reportAge = true, age
+				outcome := scenario.meanOutcome()
 				t.Log("report age", age, outcome)
 				require.LessOrEqual(t, outcome.busiestRatio, 1.25, outcome)
 				require.LessOrEqual(t, float64(outcome.p99), test.maxP99Ratio[age]*float64(baseline.p99), outcome)
@@ -118,19 +118,19 @@
 	}
 }
 
-// modelSeeds is the number of simulations that are averaged.
-const modelSeeds = 3
+// simSeeds is the number of simulations that are averaged.
+const simSeeds = 3
 
-// meanOutcome returns the mean outcome of modelSeeds simulations.
-func (m loadModel) meanOutcome() loadOutcome {
+// meanOutcome returns the mean outcome of simSeeds simulations.
+func (l loadScenario) meanOutcome() loadOutcome {
 	var mean loadOutcome
-	for seed := range modelSeeds {
-		m.seed = uint64(seed) + 1
-		outcome := m.simulate()
-		mean.busiestRatio += outcome.busiestRatio / modelSeeds
-		mean.p99 += outcome.p99 / modelSeeds
-		mean.withinTarget += outcome.withinTarget / modelSeeds
-		mean.failed += outcome.failed / modelSeeds
+	for seed := range simSeeds {
+		l.seed = uint64(seed) + 1
+		outcome := l.simulate()
+		mean.busiestRatio += outcome.busiestRatio / simSeeds
+		mean.p99 += outcome.p99 / simSeeds
+		mean.withinTarget += outcome.withinTarget / simSeeds
+		mean.failed += outcome.failed / simSeeds
 	}
 	return mean
 }
@@ -154,7 +154,7 @@
 	f := New(nil, "z", newGuard())
 	f.random = rand.New(rand.NewPCG(1, 2))
 	catalog := newServiceCatalog(3, func(int, *directory.Backend) {})
-	now := modelEpoch
+	now := simEpoch
 	for range 30 {
 		for _, backend := range catalog.Backends("s") {
 			f.state(backend.ID).inFlight++
@@ -235,7 +235,7 @@
 // The weight of a report must start at one half and fall to zero with age; a reported slowdown expires
 // sooner.
 func TestReportWeightDecays(t *testing.T) {
-	report := loadReport{Load: Load{Running: 6, Waiting: 3, Slots: 6, Slowdown: 250}, at: modelEpoch, sent: 4}
+	report := loadReport{Load: Load{Running: 6, Waiting: 3, Slots: 6, Slowdown: 250}, at: simEpoch, sent: 4}
 	for _, test := range []struct {
 		age              time.Duration
 		weight, slowdown float64
@@ -260,7 +260,7 @@
 // Baseline latencies must exclude the wait for a slot and the slowdown. Cancelled requests may only
 // raise them.
 func TestBaselineEstimates(t *testing.T) {
-	now := modelEpoch
+	now := simEpoch
 	state := &backendState{report: loadReport{Load: Load{Running: 11, Slots: 6, Slowdown: 200}, at: now}, service: &serviceLoadState{}, measuredAt: now}
 	const twoRounds = 2 + utilizationPenalty
 	state.recordBaseline(2*twoRounds*20*time.Millisecond, now)
@@ -327,13 +327,13 @@
 func TestAnsweredRequestIsNotCountedAsRunning(t *testing.T) {
 	f, catalog := New(nil, "z", newGuard()), newServiceCatalog(1, func(int, *directory.Backend) {})
 	for outcome, running := range map[Outcome]int{Answered: 2, Refused: 3} {
-		chosen, _ := f.chooseAt(catalog, []string{"s"}, nil, modelEpoch)
-		f.recordAttemptAt(chosen, Attempt{Outcome: outcome, Load: &Load{Running: 3, Slots: 6}}, answerLatency, false, modelEpoch)
+		chosen, _ := f.chooseAt(catalog, []string{"s"}, nil, simEpoch)
+		f.recordAttemptAt(chosen, Attempt{Outcome: outcome, Load: &Load{Running: 3, Slots: 6}}, answerLatency, false, simEpoch)
 		require.Equal(t, running, f.state(chosen.ID).report.Running, outcome)
 	}
-	f.forgetAt(catalog, modelEpoch.Add(serviceLoadLifetime-1))
+	f.forgetAt(catalog, simEpoch.Add(serviceLoadLifetime-1))
 	require.Len(t, f.serviceLoads, 1)
-	f.forgetAt(catalog, modelEpoch.Add(serviceLoadLifetime))
+	f.forgetAt(catalog, simEpoch.Add(serviceLoadLifetime))
 	require.Empty(t, f.serviceLoads)
 }
 
@@ -342,10 +342,10 @@
 func TestAssumedLatency(t *testing.T) {
 	f := New(nil, "z", newGuard())
 	f.averageLatency["s"] = 100 * time.Millisecond
-	require.Equal(t, 100*time.Millisecond, f.assumedLatency("s", modelEpoch))
-	f.serviceLoads["s"] = &serviceLoadState{reportedAt: modelEpoch, baseline: 30 * time.Millisecond}
-	require.Equal(t, 30*time.Millisecond, f.assumedLatency("s", modelEpoch))
-	require.Equal(t, 100*time.Millisecond, f.assumedLatency("s", modelEpoch.Add(serviceLoadLifetime)))
+	require.Equal(t, 100*time.Millisecond, f.assumedLatency("s", simEpoch))
+	f.serviceLoads["s"] = &serviceLoadState{reportedAt: simEpoch, baseline: 30 * time.Millisecond}
+	require.Equal(t, 30*time.Millisecond, f.assumedLatency("s", simEpoch))
+	require.Equal(t, 100*time.Millisecond, f.assumedLatency("s", simEpoch.Add(serviceLoadLifetime)))
 }
 
 // A backend that is slow when nearly full must be avoided before all its slots are taken, and used
@@ -380,7 +380,7 @@
 		f := New(nil, "z", newGuard())
 		f.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		catalog := newServiceCatalog(backends, func(int, *directory.Backend) {})
-		now := modelEpoch
+		now := simEpoch
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 600).Draw(t, "pause")) * time.Millisecond)
 			chosen, ok := f.chooseAt(catalog, []string{"s"}, nil, now)
@@ -433,7 +433,7 @@
 			catalog := newServiceCatalog(maxFullScan, func(int, *directory.Backend) {})
 			f := New(nil, "z", newGuard())
 			recordAnswer := func(backend directory.Backend) {
-				f.recordAttemptAt(backend, Attempt{Outcome: Answered, Load: load}, answerLatency, false, modelEpoch)
+				f.recordAttemptAt(backend, Attempt{Outcome: Answered, Load: load}, answerLatency, false, simEpoch)
 			}
 			for range 20 {
 				for _, backend := range catalog.Backends("s") {
@@ -443,7 +443,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				backend, _ := f.chooseAt(catalog, []string{"s"}, nil, modelEpoch)
+				backend, _ := f.chooseAt(catalog, []string{"s"}, nil, simEpoch)
 				recordAnswer(backend)
 			}
 		})
--- a/forward/load_simulation_test.go
+++ b/forward/load_simulation_test.go
@@ -11,8 +11,8 @@
 	"github.com/dillchute/dillchute/directory"
 )
 
-// loadModel describes a service and its gateways for a simulation in virtual time.
-type loadModel struct {
+// loadScenario describes a service and its gateways for a simulation in virtual time.
+type loadScenario struct {
 	gateways, backends int
 	// reportAge is the age of the gateways' load reports; 0 means that gateways have only the reports
 	// in their own responses.
@@ -31,25 +31,25 @@
 }
 
 const (
-	modelSlots          = 6
-	modelQueue          = 24
-	modelWorkTime       = 25 * time.Millisecond
-	modelSlowdown       = 2.5
-	modelSlowdownPeriod = 150 * time.Millisecond
-	modelDuration       = 20 * time.Second
-	modelWarmup         = 5 * time.Second
-	modelLatencyTarget  = 150 * time.Millisecond
+	simSlots          = 6
+	simQueue          = 24
+	simWorkTime       = 25 * time.Millisecond
+	simSlowdown       = 2.5
+	simSlowdownPeriod = 150 * time.Millisecond
+	simDuration       = 20 * time.Second
+	simWarmup         = 5 * time.Second
+	simLatencyTarget  = 150 * time.Millisecond
 )
 
-// modelWorkFactors are the relative durations of the same work at the backends.
-var modelWorkFactors = []float64{1.0, 1.0, 1.3}
+// simWorkFactors are the relative durations of the same work at the backends.
+var simWorkFactors = []float64{1.0, 1.0, 1.3}
 
 // loadOutcome summarizes a simulation.
 type loadOutcome struct {
 	// busiestRatio is the busy time of the busiest backend's slots relative to the mean.
 	busiestRatio float64
 	p99          time.Duration
-	// withinTarget is the fraction of requests answered within modelLatencyTarget, and failed the
+	// withinTarget is the fraction of requests answered within simLatencyTarget, and failed the
 	// fraction that every backend refused.
 	withinTarget, failed float64
 	sent                 []int
@@ -60,25 +60,25 @@
 	return fmt.Sprintf("busiest/mean %.2f  p99 %4d ms  within target %.3f  failed %.4f", o.busiestRatio, o.p99.Milliseconds(), o.withinTarget, o.failed)
 }
 
-type modelEvent struct {
+type simEvent struct {
 	at  time.Duration
 	run func()
 }
 
-type modelEvents []modelEvent
+type simEvents []simEvent
 
-func (e modelEvents) Len() int           { return len(e) }
-func (e modelEvents) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e modelEvents) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *modelEvents) Push(x any)        { *e = append(*e, x.(modelEvent)) }
-func (e *modelEvents) Pop() any {
+func (e simEvents) Len() int           { return len(e) }
+func (e simEvents) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e simEvents) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *simEvents) Push(x any)        { *e = append(*e, x.(simEvent)) }
+func (e *simEvents) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
 // modelBackend is a simulated backend with slots and a queue.
-type modelBackend struct {
+type simBackend struct {
 	workFactor, slowdown float64
 	running              int
 	queue                []func()
@@ -95,12 +95,12 @@
 
 // simulation is the state of a running simulation.
 type simulation struct {
-	loadModel
+	loadScenario
 	random     *rand.Rand
 	now        time.Duration
-	events     modelEvents
+	events     simEvents
 	catalog    *directory.Catalog
-	states     []*modelBackend
+	states     []*simBackend
 	ids        []string
 	forwarders []*Forwarder
 	// sentAt holds the times at which each gateway sent its latest requests to each backend.
@@ -110,35 +110,35 @@
 	rejected  int
 }
 
-// modelEpoch is the start time of simulations.
-var modelEpoch = time.Unix(1_000_000, 0)
+// simEpoch is the start time of simulations.
+var simEpoch = time.Unix(1_000_000, 0)
 
-func (m loadModel) simulate() loadOutcome {
-	s := &simulation{loadModel: m, random: rand.New(rand.NewPCG(m.seed, 1))}
-	s.catalog = newServiceCatalog(m.backends, func(int, *directory.Backend) {})
+func (l loadScenario) simulate() loadOutcome {
+	s := &simulation{loadScenario: l, random: rand.New(rand.NewPCG(l.seed, 1))}
+	s.catalog = newServiceCatalog(l.backends, func(int, *directory.Backend) {})
 	rate := 0.0
-	for number := range m.backends {
-		workFactor := modelWorkFactors[number%len(modelWorkFactors)]
+	for number := range l.backends {
+		workFactor := simWorkFactors[number%len(simWorkFactors)]
 		s.ids = append(s.ids, fmt.Sprintf("b-%05d", number))
-		s.states = append(s.states, &modelBackend{workFactor: workFactor, slowdown: 1})
-		rate += modelSlots / (modelWorkTime.Seconds() * workFactor * (1 + m.slowedFraction*(modelSlowdown-1)))
+		s.states = append(s.states, &simBackend{workFactor: workFactor, slowdown: 1})
+		rate += simSlots / (simWorkTime.Seconds() * workFactor * (1 + l.slowedFraction*(simSlowdown-1)))
 		s.recordReport(number)
-		if m.slowedFraction > 0 {
+		if l.slowedFraction > 0 {
 			s.changeSlowdown(number)
 		}
 	}
-	for gateway := range m.gateways {
+	for gateway := range l.gateways {
 		forwarder := New(nil, "z", newGuard())
-		forwarder.random = rand.New(rand.NewPCG(m.seed, uint64(gateway)+2))
+		forwarder.random = rand.New(rand.NewPCG(l.seed, uint64(gateway)+2))
 		s.forwarders = append(s.forwarders, forwarder)
-		s.sentAt = append(s.sentAt, make([][]time.Duration, m.backends))
+		s.sentAt = append(s.sentAt, make([][]time.Duration, l.backends))
 	}
-	if m.lastSlowdown > 0 {
-		s.after(modelDuration/2, func() { s.states[m.backends-1].workFactor *= m.lastSlowdown })
+	if l.lastSlowdown > 0 {
+		s.after(simDuration/2, func() { s.states[l.backends-1].workFactor *= l.lastSlowdown })
 	}
-	s.scheduleArrivals(rate * m.utilization)
+	s.scheduleArrivals(rate * l.utilization)
 	for len(s.events) > 0 {
-		event := heap.Pop(&s.events).(modelEvent)
+		event := heap.Pop(&s.events).(simEvent)
 		s.now = event.at
 		event.run()
 	}
@@ -146,7 +146,7 @@
 }
 
 func (s *simulation) after(delay time.Duration, run func()) {
-	heap.Push(&s.events, modelEvent{s.now + delay, run})
+	heap.Push(&s.events, simEvent{s.now + delay, run})
 }
 
 func (s *simulation) exponential(mean time.Duration) time.Duration {
@@ -158,17 +158,17 @@
 	backend := s.states[number]
 	backend.slowdown = 1
 	if s.random.Float64() < s.slowedFraction {
-		backend.slowdown = modelSlowdown
+		backend.slowdown = simSlowdown
 	}
 	s.recordReport(number)
-	if s.now < modelDuration {
-		s.after(s.exponential(modelSlowdownPeriod), func() { s.changeSlowdown(number) })
+	if s.now < simDuration {
+		s.after(s.exponential(simSlowdownPeriod), func() { s.changeSlowdown(number) })
 	}
 }
 
 func (s *simulation) scheduleArrivals(perSecond float64) {
 	s.after(s.exponential(time.Duration(float64(time.Second)/perSecond)), func() {
-		if s.now >= modelDuration {
+		if s.now >= simDuration {
 			return
 		}
 		s.sendRequest(s.random.IntN(s.gateways), map[string]bool{}, s.now)
@@ -179,7 +179,7 @@
 // recordReport appends the backend's current load to its reports.
 func (s *simulation) recordReport(number int) {
 	backend := s.states[number]
-	load := Load{Running: backend.running, Waiting: len(backend.queue), Slots: modelSlots, Slowdown: int(100 * backend.slowdown)}
+	load := Load{Running: backend.running, Waiting: len(backend.queue), Slots: simSlots, Slowdown: int(100 * backend.slowdown)}
 	backend.reports = append(backend.reports, timedLoad{s.now, load})
 }
 
@@ -204,18 +204,18 @@
 		if f.serviceLoads["s"] == nil {
 			f.serviceLoads["s"] = &serviceLoadState{}
 		}
-		f.serviceLoads["s"].reportedAt = modelEpoch.Add(s.now)
+		f.serviceLoads["s"].reportedAt = simEpoch.Add(s.now)
 		state.service = f.serviceLoads["s"]
-		state.report = loadReport{Load: backend.reports[end-1].load, at: modelEpoch.Add(reportTime), sent: len(sentAt) - first}
+		state.report = loadReport{Load: backend.reports[end-1].load, at: simEpoch.Add(reportTime), sent: len(sentAt) - first}
 	}
 }
 
 // sendRequest sends a gateway's request to an untried backend.
 func (s *simulation) sendRequest(gateway int, tried map[string]bool, start time.Duration) {
 	s.deliverReports(gateway)
-	measured := s.now >= modelWarmup
+	measured := s.now >= simWarmup
 	f := s.forwarders[gateway]
-	chosen, ok := f.chooseAt(s.catalog, []string{"s"}, tried, modelEpoch.Add(s.now))
+	chosen, ok := f.chooseAt(s.catalog, []string{"s"}, tried, simEpoch.Add(s.now))
 	if !ok {
 		if measured {
 			s.finished, s.rejected = s.finished+1, s.rejected+1
@@ -234,12 +234,12 @@
 		load := backend.reports[len(backend.reports)-1].load
 		return &load
 	}
-	if len(backend.queue) >= modelQueue {
-		f.recordAttemptAt(chosen, Attempt{Outcome: Refused, Load: newReport()}, 0, false, modelEpoch.Add(s.now))
+	if len(backend.queue) >= simQueue {
+		f.recordAttemptAt(chosen, Attempt{Outcome: Refused, Load: newReport()}, 0, false, simEpoch.Add(s.now))
 		s.sendRequest(gateway, tried, start)
 		return
 	}
-	work := math.Exp(0.5*s.random.NormFloat64()-0.125) * float64(modelWorkTime)
+	work := math.Exp(0.5*s.random.NormFloat64()-0.125) * float64(simWorkTime)
 	run := func() {
 		backend.running++
 		duration := time.Duration(work * backend.workFactor * backend.slowdown)
@@ -256,14 +256,14 @@
 				next()
 			}
 			s.recordReport(number)
-			f.recordAttemptAt(chosen, Attempt{Outcome: Answered, Load: report}, s.now-sent, false, modelEpoch.Add(s.now))
+			f.recordAttemptAt(chosen, Attempt{Outcome: Answered, Load: report}, s.now-sent, false, simEpoch.Add(s.now))
 			if measured {
 				s.finished++
 				s.latencies = append(s.latencies, s.now-start)
 			}
 		})
 	}
-	if backend.running < modelSlots {
+	if backend.running < simSlots {
 		run()
 	} else {
 		backend.queue = append(backend.queue, run)
@@ -282,7 +282,7 @@
 	outcome.busiestRatio = float64(busiest) * float64(len(s.states)) / float64(total)
 	slices.Sort(s.latencies)
 	outcome.p99 = s.latencies[len(s.latencies)*99/100]
-	within, _ := slices.BinarySearch(s.latencies, modelLatencyTarget)
+	within, _ := slices.BinarySearch(s.latencies, simLatencyTarget)
 	outcome.withinTarget = float64(within) / float64(s.finished)
 	outcome.failed = float64(s.rejected) / float64(s.finished)
 	return outcome
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -35,7 +35,7 @@
 }
 
 func crashingRequest() *Request {
-	return &Request{ID: "1", Target: "/deadly", Deadline: time.Now().Add(time.Minute)}
+	return &Request{ID: "1", Target: "/crashing", Deadline: time.Now().Add(time.Minute)}
 }
 
 // A request must be quarantined once it has reached the crash threshold, also by attempts of the same
--- a/forward/suspects_bench_test.go
+++ b/forward/suspects_bench_test.go
@@ -12,7 +12,7 @@
 // benchBackends is the number of backends of the service.
 const benchBackends = 1000
 
-// BenchmarkChoose measures the choice of a backend for a normal request ("sound") and for a suspect,
+// BenchmarkChoose measures the choice of a backend for a normal request and for a suspect,
 // depending on the number of suspects.
 func BenchmarkChoose(b *testing.B) {
 	for _, suspects := range []int{0, 100, 4096} {
@@ -29,7 +29,7 @@
 			Suspects: func() map[quarantine.Fingerprint]quarantine.Suspect { return catalog.Suspects },
 		}, time.Now)
 		forwarder := New(nil, "z", guard)
-		for name, isSuspect := range map[string]bool{"sound": false, "suspect": true} {
+		for name, isSuspect := range map[string]bool{"normal": false, "suspect": true} {
 			b.Run(fmt.Sprintf("%s-%d", name, suspects), func(b *testing.B) {
 				check := &quarantineCheck{guard: guard}
 				if isSuspect {
--- a/internal/pack/pack.go
+++ b/internal/pack/pack.go
@@ -27,7 +27,7 @@
 var writers = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		panic("pack: cannot create a writer: " + err.Error())
+		panic("pack: create writer: " + err.Error())
 	}
 	return writer
 }}
@@ -62,7 +62,7 @@
 	defer reader.Close()
 	message, err := io.ReadAll(io.LimitReader(reader, int64(maxBytes)+1))
 	if err != nil {
-		return nil, ErrCorrupt.Wrap(err, "cannot decompress a message")
+		return nil, ErrCorrupt.Wrap(err, "decompress message")
 	}
 	if len(message) > maxBytes {
 		return nil, ErrCorrupt.New("decompressed message exceeds %d bytes", maxBytes)
@@ -74,7 +74,7 @@
 func Encode(value any) []byte {
 	data, err := cbor.Marshal(value)
 	if err != nil {
-		panic("pack: cannot encode an internal message: " + err.Error())
+		panic("pack: encode message: " + err.Error())
 	}
 	return Pack(data)
 }
--- a/quarantine/kind_test.go
+++ b/quarantine/kind_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-const poisonKind = Fingerprint("deadly kind")
+const crashingKind = Fingerprint("crashing kind")
 
-// poisonSubject returns a crashing request of poisonKind; each number has its own content.
-func poisonSubject(number int) Subject {
-	return Subject{Content: Fingerprint(fmt.Sprint("content-", number)), Kind: poisonKind}
+// crashingSubject returns a crashing request of crashingKind; each number has its own content.
+func crashingSubject(number int) Subject {
+	return Subject{Content: Fingerprint(fmt.Sprint("content-", number)), Kind: crashingKind}
 }
 
 // crashBackend records a crash under the request and reports it to the shared record.
@@ -41,13 +41,13 @@
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guardA, guardB := newTestGuard(shared, clock), newTestGuard(shared, clock)
 	for number := range CrashThreshold {
-		require.False(t, guardB.CheckSubject(poisonSubject(number)).Quarantined)
-		crashBackend(guardA, shared, poisonSubject(number), fmt.Sprint("b", number))
+		require.False(t, guardB.CheckSubject(crashingSubject(number)).Quarantined)
+		crashBackend(guardA, shared, crashingSubject(number), fmt.Sprint("b", number))
 	}
-	verdict := guardB.CheckSubject(poisonSubject(100))
+	verdict := guardB.CheckSubject(crashingSubject(100))
 	require.True(t, verdict.Quarantined)
 	require.Zero(t, verdict.KnownCrashes, "the content itself has no crashes")
-	require.Equal(t, poisonKind, verdict.Fingerprint, "the trial is that of the kind")
+	require.Equal(t, crashingKind, verdict.Fingerprint, "the trial is that of the kind")
 	require.False(t, guardB.CheckSubject(Subject{Content: "content-100", Kind: "other"}).Quarantined)
 }
 
@@ -56,10 +56,10 @@
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
 	for number := range maxCrashedBackends {
-		crashBackend(guard, shared, poisonSubject(1), fmt.Sprint("b", number))
+		crashBackend(guard, shared, crashingSubject(1), fmt.Sprint("b", number))
 	}
-	require.True(t, guard.CheckSubject(poisonSubject(1)).Quarantined)
-	require.False(t, guard.CheckSubject(poisonSubject(2)).Quarantined)
+	require.True(t, guard.CheckSubject(crashingSubject(1)).Quarantined)
+	require.False(t, guard.CheckSubject(crashingSubject(2)).Quarantined)
 }
 
 // TestKindIsSuspectedAfterTwoContents verifies that all requests of a kind are suspects after two of
@@ -67,18 +67,18 @@
 func TestKindIsSuspectedAfterTwoContents(t *testing.T) {
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
-	crashBackend(guard, shared, poisonSubject(1), "b1")
-	require.False(t, guard.CheckSubject(poisonSubject(100)).IsSuspect(), "one crash does not make the kind suspected")
-	crashBackend(guard, shared, poisonSubject(1), "b2")
-	require.False(t, guard.CheckSubject(poisonSubject(100)).IsSuspect(), "nor do two crashes of the same content")
-	crashBackend(guard, shared, poisonSubject(2), "b2")
-	verdict := guard.CheckSubject(poisonSubject(100))
+	crashBackend(guard, shared, crashingSubject(1), "b1")
+	require.False(t, guard.CheckSubject(crashingSubject(100)).IsSuspect(), "one crash does not make the kind suspected")
+	crashBackend(guard, shared, crashingSubject(1), "b2")
+	require.False(t, guard.CheckSubject(crashingSubject(100)).IsSuspect(), "nor do two crashes of the same content")
+	crashBackend(guard, shared, crashingSubject(2), "b2")
+	verdict := guard.CheckSubject(crashingSubject(100))
 	require.True(t, verdict.IsSuspect())
 	require.False(t, verdict.Quarantined)
-	guard.RecordResponse(poisonSubject(3))
+	guard.RecordResponse(crashingSubject(3))
 	shared.apply(guard.TakeReport())
-	require.False(t, guard.CheckSubject(poisonSubject(100)).IsSuspect())
-	require.True(t, guard.CheckSubject(poisonSubject(1)).IsSuspect())
+	require.False(t, guard.CheckSubject(crashingSubject(100)).IsSuspect())
+	require.True(t, guard.CheckSubject(crashingSubject(1)).IsSuspect())
 }
 
 // TestResponseClearsKind verifies that responses prevent and end the quarantine of a kind.
@@ -86,22 +86,22 @@
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
 	recordResponse := func() {
-		guard.RecordResponse(poisonSubject(1000))
+		guard.RecordResponse(crashingSubject(1000))
 		shared.apply(guard.TakeReport())
 	}
 	for number := range 5 * CrashThreshold {
-		crashBackend(guard, shared, poisonSubject(number), fmt.Sprint("b", number))
+		crashBackend(guard, shared, crashingSubject(number), fmt.Sprint("b", number))
 		if number%(CrashThreshold-1) == 0 {
 			recordResponse()
 		}
-		require.False(t, guard.CheckSubject(poisonSubject(2000)).Quarantined, "after %d", number)
+		require.False(t, guard.CheckSubject(crashingSubject(2000)).Quarantined, "after %d", number)
 	}
 	for number := range CrashThreshold {
-		crashBackend(guard, shared, poisonSubject(100+number), fmt.Sprint("c", number))
+		crashBackend(guard, shared, crashingSubject(100+number), fmt.Sprint("c", number))
 	}
-	require.True(t, guard.CheckSubject(poisonSubject(2000)).Quarantined)
+	require.True(t, guard.CheckSubject(crashingSubject(2000)).Quarantined)
 	recordResponse()
-	require.False(t, guard.CheckSubject(poisonSubject(2000)).Quarantined)
+	require.False(t, guard.CheckSubject(crashingSubject(2000)).Quarantined)
 }
 
 // TestOnlyPermittedContentOfQuarantinedKindIsSent guards against a permit for one content that lets
@@ -110,20 +110,20 @@
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
 	for number := range CrashThreshold {
-		crashBackend(guard, shared, poisonSubject(number), fmt.Sprint("b", number))
+		crashBackend(guard, shared, crashingSubject(number), fmt.Sprint("b", number))
 	}
-	guard.Permit(poisonSubject(1).Content)
-	require.False(t, guard.CheckSubject(poisonSubject(1)).Quarantined)
-	require.True(t, guard.CheckSubject(poisonSubject(2)).Quarantined)
-	require.True(t, guard.UsePermit(poisonSubject(1).Content))
-	require.True(t, guard.CheckSubject(poisonSubject(1)).Quarantined)
+	guard.Permit(crashingSubject(1).Content)
+	require.False(t, guard.CheckSubject(crashingSubject(1)).Quarantined)
+	require.True(t, guard.CheckSubject(crashingSubject(2)).Quarantined)
+	require.True(t, guard.UsePermit(crashingSubject(1).Content))
+	require.True(t, guard.CheckSubject(crashingSubject(1)).Quarantined)
 }
 
 // TestKindTrialDelays verifies that a kind is still tried regularly after many crashes.
 func TestKindTrialDelays(t *testing.T) {
 	kind := Suspect{}
 	for number := range 2 * maxCrashedBackends {
-		kind, _ = kind.WithCrash(Crash{Fingerprint: poisonKind, Backend: fmt.Sprint(number), Known: number, Of: poisonSubject(number).Content})
+		kind, _ = kind.WithCrash(Crash{Fingerprint: crashingKind, Backend: fmt.Sprint(number), Known: number, Of: crashingSubject(number).Content})
 	}
 	require.Len(t, kind.Of, kindContentThreshold)
 	require.Len(t, kind.Ended, maxCrashedBackends)
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestPoisonKindIsQuarantinedInAnyOrder verifies that a process with any stale view sends no request of
+// TestCrashingKindIsQuarantinedInAnyOrder verifies that a process with any stale view sends no request of
 // a kind after it has learned of CrashThreshold crashes of different contents.
-func TestPoisonKindIsQuarantinedInAnyOrder(t *testing.T) {
+func TestCrashingKindIsQuarantinedInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 		views := make([]*fakeRecord, 3)
@@ -148,10 +148,10 @@
 		crashes := 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			process := rapid.IntRange(0, len(views)-1).Draw(t, "process")
-			guard, known := guards[process], views[process].suspects[poisonKind]
+			guard, known := guards[process], views[process].suspects[crashingKind]
 			switch rapid.SampledFrom([]string{"send", "tell", "learn"}).Draw(t, "action") {
 			case "send":
-				subject := poisonSubject(rapid.IntRange(0, 5).Draw(t, "content"))
+				subject := crashingSubject(rapid.IntRange(0, 5).Draw(t, "content"))
 				verdict := guard.CheckSubject(subject)
 				require.False(t, known.Crashes >= CrashThreshold && len(known.Of) >= kindContentThreshold && !verdict.Quarantined)
 				if !verdict.Quarantined {
@@ -166,7 +166,7 @@
 					views[process].suspects[fingerprint] = suspect
 				}
 			}
-			require.LessOrEqual(t, shared.suspects[poisonKind].Crashes, crashes)
+			require.LessOrEqual(t, shared.suspects[crashingKind].Crashes, crashes)
 		}
 	})
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -39,7 +39,7 @@
 	return NewGuard(SharedRecord{Suspects: shared.list}, clock.now)
 }
 
-const poisonRequest = Fingerprint("deadly")
+const crashingRequest = Fingerprint("crashing")
 
 func TestFingerprintsDifferByContent(t *testing.T) {
 	contents := []Content{
@@ -60,7 +60,7 @@
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guardA, guardB := newTestGuard(shared, clock), newTestGuard(shared, clock)
 	recordCrash := func(guard *Guard, backend string, known int) {
-		guard.RecordFingerprintCrash(poisonRequest, backend, known)
+		guard.RecordFingerprintCrash(crashingRequest, backend, known)
 		report := guard.TakeReport()
 		shared.apply(report)
 		shared.apply(report)
@@ -68,15 +68,15 @@
 	for number := range 8 {
 		recordCrash(guardA, fmt.Sprintf("together-%d", number), 0)
 	}
-	require.Equal(t, 1, guardA.CheckFingerprint(poisonRequest).KnownCrashes, "concurrent crashes count once")
-	require.False(t, guardB.CheckFingerprint(poisonRequest).Quarantined)
-	recordCrash(guardB, "second", guardB.CheckFingerprint(poisonRequest).KnownCrashes)
-	require.Equal(t, 2, guardA.CheckFingerprint(poisonRequest).KnownCrashes)
-	recordCrash(guardA, "third", guardA.CheckFingerprint(poisonRequest).KnownCrashes)
-	require.True(t, guardA.CheckFingerprint(poisonRequest).Quarantined)
-	require.True(t, guardB.CheckFingerprint(poisonRequest).Quarantined)
+	require.Equal(t, 1, guardA.CheckFingerprint(crashingRequest).KnownCrashes, "concurrent crashes count once")
+	require.False(t, guardB.CheckFingerprint(crashingRequest).Quarantined)
+	recordCrash(guardB, "second", guardB.CheckFingerprint(crashingRequest).KnownCrashes)
+	require.Equal(t, 2, guardA.CheckFingerprint(crashingRequest).KnownCrashes)
+	recordCrash(guardA, "third", guardA.CheckFingerprint(crashingRequest).KnownCrashes)
+	require.True(t, guardA.CheckFingerprint(crashingRequest).Quarantined)
+	require.True(t, guardB.CheckFingerprint(crashingRequest).Quarantined)
 	newGuard := newTestGuard(shared, clock)
-	require.True(t, newGuard.CheckFingerprint(poisonRequest).Quarantined, "a new process uses the shared record")
+	require.True(t, newGuard.CheckFingerprint(crashingRequest).Quarantined, "a new process uses the shared record")
 }
 
 // TestLocalCrashesApplyBeforeReporting verifies that a process applies crashes that it observed until
@@ -85,30 +85,30 @@
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
 	for number := range CrashThreshold {
-		guard.RecordFingerprintCrash(poisonRequest, fmt.Sprint(number), guard.CheckFingerprint(poisonRequest).KnownCrashes)
+		guard.RecordFingerprintCrash(crashingRequest, fmt.Sprint(number), guard.CheckFingerprint(crashingRequest).KnownCrashes)
 	}
-	require.True(t, guard.CheckFingerprint(poisonRequest).Quarantined)
+	require.True(t, guard.CheckFingerprint(crashingRequest).Quarantined)
 	for range 3 {
 		clock.current = clock.current.Add(localTTL)
 		guard.RequeueReport(guard.TakeReport())
 	}
-	require.True(t, guard.CheckFingerprint(poisonRequest).Quarantined, "unreported crashes do not expire")
+	require.True(t, guard.CheckFingerprint(crashingRequest).Quarantined, "unreported crashes do not expire")
 	clock.current = clock.current.Add(2 * localTTL)
-	require.False(t, guard.CheckFingerprint(poisonRequest).Quarantined, "local crashes have expired")
+	require.False(t, guard.CheckFingerprint(crashingRequest).Quarantined, "local crashes have expired")
 	require.True(t, guard.IsIdle())
 }
 
 func TestResponseClearsSuspect(t *testing.T) {
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
-	guard.RecordFingerprintResponse(poisonRequest)
+	guard.RecordFingerprintResponse(crashingRequest)
 	require.True(t, guard.TakeReport().IsEmpty(), "responses to requests that are no suspects are not reported")
-	guard.RecordFingerprintCrash(poisonRequest, "a", 0)
-	guard.RecordFingerprintCrash(poisonRequest, "b", 1)
+	guard.RecordFingerprintCrash(crashingRequest, "a", 0)
+	guard.RecordFingerprintCrash(crashingRequest, "b", 1)
 	shared.apply(guard.TakeReport())
-	guard.RecordFingerprintResponse(poisonRequest)
+	guard.RecordFingerprintResponse(crashingRequest)
 	shared.apply(guard.TakeReport())
-	require.Zero(t, guard.CheckFingerprint(poisonRequest).KnownCrashes)
+	require.Zero(t, guard.CheckFingerprint(crashingRequest).KnownCrashes)
 }
 
 // TestPendingReportIsBounded guards against unbounded growth while reports cannot be delivered.
@@ -126,22 +126,22 @@
 // TestPermitAllowsOneSend verifies that a permit is valid until it is used.
 func TestPermitAllowsOneSend(t *testing.T) {
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
-	shared.suspects[poisonRequest] = Suspect{Fingerprint: poisonRequest, Crashes: CrashThreshold, Offered: true}
+	shared.suspects[crashingRequest] = Suspect{Fingerprint: crashingRequest, Crashes: CrashThreshold, Offered: true}
 	guard := newTestGuard(shared, clock)
-	require.True(t, guard.CheckFingerprint(poisonRequest).TrialOffered)
-	require.False(t, guard.TakeTrial(context.Background(), poisonRequest), "the shared record has no TakeTrial")
-	guard.Permit(poisonRequest)
-	require.False(t, guard.CheckFingerprint(poisonRequest).Quarantined)
-	require.True(t, guard.UsePermit(poisonRequest))
-	require.True(t, guard.CheckFingerprint(poisonRequest).Quarantined)
-	require.False(t, guard.UsePermit(poisonRequest))
+	require.True(t, guard.CheckFingerprint(crashingRequest).TrialOffered)
+	require.False(t, guard.TakeTrial(context.Background(), crashingRequest), "the shared record has no TakeTrial")
+	guard.Permit(crashingRequest)
+	require.False(t, guard.CheckFingerprint(crashingRequest).Quarantined)
+	require.True(t, guard.UsePermit(crashingRequest))
+	require.True(t, guard.CheckFingerprint(crashingRequest).Quarantined)
+	require.False(t, guard.UsePermit(crashingRequest))
 }
 
 // TestTrialDelaysGrow verifies that trial delays grow with the trials and the crashed backends.
 func TestTrialDelaysGrow(t *testing.T) {
 	suspect := Suspect{}
 	for number := range CrashThreshold {
-		suspect, _ = suspect.WithCrash(Crash{Fingerprint: poisonRequest, Backend: fmt.Sprint(number), Known: number})
+		suspect, _ = suspect.WithCrash(Crash{Fingerprint: crashingRequest, Backend: fmt.Sprint(number), Known: number})
 	}
 	requireDelay := func(minDelay time.Duration) {
 		require.GreaterOrEqual(t, suspect.TrialDelay(0), minDelay)
@@ -151,21 +151,21 @@
 	suspect = suspect.WithTrialOffered().WithTrialTaken()
 	requireDelay(repeatTrialDelay)
 	for number := CrashThreshold; number < maxCrashedBackends; number++ {
-		suspect, _ = suspect.WithCrash(Crash{Fingerprint: poisonRequest, Backend: fmt.Sprint(number), Known: number})
+		suspect, _ = suspect.WithCrash(Crash{Fingerprint: crashingRequest, Backend: fmt.Sprint(number), Known: number})
 	}
 	requireDelay(exhaustedTrialDelay)
 	suspect = suspect.WithTrialOffered().WithTrialTaken()
 	requireDelay(finalTrialDelay)
 	require.Len(t, suspect.Ended, maxCrashedBackends)
-	again, changed := suspect.WithCrash(Crash{Fingerprint: poisonRequest, Backend: "0", Known: 9})
+	again, changed := suspect.WithCrash(Crash{Fingerprint: crashingRequest, Backend: "0", Known: 9})
 	require.False(t, changed)
 	require.Equal(t, suspect, again)
 }
 
-// TestPoisonRequestIsQuarantinedInAnyOrder verifies, for processes with views of any age, that a process
+// TestCrashingRequestIsQuarantinedInAnyOrder verifies, for processes with views of any age, that a process
 // that knows of CrashThreshold crashes does not send the request, that the shared count never
 // decreases, and that no crash counts twice.
-func TestPoisonRequestIsQuarantinedInAnyOrder(t *testing.T) {
+func TestCrashingRequestIsQuarantinedInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 		views := make([]*fakeRecord, 4)
@@ -181,11 +181,11 @@
 			guard := guards[process]
 			switch rapid.SampledFrom([]string{"send", "tell", "lose", "learn"}).Draw(t, "action") {
 			case "send":
-				verdict := guard.CheckFingerprint(poisonRequest)
+				verdict := guard.CheckFingerprint(crashingRequest)
 				require.Equal(t, verdict.KnownCrashes >= CrashThreshold, verdict.Quarantined)
 				if !verdict.Quarantined {
 					crashes++
-					guard.RecordFingerprintCrash(poisonRequest, fmt.Sprint(crashes), verdict.KnownCrashes)
+					guard.RecordFingerprintCrash(crashingRequest, fmt.Sprint(crashes), verdict.KnownCrashes)
 				}
 			case "tell":
 				shared.apply(reports[process])
@@ -199,7 +199,7 @@
 					views[process].suspects[fingerprint] = suspect
 				}
 			}
-			counted := shared.suspects[poisonRequest].Crashes
+			counted := shared.suspects[crashingRequest].Crashes
 			require.GreaterOrEqual(t, counted, highest)
 			require.LessOrEqual(t, counted, crashes)
 			highest = counted
--- a/quarantine/trial_test.go
+++ b/quarantine/trial_test.go
@@ -14,9 +14,9 @@
 	suspect, backends := Suspect{}, 0
 	for round, crashes := range crashesPerRound {
 		for range crashes {
-			crash := Crash{Fingerprint: poisonRequest, Backend: fmt.Sprint(backends), Known: round}
+			crash := Crash{Fingerprint: crashingRequest, Backend: fmt.Sprint(backends), Known: round}
 			if isKind {
-				crash.Of = poisonSubject(backends).Content
+				crash.Of = crashingSubject(backends).Content
 			}
 			suspect, _ = suspect.WithCrash(crash)
 			backends++
@@ -48,7 +48,7 @@
 		require.True(t, suspect.IsQuarantined(), test.name)
 		for suspect.TrialDelay(0) <= maxQuickTrialDelay {
 			suspect = suspect.WithTrialOffered().WithTrialTaken()
-			suspect, _ = suspect.WithCrash(Crash{Fingerprint: poisonRequest, Backend: fmt.Sprint("trial-", trials), Known: suspect.Crashes, Of: suspect.firstContent()})
+			suspect, _ = suspect.WithCrash(Crash{Fingerprint: crashingRequest, Backend: fmt.Sprint("trial-", trials), Known: suspect.Crashes, Of: suspect.firstContent()})
 			trials++
 		}
 		require.Equal(t, test.quickTrials, trials, test.name)
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -63,7 +63,7 @@
 			}
 		}
 		return leader != nil
-	}, testTimeout, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	return leader
 }
 
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -17,8 +17,8 @@
 	"github.com/dillchute/dillchute/consensus"
 )
 
-// testTimeout is much longer than any test here takes.
-const testTimeout = time.Minute
+// waitTimeout is much longer than any test here takes.
+const waitTimeout = time.Minute
 
 // refusingStore fails a number of writes, like a full disk.
 type refusingStore struct {
@@ -78,7 +78,7 @@
 	require.Eventually(t, func() bool {
 		_, err := r.Execute(context.Background(), binary.BigEndian.AppendUint64(nil, number))
 		return err == nil
-	}, testTimeout, TickInterval)
+	}, waitTimeout, TickInterval)
 }
 
 func machineList(r *Replica, machine *numbers) []uint64 {
--- a/replica/request.go
+++ b/replica/request.go
@@ -58,7 +58,7 @@
 	case Done:
 		return nil
 	default:
-		return ErrUnavailable.New("this replica cannot confirm a read")
+		return ErrUnavailable.New("this replica did not confirm the read; it may not be the leader")
 	}
 }
 
--- a/runner/link.go
+++ b/runner/link.go
@@ -215,7 +215,7 @@
 		l.pool.superseded.Store(true)
 	}
 	if response.StatusCode != http.StatusOK {
-		return false, errRefused.New("runner returned status %d", response.StatusCode)
+		return false, errRefused.New("runner responded with status %d", response.StatusCode)
 	}
 	reader := bufio.NewReader(response.Body)
 	var firstReport report
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	waitLimit    = 10 * time.Second
+	waitTimeout  = 10 * time.Second
 	pollInterval = 5 * time.Millisecond
 )
 
@@ -56,7 +56,7 @@
 		d.runner.Close()
 	})
 	d.pool = d.lead(ctx, 1, acceptNoRuns)
-	require.Eventually(t, func() bool { return d.pool.OpenLinks() == 1 }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return d.pool.OpenLinks() == 1 }, waitTimeout, pollInterval)
 	return d
 }
 
@@ -160,7 +160,7 @@
 	deployment := newTestDeployment(t, blockingEngine(cancelled))
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitTimeout, pollInterval)
 		cancel()
 	}()
 	_, _, end := deployment.run(ctx, newText(0, 0))
@@ -189,13 +189,13 @@
 	cancelled := make(chan struct{}, 1)
 	deployment := newTestDeployment(t, blockingEngine(cancelled))
 	go func() {
-		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitTimeout, pollInterval)
 		deployment.runner.CloseClientConnections()
 	}()
 	_, _, end := deployment.run(context.Background(), newText(0, 0))
 	require.Equal(t, scheduler.Interrupted, end)
 	<-cancelled
-	require.Eventually(t, func() bool { return deployment.pool.OpenLinks() == 1 }, waitLimit, pollInterval, "the link did not reconnect")
+	require.Eventually(t, func() bool { return deployment.pool.OpenLinks() == 1 }, waitTimeout, pollInterval, "the link did not reconnect")
 }
 
 // TestOrphanedRunsExpire checks that runs without a leader are cancelled after orphanTimeout.
@@ -204,10 +204,10 @@
 	deployment := newTestDeployment(t, blockingEngine(cancelled))
 	deployment.server.orphanTimeout = 20 * pollInterval
 	go deployment.run(context.Background(), newText(0, 0))
-	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitTimeout, pollInterval)
 	deployment.stop()
 	<-cancelled
-	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 0 }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 0 }, waitTimeout, pollInterval)
 }
 
 // steppedEngine sends two events and, once proceed is closed, a third one.
@@ -252,11 +252,11 @@
 		proceed, runs := make(chan struct{}), &atomic.Int64{}
 		deployment := newTestDeployment(t, steppedEngine(proceed, runs))
 		go deployment.run(context.Background(), newText(2, 3))
-		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitTimeout, pollInterval)
 		deployment.stop()
 		if withoutLeader {
 			close(proceed)
-			require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 0 }, waitLimit, pollInterval)
+			require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 0 }, waitTimeout, pollInterval)
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		texts, ends := make(chan scheduler.Text, 1), make(chan scheduler.RunEnd, 1)
@@ -284,7 +284,7 @@
 	for range runs {
 		ended.Go(func() { deployment.run(deployment.leadership, newText(0, 0)) })
 	}
-	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == runs }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == runs }, waitTimeout, pollInterval)
 	deployment.stop()
 	ended.Wait()
 	ctx, stop := context.WithCancel(context.Background())
@@ -317,7 +317,7 @@
 	deployment := newTestDeployment(t, blockingEngine(cancelled))
 	deployment.server.orphanTimeout = time.Hour
 	go deployment.run(context.Background(), newText(0, 0))
-	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitTimeout, pollInterval)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	deployment.lead(ctx, 2, acceptNoRuns)
@@ -330,12 +330,12 @@
 	proceed, runs := make(chan struct{}), &atomic.Int64{}
 	deployment := newTestDeployment(t, steppedEngine(proceed, runs))
 	go deployment.run(context.Background(), newText(0, 0))
-	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitTimeout, pollInterval)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	texts, ends := make(chan scheduler.Text, 1), make(chan scheduler.RunEnd, 1)
 	later := deployment.lead(ctx, 2, acceptAllRuns(texts, ends))
-	require.Eventually(t, func() bool { return later.OpenLinks() == 1 && deployment.pool.OpenLinks() == 0 }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return later.OpenLinks() == 1 && deployment.pool.OpenLinks() == 0 }, waitTimeout, pollInterval)
 	require.False(t, deployment.pool.Ready(), "the deposed leader must not start runs")
 	// The deposed leader keeps trying to reconnect.
 	require.Never(t, func() bool { return deployment.pool.OpenLinks() > 0 }, 3*minBackoff, pollInterval)
@@ -350,7 +350,7 @@
 	cancelled := make(chan struct{}, 1)
 	deployment := newTestDeployment(t, blockingEngine(cancelled))
 	go func() {
-		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitLimit, pollInterval)
+		require.Eventually(t, func() bool { return deployment.server.ActiveRuns() == 1 }, waitTimeout, pollInterval)
 		deployment.pool.SetStores(nil)
 	}()
 	_, _, end := deployment.run(context.Background(), newText(0, 0))
@@ -432,7 +432,7 @@
 func TestClosedServerRefusesLinks(t *testing.T) {
 	deployment := newTestDeployment(t, unreachableEngine)
 	deployment.server.Close()
-	require.Eventually(t, func() bool { return deployment.pool.OpenLinks() == 0 }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return deployment.pool.OpenLinks() == 0 }, waitTimeout, pollInterval)
 	require.Never(t, func() bool { return deployment.pool.OpenLinks() > 0 }, 3*minBackoff, pollInterval)
 	require.False(t, deployment.pool.superseded.Load())
 }
--- a/scheduler/kind_test.go
+++ b/scheduler/kind_test.go
@@ -14,33 +14,33 @@
 	step := newEntry("x", "m", 1, 8)
 	for position := range step.Step.Samples {
 		if position < 4 {
-			step.Step.Samples[position].Path = "/deadly"
+			step.Step.Samples[position].Path = "/crashing"
 		}
 	}
 	s.AddStep(step)
 	suspected := true
 	servicesOf := func(task *Task) ([]string, bool) {
-		task.KindSuspected = suspected && task.Sample.Path == "/deadly"
+		task.KindSuspected = suspected && task.Sample.Path == "/crashing"
 		return []string{"engines"}, true
 	}
-	split := func(assignments []Assignment) (deadly, others []Assignment) {
+	split := func(assignments []Assignment) (crashing, others []Assignment) {
 		for _, assignment := range assignments {
-			if assignment.Task.Sample.Path == "/deadly" {
-				deadly = append(deadly, assignment)
+			if assignment.Task.Sample.Path == "/crashing" {
+				crashing = append(crashing, assignment)
 				continue
 			}
 			others = append(others, assignment)
 		}
-		return deadly, others
+		return crashing, others
 	}
-	deadly, others := split(s.Assign(0, servicesOf))
-	require.Len(t, deadly, 1)
+	crashing, others := split(s.Assign(0, servicesOf))
+	require.Len(t, crashing, 1)
 	require.Len(t, others, 4)
 	require.Empty(t, s.Assign(1, servicesOf))
-	s.RunEnded(2, deadly[0].Task, deadly[0].Run, Crashed)
-	deadly, _ = split(s.Assign(3, servicesOf))
-	require.Len(t, deadly, 1)
+	s.RunEnded(2, crashing[0].Task, crashing[0].Run, Crashed)
+	crashing, _ = split(s.Assign(3, servicesOf))
+	require.Len(t, crashing, 1)
 	suspected = false
-	deadly, _ = split(s.Assign(4, servicesOf))
-	require.Len(t, deadly, 3)
+	crashing, _ = split(s.Assign(4, servicesOf))
+	require.Len(t, crashing, 3)
 }
--- a/server/backend_return_test.go
+++ b/server/backend_return_test.go
@@ -36,16 +36,16 @@
 	return registered
 }
 
-// eventually requires that the condition holds within eventuallyTimeout.
+// eventually requires that the condition holds within waitTimeout.
 func eventually(t *testing.T, condition func() bool, message string) {
 	t.Helper()
-	require.Eventually(t, condition, eventuallyTimeout, eventuallyInterval, message)
+	require.Eventually(t, condition, waitTimeout, pollInterval, message)
 }
 
 // never requires that the condition does not hold at any time during the duration.
 func never(t *testing.T, duration time.Duration, condition func() bool, message string) {
 	t.Helper()
-	require.Never(t, condition, duration, eventuallyInterval, message)
+	require.Never(t, condition, duration, pollInterval, message)
 }
 
 // leaderOf returns the replica that leads and serves.
--- a/server/callers.go
+++ b/server/callers.go
@@ -291,7 +291,7 @@
 	}
 	encoded, err := json.Marshal(data)
 	if err != nil {
-		panic("server: encode an event: " + err.Error())
+		panic("server: encode event: " + err.Error())
 	}
 	w.extendWriteDeadline()
 	_, err = fmt.Fprintf(w.response, "data: %s\n\n", encoded)
--- a/server/copy_refresh_test.go
+++ b/server/copy_refresh_test.go
@@ -288,7 +288,7 @@
 		runnerServer.Close()
 	})
 	leader.runners.SetStores([]runner.Store{{Name: "store", Address: strings.TrimPrefix(runnerServer.URL, "http://")}})
-	require.Eventually(t, leader.runners.Ready, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, leader.runners.Ready, waitTimeout, pollInterval)
 	leader.scheduler.SyncEngines(nowMillis(), []directory.Backend{testBackend("a")}, map[string]uint64{"m": 1})
 	leader.scheduler.AddStep(&ledger.Entry{Step: &ledger.Step{
 		ID: "step", Host: "h", Model: "m", OldestVersion: 1, Wanted: 1, Attempts: 1,
@@ -339,7 +339,7 @@
 			require.Eventually(t, func() bool {
 				flush(t, leader)
 				return len(leader.cancels) == 1
-			}, eventuallyTimeout, eventuallyInterval)
+			}, waitTimeout, pollInterval)
 			if suspended == 0 {
 				// A runner that was suspended as well ignores starts from before.
 				require.Equal(t, "a", <-engine.started)
@@ -361,7 +361,7 @@
 	require.Eventually(t, func() bool {
 		flush(t, leader)
 		return len(leader.cancels) == 1
-	}, eventuallyTimeout, eventuallyInterval)
+	}, waitTimeout, pollInterval)
 	require.Positive(t, leader.watcher.failedRefreshes.Load())
 }
 
@@ -374,7 +374,7 @@
 		_, err := replicas[0].Heartbeat(t.Context(), Heartbeat{Backend: backend, Sequence: 1})
 		return err == nil
 	}
-	require.Eventually(t, register, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, register, waitTimeout, pollInterval)
 	var watchers []*Watcher
 	refreshes := func(w *Watcher, draining bool) func() bool {
 		return func() bool {
@@ -385,16 +385,16 @@
 	for _, replica := range replicas {
 		w := newTestWatcher(t, replica.settings.InternalAddress)
 		watchers = append(watchers, w)
-		require.Eventually(t, refreshes(w, false), eventuallyTimeout, eventuallyInterval)
+		require.Eventually(t, refreshes(w, false), waitTimeout, pollInterval)
 	}
 	backend.Draining = true
 	drain := func() bool {
 		_, err := replicas[0].Heartbeat(t.Context(), Heartbeat{Backend: backend, Sequence: 2})
 		return err == nil
 	}
-	require.Eventually(t, drain, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, drain, waitTimeout, pollInterval)
 	for _, w := range watchers {
-		require.Eventually(t, func() bool { return w.refreshCopy(t.Context()) == nil }, eventuallyTimeout, eventuallyInterval)
+		require.Eventually(t, func() bool { return w.refreshCopy(t.Context()) == nil }, waitTimeout, pollInterval)
 		known, _ := w.Catalog().Backend("a")
 		require.True(t, known.Draining, "one refresh returns the change")
 	}
--- a/server/directory_watch_test.go
+++ b/server/directory_watch_test.go
@@ -27,9 +27,9 @@
 )
 
 const (
-	// eventuallyTimeout bounds waits for conditions that should take far less time.
-	eventuallyTimeout  = time.Minute
-	eventuallyInterval = 10 * time.Millisecond
+	// waitTimeout bounds waits for conditions that should take far less time.
+	waitTimeout  = time.Minute
+	pollInterval = 10 * time.Millisecond
 	// firstIndex is the index of the first entry after those that the initial members begin with.
 	firstIndex = 2
 )
@@ -157,7 +157,7 @@
 		delta := watch(t, internal.Addr().String(), oldest)
 		return delta != nil && delta.Version == 2
 	}
-	require.Eventually(t, hasVersion2, eventuallyTimeout, eventuallyInterval, "the follower has applied version 2")
+	require.Eventually(t, hasVersion2, waitTimeout, pollInterval, "the follower has applied version 2")
 	answered := make(chan *directory.Delta, 1)
 	go func() {
 		for {
@@ -170,8 +170,8 @@
 	require.Eventually(t, func() bool {
 		leader.send(firstIndex, firstIndex+1, putVersion(1), putVersion(2))
 		return leader.wasQueried.Load() || len(answered) > 0
-	}, eventuallyTimeout, eventuallyInterval)
-	ticker := time.NewTicker(eventuallyInterval)
+	}, waitTimeout, pollInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		leader.send(firstIndex, firstIndex+2, putVersion(1), putVersion(2), putVersion(3))
@@ -190,7 +190,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		ticker := time.NewTicker(eventuallyInterval)
+		ticker := time.NewTicker(pollInterval)
 		defer ticker.Stop()
 		for {
 			l.send(firstIndex, firstIndex+uint64(len(commands))-1, commands...)
@@ -231,7 +231,7 @@
 		delta := watch(t, address, 0)
 		return delta != nil && delta.Revision == machine.Revision()
 	}
-	require.Eventually(t, holds, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, holds, waitTimeout, pollInterval)
 	return d, leader, machine.Revision()
 }
 
@@ -240,7 +240,7 @@
 func TestStaleReplicaRejectsWatches(t *testing.T) {
 	address, leader, revision := startReplicaWithLeader(t)
 	unchanged := func() bool { return watch(t, address, revision) != nil }
-	require.Eventually(t, unchanged, eventuallyTimeout, eventuallyInterval, "an up-to-date replica answers")
+	require.Eventually(t, unchanged, waitTimeout, pollInterval, "an up-to-date replica answers")
 	leader.revision.Store(revision + 1)
 	// The query before the change may just have been answered.
 	watch(t, address, revision)
@@ -248,7 +248,7 @@
 		require.Nil(t, watch(t, address, revision), "a stale replica")
 	}
 	leader.revision.Store(revision)
-	require.Eventually(t, unchanged, eventuallyTimeout, eventuallyInterval, "the replica is up to date again")
+	require.Eventually(t, unchanged, waitTimeout, pollInterval, "the replica is up to date again")
 }
 
 // TestUnconfirmedLeaderRejectsWatches checks that a replica does not answer that nothing has changed if
@@ -306,7 +306,7 @@
 		members = membersDigest(delta.Replicas)
 		return true
 	}
-	require.Eventually(t, isAnswered, eventuallyTimeout, eventuallyInterval, "a watcher that knows other members is answered")
+	require.Eventually(t, isAnswered, waitTimeout, pollInterval, "a watcher that knows other members is answered")
 	leader.revision.Store(revision + 1)
 	keepalivesAndAnswer(t, address, revision, members)
 	_, content := keepalivesAndAnswer(t, address, revision, members)
@@ -334,11 +334,11 @@
 	holds := func(backends int) func() bool {
 		return func() bool { return w.Catalog().Revision == revision && w.Catalog().BackendCount() == backends }
 	}
-	require.Eventually(t, holds(0), eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, holds(0), waitTimeout, pollInterval)
 	followsBackends.Store(true)
-	require.Eventually(t, holds(1), eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, holds(1), waitTimeout, pollInterval)
 	followsBackends.Store(false)
-	require.Eventually(t, holds(0), eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, holds(0), waitTimeout, pollInterval)
 }
 
 // TestTimedOutWatchIsAnswered checks that a watch is answered at its timeout although changes were
@@ -361,7 +361,7 @@
 	require.Eventually(t, func() bool {
 		answered = answerTimedOut(directory.Watch{Since: revision - 1, Scope: directory.ScopeNone, Held: none})
 		return answered != nil
-	}, eventuallyTimeout, eventuallyInterval)
+	}, waitTimeout, pollInterval)
 	require.Equal(t, revision, answered.Revision)
 	require.Equal(t, uint64(1), answered.Version)
 	require.Equal(t, none, answered.Held)
--- a/server/engines.go
+++ b/server/engines.go
@@ -70,7 +70,7 @@
 func (c *engineClient) post(ctx context.Context, address, path string, body any) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		panic("server: cannot encode an engine request: " + err.Error())
+		panic("server: encode engine request: " + err.Error())
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(data))
 	if err != nil {
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -119,7 +119,7 @@
 		}
 		return false
 	}
-	require.Eventually(t, isServing, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, isServing, waitTimeout, pollInterval)
 	watchers := runWatchers(t, replicas)
 	haveZones := func() bool {
 		for _, w := range watchers {
@@ -129,7 +129,7 @@
 		}
 		return true
 	}
-	require.Eventually(t, haveZones, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, haveZones, waitTimeout, pollInterval)
 	before := replicas[0].Status().Commit
 	registerFleet(t, replicas)
 	entries := replicas[0].Status().Commit - before
@@ -139,7 +139,7 @@
 		if number%2 == 1 {
 			wanted = 0
 		}
-		require.Eventually(t, func() bool { return w.Catalog().BackendCount() == wanted }, eventuallyTimeout, eventuallyInterval)
+		require.Eventually(t, func() bool { return w.Catalog().BackendCount() == wanted }, waitTimeout, pollInterval)
 		first := w.addresses()[0]
 		require.Equal(t, w.zone, w.Catalog().Zones[first].Zone)
 	}
--- a/server/gather_test.go
+++ b/server/gather_test.go
@@ -48,7 +48,7 @@
 		defer b.mutex.Unlock()
 		return len(b.waiting)+int(received.Load()) == items
 	}
-	require.Eventually(t, allQueued, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, allQueued, waitTimeout, pollInterval)
 	close(release)
 	callers.Wait()
 	require.Len(t, processed, items)
--- a/server/heartbeat_test.go
+++ b/server/heartbeat_test.go
@@ -37,9 +37,9 @@
 		_, err := d.Heartbeat(t.Context(), Heartbeat{Backend: backend})
 		return err == nil
 	}
-	require.Eventually(t, isAccepted, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, isAccepted, waitTimeout, pollInterval)
 	leader.unconfirmed.Store(true)
-	require.Eventually(t, func() bool { return !isAccepted() }, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, func() bool { return !isAccepted() }, waitTimeout, pollInterval)
 	leader.unconfirmed.Store(false)
-	require.Eventually(t, isAccepted, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, isAccepted, waitTimeout, pollInterval)
 }
--- a/server/node.go
+++ b/server/node.go
@@ -195,7 +195,7 @@
 func (n *Node) score(request node.ScoreRequest) {
 	body, err := json.Marshal(scoreBody{Pool: request.Pool, Prompt: request.Prompt, Tokens: request.Tokens})
 	if err != nil {
-		panic("server: a score request must encode: " + err.Error())
+		panic("server: encode score request: " + err.Error())
 	}
 	for n.context.Err() == nil {
 		reward, err := n.scoreOnce(body)
@@ -226,7 +226,7 @@
 	defer response.Body.Close()
 	var reply scoreReply
 	if response.StatusCode != http.StatusOK {
-		return 0, errUnexpectedStatus.New("the scoring service answered %d", response.StatusCode)
+		return 0, errUnexpectedStatus.New("the scoring service responded with status %d", response.StatusCode)
 	}
 	if err := json.NewDecoder(response.Body).Decode(&reply); err != nil {
 		return 0, err
--- a/server/quarantine_bound_test.go
+++ b/server/quarantine_bound_test.go
@@ -86,14 +86,14 @@
 	}
 	shared := rapid.Bool().Draw(t, "sound samples are of the deadly kind")
 	for number := range crashingSampleCount {
-		m.addSample(fmt.Sprint("deadly-", number), "deadly kind", true)
+		m.addSample(fmt.Sprint("crashing-", number), "crashing kind", true)
 	}
 	for number := range harmlessSampleCount {
-		kind := fmt.Sprint("kind-", number)
+		kind := fmt.Sprint("harmless kind-", number)
 		if shared {
-			kind = "deadly kind"
+			kind = "crashing kind"
 		}
-		m.addSample(fmt.Sprint("sound-", number), kind, false)
+		m.addSample(fmt.Sprint("harmless-", number), kind, false)
 	}
 	return m
 }
--- a/server/quarantine_simulation_test.go
+++ b/server/quarantine_simulation_test.go
@@ -111,27 +111,27 @@
 	unserved    map[quarantine.Fingerprint]int64
 }
 
-const simCrashingKind = quarantine.Fingerprint("deadly kind")
+const simCrashingKind = quarantine.Fingerprint("crashing kind")
 
 // randomCrashingSubject returns a crashing request.
 func (s *simulation) randomCrashingSubject() quarantine.Subject {
 	if s.oneKind {
-		return quarantine.Subject{Content: "deadly-0", Kind: simCrashingKind}
+		return quarantine.Subject{Content: "crashing-0", Kind: simCrashingKind}
 	}
-	return quarantine.Subject{Content: quarantine.Fingerprint(fmt.Sprint("deadly-", s.random.IntN(simCrashingContents))), Kind: simCrashingKind}
+	return quarantine.Subject{Content: quarantine.Fingerprint(fmt.Sprint("crashing-", s.random.IntN(simCrashingContents))), Kind: simCrashingKind}
 }
 
 // harmlessSubject returns the numbered harmless request.
 func (s *simulation) harmlessSubject(number int) quarantine.Subject {
-	kind := quarantine.Fingerprint("sound kind")
+	kind := quarantine.Fingerprint("harmless kind")
 	if s.oneKind {
 		kind = simCrashingKind
 	}
-	return quarantine.Subject{Content: quarantine.Fingerprint(fmt.Sprint("sound-", number)), Kind: kind}
+	return quarantine.Subject{Content: quarantine.Fingerprint(fmt.Sprint("harmless-", number)), Kind: kind}
 }
 
 func isCrashing(subject quarantine.Subject) bool {
-	return strings.HasPrefix(string(subject.Content), "deadly-")
+	return strings.HasPrefix(string(subject.Content), "crashing-")
 }
 
 func (s *simulation) after(delay int64, run func()) {
--- a/server/quarantined_sample_test.go
+++ b/server/quarantined_sample_test.go
@@ -25,7 +25,7 @@
 // leader knew of an earlier crash that the runner did not know of.
 func TestRunnerReportsCrashWithLeaderVerdict(t *testing.T) {
 	request := runner.Request{
-		Backend: directory.Backend{ID: "second"}, Host: "host", Sample: &ledger.Sample{ID: "two", Path: "/deadly"},
+		Backend: directory.Backend{ID: "second"}, Host: "host", Sample: &ledger.Sample{ID: "two", Path: "/crashing"},
 	}
 	subject := scheduler.SubjectOf(request.Host, request.Tenant, request.Sample)
 	for _, runnerFirst := range []bool{true, false} {
--- a/server/rpc.go
+++ b/server/rpc.go
@@ -57,7 +57,7 @@
 	if ok && reply.Outcome == protocol.ProposeDone {
 		return reply, nil
 	}
-	err := connect.NewError(connect.CodeUnavailable, fmt.Errorf("this replica cannot complete the call"))
+	err := connect.NewError(connect.CodeUnavailable, fmt.Errorf("this replica did not complete the call; it may not be the leader"))
 	err.Meta().Set(LeaderHeader, reply.Leader)
 	return reply, err
 }
--- a/server/silence_test.go
+++ b/server/silence_test.go
@@ -22,7 +22,7 @@
 		_, registered := replicas[0].view.Load().Backend("b")
 		return registered
 	}
-	require.Eventually(t, sendHeartbeat, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, sendHeartbeat, waitTimeout, pollInterval)
 	removeBackend := func() bool {
 		for _, d := range replicas {
 			if d.Status().Leading {
@@ -32,11 +32,11 @@
 		}
 		return false
 	}
-	require.Eventually(t, removeBackend, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, removeBackend, waitTimeout, pollInterval)
 	isRemoved := func() bool {
 		_, registered := replicas[0].view.Load().Backend("b")
 		return !registered
 	}
-	require.Eventually(t, isRemoved, eventuallyTimeout, eventuallyInterval)
-	require.Eventually(t, sendHeartbeat, eventuallyTimeout, eventuallyInterval, "the removed backend does not return")
+	require.Eventually(t, isRemoved, waitTimeout, pollInterval)
+	require.Eventually(t, sendHeartbeat, waitTimeout, pollInterval, "the removed backend does not return")
 }
--- a/server/watch_test.go
+++ b/server/watch_test.go
@@ -287,7 +287,7 @@
 		answer, err := w.call(t.Context(), directoryCall{Newest: true})
 		return err == nil && answer.Revision == revision
 	}
-	require.Eventually(t, answered, eventuallyTimeout, eventuallyInterval)
+	require.Eventually(t, answered, waitTimeout, pollInterval)
 	require.Equal(t, leader.address, w.leader)
 }
 
--- a/storage/reservation.go
+++ b/storage/reservation.go
@@ -21,7 +21,7 @@
 	}
 	data, err := cbor.Marshal(Identity{Format: formatVersion, Cluster: cluster, Replica: replica})
 	if err != nil {
-		panic("storage: an identity must encode: " + err.Error())
+		panic("storage: encode identity: " + err.Error())
 	}
 	path := filepath.Join(folder, reservationFileName)
 	if err := writeSynced(path+".new", addChecksum(data)); err != nil {
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -44,7 +44,7 @@
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 26, MaxMapPairs: 1 << 26}.DecMode()
 	if err != nil {
-		panic("transport: decoder options: " + err.Error())
+		panic("transport: invalid decoder options: " + err.Error())
 	}
 	return mode
 }()
