--- a/bench/plays/site.go
+++ b/bench/plays/site.go
@@ -1,6 +1,6 @@
 // Package plays generates days for the users' bench that systematically combine faults and planned work
 // on stateful machines: ordered pairs at four offsets, repeated losses of disks and machines of one class,
-// and all closings of a day. After a play it parses the product's logs and checks invariants that the
+// and each fault that may end a day. After a play it parses the product's logs and checks invariants that the
 // bench's traffic may not exercise. A table records which plays were run on which commit.
 //
 // All parameters of a deployment come from its site file.
--- a/consensus/message.go
+++ b/consensus/message.go
@@ -17,7 +17,7 @@
 // None is the zero ReplicaID; no replica has it.
 const None ReplicaID = 0
 
-// EntryKind tells how an entry is applied.
+// EntryKind determines how an entry is applied.
 type EntryKind uint8
 
 // The kinds of entries.
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,12 +1,8 @@
 // Package duty provides leases for actions that only one process may perform at a time, on receivers
-// that cannot distinguish an earlier holder from a later one.
-//
-// Before an action, the holder records it in a replicated log under its own fencing token. It then
-// starts the action within MaxStartDelay or not at all. A successor reads the record from the log and
-// waits for the lease and LeaseMargin from that moment. Because it observes the record only after it
-// was written, the wait outlasts the earlier holder's lease without synchronized clocks.
-//
-// The package uses no clock, network or disk.
+// that cannot distinguish an earlier holder from a later one. The holder records an action in a replicated
+// log under its own fencing token, and then starts it within MaxStartDelay or not at all. A successor waits
+// for the lease and LeaseMargin from the moment it reads the record, so that the wait outlasts the earlier
+// holder's lease without synchronized clocks. The package uses no clock, network or disk.
 package duty
 
 import (
--- a/event/event.go
+++ b/event/event.go
@@ -76,7 +76,7 @@
 	UsageSendFailed        = Event{5017, zerolog.WarnLevel, "usage counts could not be sent to the directory"}
 
 	CrashReported           = Event{5019, zerolog.WarnLevel, "backend crash during a request reported"}
-	TrialOffered            = Event{5020, zerolog.InfoLevel, "trial of a quarantined request allowed"}
+	TrialOffered            = Event{5020, zerolog.InfoLevel, "trial of a quarantined request offered"}
 	TrialStarted            = Event{5021, zerolog.InfoLevel, "trial of a quarantined request started"}
 	QuarantineCallFailed    = Event{5022, zerolog.WarnLevel, "quarantine call to the directory failed"}
 	LeaderUpdateFailed      = Event{5023, zerolog.WarnLevel, "directory leader could not commit an update"}
@@ -100,7 +100,7 @@
 	BuildsChanged         = Event{5038, zerolog.InfoLevel, "builds of the directory members changed"}
 
 	StepSubmitted     = Event{6001, zerolog.InfoLevel, "step submitted"}
-	StepResubmitted   = Event{6002, zerolog.InfoLevel, "step submitted again"}
+	StepResubmitted   = Event{6002, zerolog.InfoLevel, "step resubmitted"}
 	StepEnded         = Event{6003, zerolog.InfoLevel, "step ended"}
 	SampleStarted     = Event{6004, zerolog.InfoLevel, "sample started on an engine"}
 	SampleRunEnded    = Event{6005, zerolog.InfoLevel, "sample run ended"}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,26 +1,8 @@
-// Package quarantine stops requests that crash their backends from being sent to further backends.
-//
-// Such a request is retried under a new ID and may arrive at any process, so no single process sees
-// all of its crashes. Each Suspect is therefore stored in a replicated log, which counts crashes
-// across all processes and survives their restarts. A Guard is the local part of a process: it
-// reports crashes and decides which requests may be sent.
-//
-// A crash is counted only if the sender of the request knew of all crashes counted before it.
-// Backends that crash together, because of a power loss or concurrent requests, therefore count once.
-// If several senders report the same backend, one that knew of the earlier crashes is enough. A
-// response clears the suspect. A quarantined request is retried occasionally as a trial, so that a
-// harmless one that only ran alongside a crashing one is served again.
-//
-// Requests of one kind, which are all requests of a tenant to the same target, are also counted
-// together, because their contents may differ on every attempt. A kind is quarantined once different
-// contents of it have crashed backends without a response in between, so that a single crashing
-// request does not block its kind. Requests of a kind run concurrently, so backends that crashed
-// together count in full for the kind as soon as one more backend has crashed after them.
-//
-// A request has a budget of sends after CrashThreshold backends have crashed. Trials use up the
-// budget at short intervals; afterwards the request is rarely tried.
-//
-// The package uses no network or disk, and reads time only from the clock passed to it.
+// Package quarantine stops requests that crash their backends from being sent to further backends. Such a
+// request is retried under a new ID and may arrive at any process, so a replicated log counts the crashes
+// of all processes in a Suspect. A Guard is the local part of a process: it reports crashes and decides
+// which requests may be sent. A quarantined request is retried occasionally as a trial, and a response
+// clears the suspect. The package uses no network or disk, and reads time only from the clock passed to it.
 package quarantine
 
 import (
@@ -32,7 +14,8 @@
 	// CrashThreshold is the number of crashes after which a request is quarantined, and the number
 	// of crashed backends after which sends use up the send budget.
 	CrashThreshold = 3
-	// sendBudget is the number of sends allowed once CrashThreshold backends have crashed.
+	// sendBudget is the number of sends allowed once CrashThreshold backends have crashed. Trials use it
+	// up at short intervals; afterwards the request is rarely tried.
 	sendBudget = 3
 	// CrashGracePeriod is the time after the crash that reaches CrashThreshold during which sends of
 	// a kind are not charged to the budget: not every process knows of that crash yet.
@@ -92,6 +75,15 @@
 }
 
 // Suspect is the record of a request that ran on crashed backends. Values are immutable.
+//
+// A crash is counted only if the sender of the request knew of all crashes counted before it, so backends
+// that crash together, because of a power loss or concurrent requests, count once. If several senders
+// report the same backend, one that knew of the earlier crashes is enough.
+//
+// Requests of one kind are also counted together, because their contents may differ on every attempt. A
+// kind is quarantined once different contents of it have crashed backends without a response in between,
+// so that a single crashing request does not block its kind. Requests of a kind run concurrently, so
+// backends that crashed together count in full for the kind once one more backend has crashed after them.
 type Suspect struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	// Crashes counts the crashes whose senders knew of all crashes counted before.
--- a/runner/link.go
+++ b/runner/link.go
@@ -29,7 +29,9 @@
 
 var errRefused = errorx.NewNamespace("runner").NewType("link_refused")
 
-// Link is the leader's side of a link. It reconnects until its context ends.
+// Link is the leader's side of a link: one HTTP request whose body carries commands and whose response
+// carries reports. Either side closes a link on which the other has been silent for too long. It
+// reconnects until its context ends.
 type Link struct {
 	pool    *Pool
 	address string
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -1,15 +1,8 @@
 // Package runner distributes the runs of samples over the stores of a deployment. The leader of the
 // ledger assigns a sample to an engine. Another store, the runner, reads the engine's stream and reports
 // its events to the leader in batches. This keeps the load of the streams away from the leader, whose
-// heartbeats must not be delayed, and lets runs survive a change of leader.
-//
-// Pool is the leader's side and Server the runner's. A link between them is one HTTP request whose body
-// carries commands and whose response carries reports. Either side closes a link on which the other has
-// been silent for too long.
-//
-// Runs continue for a short time without a link. The next link offers these orphaned runs to its leader,
-// so that a new leader can continue them. Each link carries the term of its leader; a runner serves only
-// the newest term it has seen, on one link at a time.
+// heartbeats must not be delayed, and lets runs survive a change of leader. Pool is the leader's side and
+// Server the runner's.
 package runner
 
 import (
--- a/runner/server.go
+++ b/runner/server.go
@@ -15,7 +15,9 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// Server executes runs for the leader of the ledger.
+// Server executes runs for the leader of the ledger. Each link carries the term of its leader, and only the
+// newest term is served, on one link at a time. Runs continue for a short time without a link, and the next
+// one offers these orphaned runs to its leader.
 type Server struct {
 	engine Engine
 	logger *zerolog.Logger
--- a/server/freshness.go
+++ b/server/freshness.go
@@ -20,7 +20,7 @@
 	maxLeaderConfirmAge   = 700 * time.Millisecond
 )
 
-// freshness tells whether a leader's state is fresh enough to act on. It may be used concurrently.
+// freshness tracks whether a leader's state is fresh enough to act on. It may be used concurrently.
 type freshness struct {
 	// changedAt is when the oldest change arrived that is not applied yet, and confirmedAt when the
 	// newest confirmation began by which a quorum confirmed that this replica leads; both in
--- a/server/ledger.go
+++ b/server/ledger.go
@@ -260,8 +260,8 @@
 	l.watcher.call(ctx, directoryCall{Report: &directory.Group{Members: status.Members, Number: status.Commit}})
 }
 
-// shouldReportGroup reports whether the directory must be told the group's members; reported are those that
-// it knows. A retiring store that is no longer a member counts as empty once this is reported, and other
+// shouldReportGroup reports whether the group's members must be reported to the directory; reported are those
+// that it knows. A retiring store that is no longer a member counts as empty once this is reported, and other
 // stores may fail from then on. So it is reported only once the group has all its voters.
 func shouldReportGroup(status *replica.Status, reported []consensus.Member, retiringLeft bool) bool {
 	if !status.MembersCommitted || retiringLeft && status.MissingVoters > 0 {
--- a/server/watch.go
+++ b/server/watch.go
@@ -53,8 +53,8 @@
 	// not answer a call.
 	leader, unresponsive string
 
-	// age tells whether the copy is fresh enough to act on, and tracker derives it from the keepalives of
-	// the current watch; tracker is used only by Run.
+	// age determines whether the copy is fresh enough to act on. tracker derives it from the keepalives of
+	// the current watch; it is used only by Run.
 	age     copyAge
 	tracker watchTracker
 	// inFlight is the running refresh, or nil. The counters count finished refreshes.
@@ -203,7 +203,7 @@
 	return err
 }
 
-// errScopeChanged ends a watch whose scope has changed; the watcher asks again.
+// errScopeChanged ends a watch whose scope has changed; the watcher queries again.
 var errScopeChanged = errors.New("the scope of the watcher has changed")
 
 // pollOnce sends one watch request, and calls onData whenever data arrives.
--- a/server/watch_keepalive.go
+++ b/server/watch_keepalive.go
@@ -73,7 +73,7 @@
 // send answers with a delta.
 func (a *watchAnswer) send(delta directory.Delta) { a.sendEncoded(encodeInternal(delta)) }
 
-// sendEncoded answers with an encoded delta. If that fails, the watcher asks again.
+// sendEncoded answers with an encoded delta. If that fails, the watcher queries again.
 func (a *watchAnswer) sendEncoded(body []byte) {
 	if !a.started {
 		a.response.Header().Set("Content-Type", "application/cbor")
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,12 +1,9 @@
 // Package usage counts the requests of each tenant that started in each time window, so that every
-// report of a window has the same counts.
-//
-// Gateways count the requests that start (Meter) and repeatedly send their totals of the open windows.
-// The replicated WindowStore keeps the highest totals of each gateway. Fixing a window adds them up and
-// makes the result final; it is reported unchanged until the receiver accepts it. Windows are based on
-// the median of several machines' clocks (Clock).
-//
-// The package reads no system clock and uses no network or disk.
+// report of a window has the same counts. Gateways count the requests that start (Meter) and repeatedly send
+// their totals of the open windows; the replicated WindowStore keeps the highest totals of each gateway.
+// Fixing a window adds them up and makes the result final: it is reported unchanged until the receiver
+// accepts it. Windows are based on the median of several machines' clocks (Clock). The package reads no
+// system clock and uses no network or disk.
 package usage
 
 import (
