--- a/server/backend_return.go
+++ b/server/backend_return.go
@@ -10,9 +10,9 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-// minReturnIntervals is the minimum time, in heartbeat intervals, between two heartbeats that confirm that
-// a removed backend runs. A network cut may delay a heartbeat until its sender has ended, and delivers delayed
-// heartbeats together.
+// minReturnIntervals is the minimum time, in heartbeat intervals, between two heartbeats that confirm that a
+// removed backend runs. After a network partition, delayed heartbeats of a backend that has ended may arrive
+// together.
 const minReturnIntervals = 0.75
 
 // returnTracker tracks heartbeats of backends that were removed as silent. Such a backend is running if
@@ -55,8 +55,8 @@
 	delete(r.heartbeats, id)
 }
 
-// isReturning reports, on the leader, whether a backend that was removed as silent is to be registered
-// again. It is not while another backend at its address sends heartbeats.
+// isReturning reports, on the leader, whether a backend that was removed as silent is to be registered again.
+// It returns false while another backend at its address sends heartbeats.
 func (d *Directory) isReturning(registration registrationState, heartbeat Heartbeat) bool {
 	backend := heartbeat.Backend
 	if !registration.mayReturn {
--- a/server/backend_return_test.go
+++ b/server/backend_return_test.go
@@ -49,9 +49,9 @@
 }
 
 // leaderOf returns the replica that leads and serves.
-func leaderOf(t *testing.T, members []*fleetMember) *fleetMember {
+func leaderOf(t *testing.T, members []*runningReplica) *runningReplica {
 	t.Helper()
-	var leader *fleetMember
+	var leader *runningReplica
 	eventually(t, func() bool {
 		for _, member := range members {
 			if member.directory.Status().Serving {
@@ -65,7 +65,7 @@
 }
 
 // removeSilent has the leader remove the backend as silent.
-func removeSilent(t *testing.T, members []*fleetMember, id string) {
+func removeSilent(t *testing.T, members []*runningReplica, id string) {
 	t.Helper()
 	remove := directory.Command{RemoveBackend: &directory.RemoveBackend{ID: id}}
 	_, err := leaderOf(t, members).directory.execute(t.Context(), remove)
@@ -82,19 +82,19 @@
 }
 
 // awaitVersion waits until all replicas use the newest version.
-func awaitVersion(t *testing.T, members []*fleetMember) {
+func awaitVersion(t *testing.T, members []*runningReplica) {
 	t.Helper()
 	for _, member := range members {
 		eventually(t, func() bool { return versionInUse(member.directory) == directory.KnownVersion }, "the version is not raised")
 	}
 }
 
-func unprepared(int, *Directory) {}
+func noPreparation(int, *Directory) {}
 
 func asCurrentBuild(*Directory) {}
 
 // asEarlierBuild makes the replica report no version, like a build without versions.
-func asEarlierBuild(d *Directory) { d.versions.own = upgrade.VersionReport{} }
+func asEarlierBuild(d *Directory) { d.versions.localReport = upgrade.VersionReport{} }
 
 // TestReturnNeedsTwoHeartbeats checks that a backend returns only after two different heartbeats that are
 // neither too close nor too far apart.
@@ -120,7 +120,7 @@
 // TestLateHeartbeatsDoNotReplaceBackend checks that delayed heartbeats of a crashed backend, removed as
 // silent, do not replace the backend that now runs at its address.
 func TestLateHeartbeatsDoNotReplaceBackend(t *testing.T) {
-	members := startMembers(t, unprepared)
+	members := startMembers(t, noPreparation)
 	d := members[0].directory
 	crashed, running := newHeartbeatSender(t, "crashed", "10.0.0.1:80"), newHeartbeatSender(t, "running", "10.0.0.1:80")
 	awaitVersion(t, members)
@@ -137,7 +137,7 @@
 // TestSingleLateHeartbeatDoesNotRegister checks that one delayed heartbeat does not register a removed
 // backend.
 func TestSingleLateHeartbeatDoesNotRegister(t *testing.T) {
-	members := startMembers(t, unprepared)
+	members := startMembers(t, noPreparation)
 	d := members[0].directory
 	crashed := newHeartbeatSender(t, "crashed", "10.0.0.1:80")
 	awaitVersion(t, members)
@@ -150,7 +150,7 @@
 // TestBackendThatLeftIsNotRegisteredAgain checks that a backend which announced that it leaves is not
 // registered again by later heartbeats, even if it had been removed as silent before.
 func TestBackendThatLeftIsNotRegisteredAgain(t *testing.T) {
-	members := startMembers(t, unprepared)
+	members := startMembers(t, noPreparation)
 	d := members[0].directory
 	left, silent := newHeartbeatSender(t, "left", "10.0.0.1:80"), newHeartbeatSender(t, "silent", "10.0.0.2:80")
 	awaitVersion(t, members)
@@ -166,14 +166,14 @@
 // TestRemovedBackendReturnsToNextLeader checks that a removed backend returns after the leader that removed
 // it has stopped.
 func TestRemovedBackendReturnsToNextLeader(t *testing.T) {
-	members := startMembers(t, unprepared)
+	members := startMembers(t, noPreparation)
 	backend := newHeartbeatSender(t, "b", "10.0.0.1:80")
 	awaitVersion(t, members)
 	eventually(t, func() bool { return backend.send(members[0].directory) }, "the backend does not register")
 	removeSilent(t, members, "b")
 	previous := leaderOf(t, members)
 	previous.stop()
-	var others []*fleetMember
+	var others []*runningReplica
 	for _, member := range members {
 		if member != previous {
 			others = append(others, member)
@@ -207,7 +207,7 @@
 }
 
 // mixedMembers starts the replicas of a directory, of which one that does not lead is of an earlier build.
-func mixedMembers(t *testing.T, prepare func(d *Directory)) (members []*fleetMember, outdated *fleetMember) {
+func mixedMembers(t *testing.T, prepare func(d *Directory)) (members []*runningReplica, outdated *runningReplica) {
 	prepareOutdated := func(d *Directory) {
 		prepare(d)
 		asEarlierBuild(d)
@@ -225,9 +225,9 @@
 	return members, outdated
 }
 
-// TestSilentBackendIsKeptInMixedFleet checks that a silent backend is only marked, not removed, while a
-// member of an earlier build would not let it return.
-func TestSilentBackendIsKeptInMixedFleet(t *testing.T) {
+// TestSilentBackendStaysRegisteredWithEarlierBuild checks that a silent backend is only marked, not removed,
+// while a member is of an earlier build, which would not let it return.
+func TestSilentBackendStaysRegisteredWithEarlierBuild(t *testing.T) {
 	members, _ := mixedMembers(t, func(d *Directory) { d.settings.HeartbeatInterval = 50 * time.Millisecond })
 	backend := newHeartbeatSender(t, "b", "10.0.0.1:80")
 	d := leaderOf(t, members).directory
@@ -253,7 +253,7 @@
 	d := leaderOf(t, members).directory
 	eventually(t, func() bool { return backend.send(d) }, "the backend does not register")
 	isRaised := func() bool {
-		return slices.ContainsFunc(members, func(member *fleetMember) bool { return versionInUse(member.directory) > 0 })
+		return slices.ContainsFunc(members, func(member *runningReplica) bool { return versionInUse(member.directory) > 0 })
 	}
 	never(t, upgrade.ReportTTL, isRaised, "the version is raised although one member does not know it")
 	removeSilent(t, members, "b")
@@ -270,7 +270,7 @@
 // TestBackendReclaimsItsAddress checks that a running backend gets its address back after a delayed heartbeat
 // of a crashed one has claimed it.
 func TestBackendReclaimsItsAddress(t *testing.T) {
-	members := startMembers(t, unprepared)
+	members := startMembers(t, noPreparation)
 	d := members[0].directory
 	running, crashed := newHeartbeatSender(t, "running", "10.0.0.1:80"), newHeartbeatSender(t, "crashed", "10.0.0.1:80")
 	awaitVersion(t, members)
--- a/server/body_test.go
+++ b/server/body_test.go
@@ -13,8 +13,8 @@
 	"github.com/dillchute/dillchute/config"
 )
 
-// TestBodyMemoryIsBounded checks that a body is refused while others hold the memory, and
-// that memory is released by the returned function and after a read error.
+// TestBodyMemoryIsBounded checks that a body is refused while other bodies use the memory, and that memory is
+// released by the returned function and after a read error.
 func TestBodyMemoryIsBounded(t *testing.T) {
 	gateway := &Gateway{settings: config.Gateway{Process: config.Process{MemoryLimit: 1}}}
 	body := strings.Repeat("x", int(gateway.bodyLimit())*2/3)
--- a/server/callers.go
+++ b/server/callers.go
@@ -130,10 +130,10 @@
 		if !ok {
 			return
 		}
-		for _, received := range events {
-			writer.write(received)
-			if received.Outcome != 0 {
-				writer.finish(received)
+		for _, callerEvent := range events {
+			writer.write(callerEvent)
+			if callerEvent.Outcome != 0 {
+				writer.finish(callerEvent)
 				return
 			}
 		}
@@ -251,20 +251,20 @@
 	}
 }
 
-func (w *completionWriter) write(received node.CallerEvent) {
-	if len(received.Tokens) == 0 {
+func (w *completionWriter) write(callerEvent node.CallerEvent) {
+	if len(callerEvent.Tokens) == 0 {
 		return
 	}
 	last := len(w.segments) - 1
-	if last >= 0 && w.segments[last].Version == received.Version {
-		w.segments[last].Count += uint32(len(received.Tokens))
+	if last >= 0 && w.segments[last].Version == callerEvent.Version {
+		w.segments[last].Count += uint32(len(callerEvent.Tokens))
 	} else {
 		w.segments = append(w.segments, state.Segment{
-			Version: received.Version, First: uint32(w.tokens), Count: uint32(len(received.Tokens)),
+			Version: callerEvent.Version, First: uint32(w.tokens), Count: uint32(len(callerEvent.Tokens)),
 		})
 	}
-	w.tokens += len(received.Tokens)
-	text := TokenText(received.Tokens)
+	w.tokens += len(callerEvent.Tokens)
+	text := TokenText(callerEvent.Tokens)
 	if !w.stream {
 		w.text.WriteString(text)
 		return
@@ -313,14 +313,14 @@
 	}
 }
 
-func (w *completionWriter) finish(received node.CallerEvent) {
+func (w *completionWriter) finish(callerEvent node.CallerEvent) {
 	w.extendWriteDeadline()
-	if received.Outcome != protocol.OutcomeAnswered {
+	if callerEvent.Outcome != protocol.OutcomeAnswered {
 		if w.started {
-			w.writeEvent(callerError{Error: errorDetail(received)})
+			w.writeEvent(callerError{Error: errorDetail(callerEvent)})
 			return
 		}
-		writeFailure(w.response, received)
+		writeFailure(w.response, callerEvent)
 		return
 	}
 	final := completionResponse{
@@ -347,34 +347,34 @@
 	return converted
 }
 
-func errorDetail(received node.CallerEvent) callerErrorDetail {
+func errorDetail(callerEvent node.CallerEvent) callerErrorDetail {
 	message := "the request did not run anywhere"
-	if received.Outcome == protocol.OutcomeUnknown {
+	if callerEvent.Outcome == protocol.OutcomeUnknown {
 		message = "the request may have run, wholly or in part"
 	}
 	return callerErrorDetail{
-		Outcome: received.Outcome.String(), Reason: string(received.Reason), Message: message,
-		RetryAfterMilliseconds: received.RetryAfterMillis,
+		Outcome: callerEvent.Outcome.String(), Reason: string(callerEvent.Reason), Message: message,
+		RetryAfterMilliseconds: callerEvent.RetryAfterMillis,
 	}
 }
 
 // writeFailure writes the error response of a request that failed, with the
 // suggested retry delay.
-func writeFailure(response http.ResponseWriter, received node.CallerEvent) {
+func writeFailure(response http.ResponseWriter, callerEvent node.CallerEvent) {
 	status := http.StatusServiceUnavailable
 	switch {
-	case received.Reason == protocol.ReasonUnknownPool:
+	case callerEvent.Reason == protocol.ReasonUnknownPool:
 		status = http.StatusNotFound
-	case received.Reason == protocol.ReasonIdentityReused:
+	case callerEvent.Reason == protocol.ReasonIdentityReused:
 		status = http.StatusConflict
-	case received.Reason == protocol.ReasonQueueFull:
+	case callerEvent.Reason == protocol.ReasonQueueFull:
 		status = http.StatusTooManyRequests
-	case received.Reason == protocol.ReasonDeadline:
+	case callerEvent.Reason == protocol.ReasonDeadline:
 		status = http.StatusGatewayTimeout
-	case received.Outcome == protocol.OutcomeUnknown:
+	case callerEvent.Outcome == protocol.OutcomeUnknown:
 		status = http.StatusBadGateway
 	}
-	writeError(response, status, errorDetail(received))
+	writeError(response, status, errorDetail(callerEvent))
 }
 
 const millisPerSecond = 1000
--- a/server/control.go
+++ b/server/control.go
@@ -29,11 +29,11 @@
 	heartbeatTicks  = 2
 	maxAppendBytes  = 4 << 20
 	reconcileMillis = 200
-	// platformInterval is the time between reads of the platform's engine list.
-	platformInterval = time.Second
-	platformTimeout  = 2 * time.Second
-	joinInterval     = time.Second
-	shutdownTimeout  = 5 * time.Second
+	// platformPollInterval is the time between reads of the platform's engine list.
+	platformPollInterval = time.Second
+	platformTimeout      = 2 * time.Second
+	joinInterval         = time.Second
+	shutdownTimeout      = 5 * time.Second
 	// transferTimeout is how long a graceful shutdown waits for the transfer of leadership.
 	transferTimeout = 2 * time.Second
 )
@@ -126,7 +126,7 @@
 	httpServer := newHTTPServer(c.routes())
 	serverFailed := serveHTTP(httpServer, listener, c.logger)
 	go c.pollPlatform(ctx)
-	go c.askToJoin(ctx)
+	go c.requestJoin(ctx)
 	go func() {
 		select {
 		case <-ctx.Done():
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// call runs the function, which starts a request with the ID, in the loop and waits for the reply. It
-// returns false if the context or the loop ends first.
+// call runs the function in the event loop with a new ID, and waits for the reply with this ID. It returns
+// false if the context or the loop ends first.
 func (c *Control) call(ctx context.Context, request func(id uint64)) (control.Reply, bool) {
 	replies := make(chan control.Reply, 1)
 	var id uint64
@@ -252,7 +252,7 @@
 	if c.settings.PlatformURL == "" {
 		return
 	}
-	ticker := time.NewTicker(platformInterval)
+	ticker := time.NewTicker(platformPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -287,8 +287,8 @@
 	c.loop.Submit(func() { c.core.ListEngines(c.clock(), engines) })
 }
 
-// askToJoin asks the members in turn until this replica is a member.
-func (c *Control) askToJoin(ctx context.Context) {
+// requestJoin asks the members in turn for admission until this replica is a member.
+func (c *Control) requestJoin(ctx context.Context) {
 	for round := 0; len(c.join) > 0; round++ {
 		isMember, ok := eventloop.Call(c.loop, func() bool {
 			_, found := c.core.Raft().Membership().Member(c.core.Raft().ID())
@@ -326,7 +326,7 @@
 	c.status.Store(status)
 }
 
-func getJSON(ctx context.Context, url string, into any) error {
+func getJSON(ctx context.Context, url string, target any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -336,5 +336,5 @@
 		return err
 	}
 	defer response.Body.Close()
-	return json.NewDecoder(response.Body).Decode(into)
+	return json.NewDecoder(response.Body).Decode(target)
 }
--- a/server/copy_age.go
+++ b/server/copy_age.go
@@ -11,15 +11,15 @@
 	refreshTimeout = 250 * time.Millisecond
 	// sendMargin is reserved for sending the request to the backend over a new connection.
 	sendMargin = 300 * time.Millisecond
-	// refreshAhead is how long before its limit a copy is refreshed, so that requests rarely wait for
-	// it, and ageCheckInterval the time between two checks of its age.
+	// refreshAhead is how long before its maximum age a copy is refreshed, so that requests rarely wait for a
+	// refresh. ageCheckInterval is the time between two checks of the age.
 	refreshAhead     = refreshTimeout + ageCheckInterval
 	ageCheckInterval = 200 * time.Millisecond
-	// unansweredTTL is how long an unanswered refresh counts. The next one may start after
-	// refreshBackoff, without callers that wait for it, to limit the load of many processes on a
-	// directory without a leader.
-	unansweredTTL  = 1200 * time.Millisecond
-	refreshBackoff = 600 * time.Millisecond
+	// refreshFailureTTL is how long after a failed refresh the directory counts as unreachable. After
+	// refreshBackoff, the next refresh may start in the background. This limits the load of many processes on
+	// a directory without a leader.
+	refreshFailureTTL = 1200 * time.Millisecond
+	refreshBackoff    = 600 * time.Millisecond
 )
 
 // copyState classifies a copy of the directory by its age.
@@ -32,7 +32,7 @@
 	copyAging
 	// copyStale: the copy must be refreshed before use.
 	copyStale
-	// copyUnreachable: the copy is stale, and no replica answered the last refresh.
+	// copyUnreachable: the copy is stale, and a refresh has failed recently.
 	copyUnreachable
 )
 
@@ -45,9 +45,9 @@
 type copyAge struct {
 	// limit is the maximum age, including sendMargin; 0 for none.
 	limit time.Duration
-	// confirmedAt is the latest time at which the copy is known to have been complete, and
-	// unansweredAt when the last refresh failed, or 0 if one has succeeded since.
-	confirmedAt, unansweredAt atomic.Int64
+	// confirmedAt is the latest time at which the copy is known to have been complete. failedAt is when the
+	// last refresh failed, or 0 if one has succeeded since.
+	confirmedAt, failedAt atomic.Int64
 }
 
 // state returns the copy's state.
@@ -61,18 +61,18 @@
 		return copyFresh
 	case age <= maxAge:
 		return copyAging
-	case a.isUnanswered(now, unansweredTTL):
+	case a.hasFailedWithin(now, refreshFailureTTL):
 		return copyUnreachable
 	}
 	return copyStale
 }
 
 // mayRefresh reports whether a background refresh may start.
-func (a *copyAge) mayRefresh(now int64) bool { return !a.isUnanswered(now, refreshBackoff) }
+func (a *copyAge) mayRefresh(now int64) bool { return !a.hasFailedWithin(now, refreshBackoff) }
 
-// isUnanswered reports whether the last refresh failed, and did so within the duration before now.
-func (a *copyAge) isUnanswered(now int64, within time.Duration) bool {
-	at := a.unansweredAt.Load()
+// hasFailedWithin reports whether the last refresh failed, within the duration before now.
+func (a *copyAge) hasFailedWithin(now int64, within time.Duration) bool {
+	at := a.failedAt.Load()
 	return at > 0 && now-at <= within.Milliseconds()
 }
 
@@ -86,12 +86,12 @@
 	}
 }
 
-// recordUnanswered records a failed refresh.
-func (a *copyAge) recordUnanswered(now int64) { a.unansweredAt.Store(now) }
+// recordFailure records a failed refresh.
+func (a *copyAge) recordFailure(now int64) { a.failedAt.Store(now) }
 
-// recordAnswered records the success of a refresh that started at the time.
-func (a *copyAge) recordAnswered(startedAt int64) {
-	a.unansweredAt.Store(0)
+// recordSuccess records the success of a refresh that started at the time.
+func (a *copyAge) recordSuccess(startedAt int64) {
+	a.failedAt.Store(0)
 	a.recordConfirmed(startedAt)
 }
 
@@ -104,11 +104,11 @@
 // can have sent one: one interval per keepalive after the watch was requested. Times are in milliseconds.
 type watchTracker struct {
 	address string
-	// confirmingSince is when the replica was first heard. It may hold watches for a short time before its
-	// state is confirmed. 0 if it was not heard yet.
+	// confirmingSince is when the first data arrived from the replica, or 0 if none has. The replica may
+	// serve watches for a short time after that without a confirmation of its state.
 	confirmingSince int64
-	// requestedAt is when the watch was requested, keepalives counts its keepalives, and sentAfter is a
-	// time before the latest keepalive of any watch was sent.
+	// requestedAt is when the watch was requested, keepalives counts its keepalives, and sentAfter is the
+	// earliest time at which the latest keepalive of any watch can have been sent.
 	requestedAt, keepalives, sentAfter int64
 }
 
@@ -136,8 +136,8 @@
 	return t.sentAfter - maxKeepaliveAge.Milliseconds(), t.sentAfter-t.confirmingSince >= maxKeepaliveAge.Milliseconds()
 }
 
-// recordReceived records that data arrived from the replica. After a time without watches, confirmingSince
-// starts over.
+// recordReceived records that data arrived from the replica. After more than readConfirmLinger without
+// keepalives, confirmingSince is set again.
 func (t *watchTracker) recordReceived(now int64) {
 	if t.keepalives == 0 && (t.confirmingSince == 0 || now-t.sentAfter > readConfirmLinger.Milliseconds()) {
 		t.confirmingSince = now
--- a/server/copy_age_test.go
+++ b/server/copy_age_test.go
@@ -18,29 +18,29 @@
 	freshAge := maxAge - refreshAhead.Milliseconds()
 	for name, test := range map[string]struct {
 		age int64
-		// unanswered is how long ago a refresh failed, or -1 if none did.
-		unanswered int64
+		// failedAgo is how long ago a refresh failed, or -1 if none did.
+		failedAgo  int64
 		state      copyState
 		mayRefresh bool
 	}{
-		"fresh":                      {freshAge, -1, copyFresh, true},
-		"aging":                      {freshAge + 1, -1, copyAging, true},
-		"aging and unreachable":      {maxAge, 0, copyAging, false},
-		"stale":                      {maxAge + 1, -1, copyStale, true},
-		"unreachable":                {maxAge + 1, 0, copyUnreachable, false},
-		"unreachable after backoff":  {maxAge + 1, refreshBackoff.Milliseconds() + 1, copyUnreachable, true},
-		"unanswered refresh expired": {maxAge + 1, unansweredTTL.Milliseconds() + 1, copyStale, true},
+		"fresh":                     {freshAge, -1, copyFresh, true},
+		"aging":                     {freshAge + 1, -1, copyAging, true},
+		"aging and unreachable":     {maxAge, 0, copyAging, false},
+		"stale":                     {maxAge + 1, -1, copyStale, true},
+		"unreachable":               {maxAge + 1, 0, copyUnreachable, false},
+		"unreachable after backoff": {maxAge + 1, refreshBackoff.Milliseconds() + 1, copyUnreachable, true},
+		"failure expired":           {maxAge + 1, refreshFailureTTL.Milliseconds() + 1, copyStale, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			age := copyAge{limit: testCopyLimit}
 			age.recordConfirmed(start)
 			now := start + test.age
-			if test.unanswered >= 0 {
-				age.recordUnanswered(now - test.unanswered)
+			if test.failedAgo >= 0 {
+				age.recordFailure(now - test.failedAgo)
 			}
 			require.Equal(t, test.state, age.state(now), age.state(now).String())
 			require.Equal(t, test.mayRefresh, age.mayRefresh(now))
-			age.recordAnswered(now)
+			age.recordSuccess(now)
 			age.recordConfirmed(start)
 			require.Equal(t, copyFresh, age.state(now), "the latest confirmation is kept")
 		})
--- a/server/copy_refresh.go
+++ b/server/copy_refresh.go
@@ -20,7 +20,7 @@
 	maxCopyWait = 80 * time.Millisecond
 )
 
-// copyRefresh is a request for the changes that the copy lacks, shared by all callers that wait for it.
+// copyRefresh is a running refresh of the copy. All callers that need one wait for the same refresh.
 type copyRefresh struct {
 	// startedAt is a reading of package clock.
 	startedAt time.Time
@@ -54,8 +54,8 @@
 	return state
 }
 
-// keepFresh checks the copy's age periodically until the context ends, and refreshes it before requests
-// would have to wait for that.
+// keepFresh checks the copy's age periodically until the context ends, and refreshes the copy before requests
+// have to wait for a refresh.
 func (w *Watcher) keepFresh(ctx context.Context) {
 	every(ctx, ageCheckInterval, func() {
 		if w.Catalog().Revision > 0 && w.age.state(nowMillis()) != copyFresh {
@@ -75,15 +75,15 @@
 func (w *Watcher) startRefresh() *copyRefresh {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.inFlight == nil {
-		w.inFlight = &copyRefresh{startedAt: clock.Now(), done: make(chan struct{})}
-		go w.runRefresh(w.inFlight)
+	if w.runningRefresh == nil {
+		w.runningRefresh = &copyRefresh{startedAt: clock.Now(), done: make(chan struct{})}
+		go w.runRefresh(w.runningRefresh)
 	}
-	return w.inFlight
+	return w.runningRefresh
 }
 
-// runRefresh updates the copy to all that the directory had acknowledged when the refresh started, within
-// refreshTimeout.
+// runRefresh updates the copy to everything that the directory had acknowledged when the refresh started. It
+// takes at most refreshTimeout.
 func (w *Watcher) runRefresh(refresh *copyRefresh) {
 	ctx, cancel := context.WithTimeout(context.Background(), refreshTimeout)
 	defer cancel()
@@ -91,7 +91,7 @@
 		w.recordRefreshFailure(err)
 	}
 	w.mutex.Lock()
-	w.inFlight = nil
+	w.runningRefresh = nil
 	w.mutex.Unlock()
 	close(refresh.done)
 }
@@ -103,7 +103,7 @@
 	if w.age.state(now) > copyAging && w.isDisconnected.CompareAndSwap(false, true) {
 		event.CopyStale.On(w.logger).Uint("revision", w.Catalog().Revision).Int("age_ms", now-w.age.confirmedAt.Load()).Err(err).Send()
 	}
-	w.age.recordUnanswered(now)
+	w.age.recordFailure(now)
 	// Idle connections may be broken as well.
 	w.client.CloseIdleConnections()
 }
@@ -120,7 +120,7 @@
 			// The watch has updated the copy in the meantime.
 			continue
 		}
-		w.age.recordAnswered(startedAt)
+		w.age.recordSuccess(startedAt)
 		w.refreshes.Add(1)
 		w.isDisconnected.Store(false)
 		event.CopyRefreshed.On(w.logger).Int("age_ms", startedAt-confirmedAt).Uint("from", base.Revision).Uint("revision", w.Catalog().Revision).Send()
@@ -176,8 +176,8 @@
 	return directory.Delta{}, err
 }
 
-// confirmsCopy reports whether the answer shows that the copy is complete. It serves leaders of an earlier
-// build, which answer with the confirmed revision only.
+// confirmsCopy reports whether the answer shows that the copy is complete. It handles answers of leaders of
+// an earlier build, which contain only the confirmed revision.
 func confirmsCopy(answer directoryAnswer, base *directory.Catalog) bool {
 	return answer.Revision > 0 && answer.Revision <= base.Revision
 }
--- a/server/directory.go
+++ b/server/directory.go
@@ -25,12 +25,12 @@
 const (
 	directoryCallPath  = "/internal/directory/call"
 	directoryWatchPath = "/internal/directory/watch"
-	// plainWatchTimeout bounds a watch without keepalives.
+	// plainWatchTimeout limits the duration of a watch without keepalives.
 	plainWatchTimeout = 2 * time.Second
 	// reviewInterval is the time between two reviews by the leader.
 	reviewInterval = 250 * time.Millisecond
-	// silentHeartbeats and removalHeartbeats are the numbers of missed heartbeats after which a backend
-	// counts as silent, and is removed.
+	// silentHeartbeats is the number of missed heartbeats after which a backend counts as silent, and
+	// removalHeartbeats the number after which it is removed.
 	silentHeartbeats  = 4
 	removalHeartbeats = 20
 	// permanentRemovalHeartbeats replaces removalHeartbeats while a removed backend cannot return.
@@ -47,12 +47,12 @@
 	Backend directory.Backend `cbor:"1,keyasint"`
 	// Sequence increases with every heartbeat of an incarnation.
 	Sequence uint64 `cbor:"2,keyasint"`
-	// Unread is set if part of the models could not be read: registered models that are not listed here
-	// are kept.
+	// Unread is set if some models could not be read. Registered models that are not listed here stay
+	// registered.
 	Unread bool `cbor:"3,keyasint,omitempty"`
 }
 
-// mergeRegisteredModels adds the registered models that a partly unread heartbeat does not list.
+// mergeRegisteredModels adds the registered models that a heartbeat with Unread does not list.
 func (h *Heartbeat) mergeRegisteredModels(registered directory.Backend) {
 	if !h.Unread || registered.ID != h.Backend.ID {
 		return
@@ -98,19 +98,17 @@
 	suspects suspectTracker
 	// clockSentAt is when this machine's clock was last sent to the leader. It is used only by review.
 	clockSentAt time.Time
-	// reportedAt is when the newest call began that reported heard backends to the leader, in
-	// milliseconds.
+	// reportedAt is the start time, in milliseconds, of the newest call that reported backends to the leader.
 	reportedAt atomic.Int64
 
 	mutex   sync.Mutex
 	serving bool
-	// newestStoreAt and firstStoreAt are when the newest and the first store registered in this
+	// newestStoreAt and firstStoreAt are when the newest and the first store registered during this
 	// leadership.
 	newestStoreAt, firstStoreAt time.Time
 }
 
-// NewDirectory opens the replica's data folder or creates it. The client, which may be nil, makes the
-// calls that only one process at a time may make.
+// NewDirectory opens the replica's data folder or creates it. The client sends duty calls; it may be nil.
 func NewDirectory(settings config.Directory, seeds *Seeds, client DutyClient, logger *zerolog.Logger) (*Directory, error) {
 	machine := directory.NewMachine()
 	members, identity := initialDirectoryMembers(settings)
@@ -140,8 +138,8 @@
 	return d, nil
 }
 
-// initialDirectoryMembers returns the initial members of the group and this process's ID among them. Both
-// are empty unless this is the first start of the whole system.
+// initialDirectoryMembers returns the initial members of the group and this process's ID among them. Both are
+// empty unless this is the first start of the system.
 func initialDirectoryMembers(settings config.Directory) (consensus.Membership, consensus.ReplicaID) {
 	if !settings.FirstStart {
 		return consensus.Membership{}, consensus.None
--- a/server/directory_call.go
+++ b/server/directory_call.go
@@ -26,7 +26,8 @@
 	Retired string                      `cbor:"7,keyasint,omitempty"`
 	Store   *directory.Store            `cbor:"8,keyasint,omitempty"`
 	Report  *directory.Group            `cbor:"9,keyasint,omitempty"`
-	// Heard are the IDs of backends that another replica has heard from. It comes with Clock or Newest.
+	// Heard are the IDs of backends that another replica has received heartbeats from. It accompanies Clock
+	// or Newest.
 	Heard []string `cbor:"10,keyasint,omitempty"`
 	// Newest asks for the revision that a quorum has confirmed.
 	Newest bool       `cbor:"11,keyasint,omitempty"`
@@ -39,7 +40,7 @@
 	Heartbeats []Heartbeat `cbor:"17,keyasint,omitempty"`
 	// Demands are those of the ledger's leader, by service.
 	Demands []capacity.Demand `cbor:"19,keyasint,omitempty"`
-	// Missed comes with Newest, and asks for the changes up to that revision that a copy lacks.
+	// Missed accompanies Newest, and asks for the changes up to that revision that a copy lacks.
 	Missed *missedCall `cbor:"18,keyasint,omitempty"`
 	// Says is the version report of the replica that sends Clock.
 	Says *upgrade.VersionReport `cbor:"20,keyasint,omitempty"`
@@ -117,7 +118,7 @@
 	return callDirectory(ctx, d.client, status.Leader, call)
 }
 
-// callDirectory sends the call to the replica at the address.
+// callDirectory sends the call to the replica at the address and returns its answer.
 func callDirectory(ctx context.Context, client *http.Client, address string, call directoryCall) (directoryAnswer, error) {
 	var answer directoryAnswer
 	data, err := replica.PostInternal(ctx, client, "http://"+address+directoryCallPath, encodeInternal(call))
@@ -156,7 +157,7 @@
 }
 
 func (d *Directory) dispatch(ctx context.Context, call directoryCall, answer *directoryAnswer) error {
-	d.heartbeats.recordHeard(clock.Now(), call.Heard)
+	d.heartbeats.recordReported(clock.Now(), call.Heard)
 	var err error
 	switch {
 	case call.Heartbeats != nil:
--- a/server/directory_review.go
+++ b/server/directory_review.go
@@ -12,6 +12,7 @@
 	"github.com/dillchute/dillchute/event"
 )
 
+// sameRegistration reports whether a heartbeat's backend does not change its registration.
 func sameRegistration(registered, backend directory.Backend) bool {
 	if len(registered.Models) != len(backend.Models) {
 		return false
@@ -26,7 +27,7 @@
 		registered.Slots == backend.Slots && (registered.Draining || !backend.Draining) && !registered.Silent
 }
 
-// review runs the leader's periodic checks while this replica leads, and reports to the leader otherwise.
+// review periodically runs the leader's checks if this replica leads, and otherwise reports to the leader.
 func (d *Directory) review(ctx context.Context) {
 	every(ctx, reviewInterval, func() {
 		serving := d.replica.Status().Serving
@@ -34,7 +35,7 @@
 		d.duties.observeActions()
 		d.versions.updateInUse()
 		if !serving {
-			d.reportHeard(ctx)
+			d.reportToLeader(ctx)
 			return
 		}
 		limited, cancel := context.WithTimeout(ctx, time.Second)
@@ -43,13 +44,13 @@
 	})
 }
 
-// reviewAsLeader runs the checks that only the leader makes.
+// reviewAsLeader runs the leader's periodic checks.
 func (d *Directory) reviewAsLeader(ctx context.Context) {
 	d.versions.review(ctx)
 	d.reviewBackends(ctx)
 	d.reviewSuspects(ctx)
 	d.formGroup(ctx)
-	if err := d.recordZone(ctx, d.ownZone()); err != nil {
+	if err := d.recordZone(ctx, d.localZone()); err != nil {
 		event.LeaderUpdateFailed.On(d.logger).Err(err).Send()
 	}
 	d.usage.recordClock(d.settings.Name, time.Now().UnixMilli())
--- a/server/directory_watch.go
+++ b/server/directory_watch.go
@@ -15,10 +15,10 @@
 const initialReadTimeout = 600 * time.Millisecond
 
 // serveWatch answers with the changes after a revision as soon as there are any. A replica that knows no
-// leader, or whose read confirmation is too old, rejects the watch, so that the watcher asks another
-// replica.
-// A watcher without a copy gets nothing older than the revision that a quorum confirms after its request,
-// so that a restarted process never acts on an outdated state.
+// leader, or whose read confirmation is too old, rejects the watch, so that the watcher asks another replica.
+//
+// The answer to a watcher without a copy includes at least the revision that a quorum confirms after the
+// request, so that a restarted process never acts on an outdated state.
 func (d *Directory) serveWatch(response http.ResponseWriter, request *http.Request) {
 	since, err := strconv.ParseUint(request.URL.Query().Get("since"), 10, 64)
 	if err != nil {
@@ -46,15 +46,15 @@
 	d.answerWatch(request.Context(), answer, watch, minRevision)
 }
 
-// isScopeCurrent reports whether the watcher has the backends that are in its scope now. If not, it is
-// answered at once, even if the revision is the same.
+// isScopeCurrent reports whether the watcher's copy has the backends of its current scope. If not, the watch
+// is answered at once, even if the revision is the same.
 func (d *Directory) isScopeCurrent(watch directory.Watch) bool {
 	isCurrent := false
 	d.replica.Do(func() { isCurrent = d.machine.IsScopeCurrent(watch) })
 	return isCurrent
 }
 
-// initialRevision returns the least revision with which to answer a watcher that has no copy.
+// initialRevision returns the minimum revision of an answer to a watcher without a copy.
 func (d *Directory) initialRevision(ctx context.Context, answer *watchAnswer) (uint64, error) {
 	if !d.replica.Status().LeaderKnown {
 		return 0, replica.ErrUnavailable.New("no leader is known")
@@ -97,8 +97,8 @@
 			case !response.isValid:
 				answer.reject("the replica has stopped")
 				return
-			case response.empty:
-				// The watcher misses nothing up to this revision.
+			case response.isEmpty:
+				// The watcher lacks no changes up to this revision.
 				watch.Since, minRevision = response.revision, response.revision+1
 			case response.revision >= minRevision:
 				answer.sendEncoded(response.body)
@@ -138,7 +138,7 @@
 	watchCanceled
 	// watchSuspended: this replica may be stale.
 	watchSuspended
-	// watchTimedOut: the watch has reached its timeout, or the watcher knows other members.
+	// watchTimedOut: the watch has reached its timeout, or the watcher's members are outdated.
 	watchTimedOut
 )
 
@@ -165,8 +165,8 @@
 	}
 }
 
-// membersDiffer reports whether the watcher knows other members than this replica, if this replica is
-// known to be up to date.
+// membersDiffer reports whether the watcher's members differ from this replica's. It returns false unless
+// this replica is known to be up to date.
 func (d *Directory) membersDiffer(answer *watchAnswer) bool {
 	return answer.members != "" && answer.members != membersDigest(d.replica.Status().Members) && d.confirmations.isFresh(clock.Now())
 }
--- a/server/directory_watch_test.go
+++ b/server/directory_watch_test.go
@@ -34,8 +34,8 @@
 	firstIndex = 2
 )
 
-// scriptedLeader stands in for the leader of a directory of two replicas. It sends entries as a test
-// wants, and answers calls with a revision.
+// scriptedLeader is a fake leader of a directory with two replicas. It sends the entries that a test chooses,
+// and answers calls with a revision.
 type scriptedLeader struct {
 	address  string
 	follower string
@@ -77,9 +77,9 @@
 		}
 		writeCBOR(response, directoryAnswer{Leader: leader.address, Revision: leader.revision.Load()})
 	})
-	served := newHTTPServer(router)
-	go served.Serve(listener)
-	t.Cleanup(func() { served.Close() })
+	httpServer := newHTTPServer(router)
+	go httpServer.Serve(listener)
+	t.Cleanup(func() { httpServer.Close() })
 	return leader
 }
 
--- a/server/duty_coordinator.go
+++ b/server/duty_coordinator.go
@@ -20,8 +20,8 @@
 
 // Outcomes of duty calls.
 const (
-	// DutyTaken means that the call was accepted, now or earlier.
-	DutyTaken DutyOutcome = iota + 1
+	// DutyAccepted means that the call was accepted, now or earlier.
+	DutyAccepted DutyOutcome = iota + 1
 	// DutyBusy means that the call was not accepted and may be retried later.
 	DutyBusy
 	// DutyUnanswered means that the call may have been accepted.
@@ -82,9 +82,9 @@
 	return status.Serving && status.Term == term && elapsed <= duty.MaxStartDelay
 }
 
-// act records that this process is about to act on the subject, executes the commands and then calls
-// send. Each command is a separate log entry because earlier builds do not support batches. If recording
-// takes too long nothing is sent, because another process may act by then.
+// act records that this process is about to act on the subject, executes the commands and then calls send.
+// Each command is a separate log entry because earlier builds do not support batches. If recording takes too
+// long, nothing is sent, because another process may act by then.
 func (d *dutyCoordinator) act(subject string, commands []directory.Command, send func(ctx context.Context, send DutySend) DutyOutcome) (DutyOutcome, error) {
 	d.sleep(d.pacer.Reserve(nowMillis(), d.settings.MinDutyInterval()))
 	term := d.replica.Status().Term
--- a/server/duty_coordinator_test.go
+++ b/server/duty_coordinator_test.go
@@ -35,9 +35,9 @@
 		d.replica.Do(func() { recorded = append(recorded, len(d.machine.Actions())) })
 	}
 	for _, subject := range []string{"one", "two", "three"} {
-		outcome, err := d.duties.act(subject, nil, func(context.Context, DutySend) DutyOutcome { return DutyTaken })
+		outcome, err := d.duties.act(subject, nil, func(context.Context, DutySend) DutyOutcome { return DutyAccepted })
 		require.NoError(t, err)
-		require.Equal(t, DutyTaken, outcome)
+		require.Equal(t, DutyAccepted, outcome)
 	}
 	require.Len(t, waits, 3)
 	require.Zero(t, waits[0])
@@ -53,7 +53,7 @@
 	before := d.Status().Commit
 	order := newOrder(3)
 	_, err := d.duties.act("one", []directory.Command{{Order: &order}}, func(context.Context, DutySend) DutyOutcome {
-		return DutyTaken
+		return DutyAccepted
 	})
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, d.Status().Commit, before+2)
--- a/server/feed.go
+++ b/server/feed.go
@@ -10,19 +10,18 @@
 )
 
 const (
-	// minFeedInterval is the least time between two rounds of answers to watchers, and
-	// feedIntervalPerWatcher what each watcher adds: while thousands of backends register, a replica
-	// sends at most about 200 answers a second. Urgent changes do not wait; see
-	// directory.Machine.UrgentRevision.
+	// minFeedInterval is the minimum time between two rounds of answers to watchers, and
+	// feedIntervalPerWatcher is added for each watcher. This limits a replica to about 200 answers a second
+	// while thousands of backends register. Urgent changes do not wait; see directory.Machine.UrgentRevision.
 	minFeedInterval        = 10 * time.Millisecond
 	feedIntervalPerWatcher = 5 * time.Millisecond
-	// maxFeedInterval bounds the interval on a replica with many watchers, so that changes are known
-	// within a second.
+	// maxFeedInterval limits the interval on a replica with many watchers, so that changes reach them within
+	// a second.
 	maxFeedInterval = 250 * time.Millisecond
 )
 
-// feed holds the state that watchers are sent, as of the newest round, with the answers encoded so far.
-// Watchers at the same revision share one answer. It may be used concurrently.
+// feed holds the newest round of the state that watchers receive, with its encoded answers. Watchers at the
+// same revision share one answer. It is safe for concurrent use.
 type feed struct {
 	mutex sync.Mutex
 	round *feedRound
@@ -49,10 +48,10 @@
 // feedAnswer is an encoded delta, built once.
 type feedAnswer struct {
 	once sync.Once
-	// revision is the watcher's revision after the delta, and empty is set if the delta changes nothing
-	// else.
+	// revision is the watcher's revision after the delta, and isEmpty is set if the delta changes nothing
+	// else. isValid is false if the replica has stopped.
 	revision uint64
-	empty    bool
+	isEmpty  bool
 	body     []byte
 	isValid  bool
 }
@@ -70,7 +69,7 @@
 	return f.round
 }
 
-// advance begins a round if the revision is a new one.
+// advance begins a round if the revision has changed.
 func (f *feed) advance(revision uint64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -94,14 +93,14 @@
 	answer.once.Do(func() {
 		var delta directory.Delta
 		if delta, answer.isValid = build(); answer.isValid {
-			answer.revision, answer.empty = delta.Revision, delta.IsEmpty()
+			answer.revision, answer.isEmpty = delta.Revision, delta.IsEmpty()
 			answer.body = encodeInternal(delta)
 		}
 	})
 	return answer
 }
 
-// feedInterval returns the time between two rounds for that many watchers.
+// feedInterval returns the minimum time between two rounds for the number of watchers.
 func feedInterval(watchers int) time.Duration {
 	return min(minFeedInterval+time.Duration(watchers)*feedIntervalPerWatcher, maxFeedInterval)
 }
@@ -117,19 +116,20 @@
 	}
 }
 
-// awaitRound waits for an urgent change, or for any change and the end of the interval.
+// awaitRound waits until the next round is due: after an urgent change, or after any change once the interval
+// has passed.
 func (d *Directory) awaitRound(ctx context.Context, changed <-chan struct{}) {
 	interval := time.NewTimer(feedInterval(d.confirmations.activeWatches()))
 	defer interval.Stop()
-	intervalElapsed, hasChange := false, false
-	for !intervalElapsed || !hasChange {
+	intervalElapsed, hasChanged := false, false
+	for !intervalElapsed || !hasChanged {
 		select {
 		case <-ctx.Done():
 			return
 		case <-interval.C:
 			intervalElapsed = true
 		case <-changed:
-			hasChange = true
+			hasChanged = true
 			changed = d.replica.Changed()
 			if d.hasUrgentChange() {
 				return
@@ -159,7 +159,7 @@
 	}
 }
 
-// answerSince returns the answer to a watch, as of the round.
+// answerSince returns the round's answer to a watch.
 func (d *Directory) answerSince(round *feedRound, watch directory.Watch, members []consensus.Member) *feedAnswer {
 	return round.answer(feedKey{watch: watch, members: membersDigest(members)}, func() (directory.Delta, bool) {
 		var delta directory.Delta
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -14,8 +14,8 @@
 	"github.com/dillchute/dillchute/directory"
 )
 
-// These tests put the load of a fleet on a directory in one process, without backends. They count work,
-// which does not depend on the machine's speed.
+// The test of a fleet runs the replicas of a directory and many watchers in one process, without backends. It
+// counts log entries, because their number does not depend on the machine's speed.
 
 const (
 	fleetReplicas = 3
@@ -34,28 +34,28 @@
 	return replicas
 }
 
-// fleetMember is a running replica of a directory, which can be restarted with the same data folder.
-type fleetMember struct {
+// runningReplica is a replica of a directory that can be restarted with the same data folder.
+type runningReplica struct {
 	directory *Directory
 	settings  config.Directory
 	stop      func()
 }
 
 // startMembers runs the replicas of a directory, and calls prepare for each before it runs.
-func startMembers(t *testing.T, prepare func(number int, d *Directory)) []*fleetMember {
+func startMembers(t *testing.T, prepare func(number int, d *Directory)) []*runningReplica {
 	var listeners []net.Listener
 	var peers []string
 	for range fleetReplicas {
 		listeners = append(listeners, listenLoopback(t))
 		peers = append(peers, listeners[len(listeners)-1].Addr().String())
 	}
-	var members []*fleetMember
+	var members []*runningReplica
 	for number, listener := range listeners {
 		settings := config.DefaultDirectory()
 		settings.Name, settings.Zone = fmt.Sprint("directory-", number), fmt.Sprint("zone-", number)
 		settings.InternalAddress, settings.Peers = peers[number], peers
 		settings.DataFolder, settings.FirstStart = t.TempDir(), true
-		member := &fleetMember{settings: settings}
+		member := &runningReplica{settings: settings}
 		members = append(members, member)
 		member.start(t, listener, func(d *Directory) { prepare(number, d) })
 	}
@@ -63,7 +63,7 @@
 }
 
 // start runs the replica on the listener until it is stopped, at the latest when the test ends.
-func (m *fleetMember) start(t *testing.T, listener net.Listener, prepare func(d *Directory)) {
+func (m *runningReplica) start(t *testing.T, listener net.Listener, prepare func(d *Directory)) {
 	logger := zerolog.Nop()
 	process := m.settings.Process
 	d, err := NewDirectory(m.settings, NewSeeds(process, func() (config.Process, error) { return process, nil }, &logger), nil, &logger)
@@ -80,7 +80,7 @@
 }
 
 // restart stops the replica if it runs, and starts it again with the same data folder.
-func (m *fleetMember) restart(t *testing.T, prepare func(d *Directory)) {
+func (m *runningReplica) restart(t *testing.T, prepare func(d *Directory)) {
 	m.stop()
 	listener, err := net.Listen("tcp", m.settings.InternalAddress)
 	require.NoError(t, err)
@@ -106,9 +106,8 @@
 	return watchers
 }
 
-// TestFleetRegisters checks that thousands of backends can register at all replicas at once: all are
-// answered, the log grows by few entries, and each watcher asks a replica of its zone and learns of the
-// backends in its scope.
+// TestFleetRegisters checks that thousands of backends can register at once with few log entries, and that
+// each watcher prefers a replica of its zone and receives the backends in its scope.
 func TestFleetRegisters(t *testing.T) {
 	replicas := startFleetDirectory(t)
 	isServing := func() bool {
@@ -121,7 +120,7 @@
 	}
 	require.Eventually(t, isServing, waitTimeout, pollInterval)
 	watchers := runWatchers(t, replicas)
-	haveZones := func() bool {
+	haveAllZones := func() bool {
 		for _, w := range watchers {
 			if len(w.Catalog().Zones) < fleetReplicas {
 				return false
@@ -129,17 +128,17 @@
 		}
 		return true
 	}
-	require.Eventually(t, haveZones, waitTimeout, pollInterval)
+	require.Eventually(t, haveAllZones, waitTimeout, pollInterval)
 	before := replicas[0].Status().Commit
 	registerFleet(t, replicas)
 	entries := replicas[0].Status().Commit - before
 	require.Less(t, entries, uint64(fleetBackends/4), "many registrations share an entry")
 	for number, w := range watchers {
-		wanted := fleetBackends
+		expected := fleetBackends
 		if number%2 == 1 {
-			wanted = 0
+			expected = 0
 		}
-		require.Eventually(t, func() bool { return w.Catalog().BackendCount() == wanted }, waitTimeout, pollInterval)
+		require.Eventually(t, func() bool { return w.Catalog().BackendCount() == expected }, waitTimeout, pollInterval)
 		first := w.addresses()[0]
 		require.Equal(t, w.zone, w.Catalog().Zones[first].Zone)
 	}
--- a/server/fresh_client.go
+++ b/server/fresh_client.go
@@ -7,8 +7,8 @@
 	"github.com/dillchute/dillchute/forward"
 )
 
-// freshClient checks a fresh copy of the directory before each send, and sends nothing to backends that
-// have left. A request may be retried long after its backends were selected.
+// freshClient checks a fresh copy of the directory before each send, and sends nothing to backends that are
+// draining or removed. A request may be retried long after its backends were selected.
 type freshClient struct {
 	client  forward.Client
 	watcher *Watcher
--- a/server/gateway.go
+++ b/server/gateway.go
@@ -80,7 +80,8 @@
 	return gateway
 }
 
-// Run follows the directory until the context ends.
+// Run keeps the gateway's copy of the directory up to date and runs its background tasks until the context
+// ends.
 func (g *Gateway) Run(ctx context.Context) {
 	go g.watcher.Run(ctx)
 	go g.watcher.keepFresh(ctx)
@@ -274,9 +275,9 @@
 	return g.ledger.call(callContext, call, wait)
 }
 
-// Results returns a step's number of samples and its results from the position on. If there
-// are none yet, it waits up to the given time. As in SampleBody and EndStep, key is the caller's key, and
-// steps of other tenants are reported as not found.
+// Results returns a step's number of samples and its results from index after on. If there are none yet, it
+// waits up to the given time. As in SampleBody and EndStep, key is the caller's key, and steps of other
+// tenants are reported as not found.
 func (g *Gateway) Results(ctx context.Context, key, step string, after int, wait time.Duration) (int, []ledger.Result, error) {
 	tenant, err := g.Authenticate(ctx, key)
 	if err != nil {
--- a/server/gather.go
+++ b/server/gather.go
@@ -17,7 +17,7 @@
 )
 
 // batcher processes values in batches, to reduce the number of calls and log entries. A value is processed
-// immediately if a worker is available; otherwise it joins the next batch. It may be used concurrently.
+// immediately if a worker is available; otherwise it joins the next batch. It is safe for concurrent use.
 type batcher[T any] struct {
 	process func(ctx context.Context, batch []T) error
 
--- a/server/heartbeat.go
+++ b/server/heartbeat.go
@@ -13,13 +13,13 @@
 	"github.com/dillchute/dillchute/replica"
 )
 
-// heartbeats records when backends were last heard from. A follower collects the backends that it hears
-// from and reports them to the leader.
+// heartbeats records when each backend's last heartbeat arrived, by backend ID. A follower reports to the
+// leader the backends that it has received heartbeats from.
 type heartbeats struct {
-	mutex      sync.Mutex
-	heard      map[string]time.Time
-	sequences  map[string]uint64
-	unreported map[string]bool
+	mutex          sync.Mutex
+	lastHeartbeats map[string]time.Time
+	sequences      map[string]uint64
+	unreported     map[string]bool
 }
 
 func newHeartbeats() *heartbeats {
@@ -28,14 +28,14 @@
 	return h
 }
 
-// reset discards everything, when a leadership begins.
+// reset discards the recorded heartbeats. It is called when a leadership begins.
 func (h *heartbeats) reset() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.heard, h.sequences, h.unreported = map[string]time.Time{}, map[string]uint64{}, map[string]bool{}
+	h.lastHeartbeats, h.sequences, h.unreported = map[string]time.Time{}, map[string]uint64{}, map[string]bool{}
 }
 
-// record records a heartbeat. It returns false if a newer one was recorded before.
+// record records a heartbeat. It returns false without recording it if a newer one is known.
 func (h *heartbeats) record(now time.Time, id string, sequence uint64) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -43,21 +43,21 @@
 		return false
 	}
 	h.sequences[id] = sequence
-	h.heard[id] = now
+	h.lastHeartbeats[id] = now
 	h.unreported[id] = true
 	return true
 }
 
-// recordHeard records the backends that another replica has heard from.
-func (h *heartbeats) recordHeard(now time.Time, ids []string) {
+// recordReported records the backends whose heartbeats another replica has reported.
+func (h *heartbeats) recordReported(now time.Time, ids []string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for _, id := range ids {
-		h.heard[id] = now
+		h.lastHeartbeats[id] = now
 	}
 }
 
-// takeUnreported returns the backends that were not reported to the leader yet, and clears them.
+// takeUnreported returns the backends that are not reported to the leader yet, and marks them as reported.
 func (h *heartbeats) takeUnreported() []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -66,25 +66,27 @@
 	return ids
 }
 
-// excludeStall subtracts a stall of this process from all silences: it could not hear backends meanwhile.
+// excludeStall subtracts a stall of this process from all silences, because it received no heartbeats
+// meanwhile.
 func (h *heartbeats) excludeStall(stall time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for id, heard := range h.heard {
-		h.heard[id] = heard.Add(stall)
+	for id, at := range h.lastHeartbeats {
+		h.lastHeartbeats[id] = at.Add(stall)
 	}
 }
 
-// silence returns the time since the backend was last heard from, or since the first call for it.
+// silence returns the time since the backend's last heartbeat, or since the first call for a backend without
+// one.
 func (h *heartbeats) silence(now time.Time, id string) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	heard, ok := h.heard[id]
+	at, ok := h.lastHeartbeats[id]
 	if !ok {
-		h.heard[id] = now
+		h.lastHeartbeats[id] = now
 		return 0
 	}
-	return now.Sub(heard)
+	return now.Sub(at)
 }
 
 // Heartbeat records a backend's heartbeat, and returns the internal address of the replica to send the
@@ -108,7 +110,7 @@
 // would count the backend as silent.
 const maxReportAgeHeartbeats = 2
 
-// isReportingToLeader reports whether this replica leads, or has lately reported to the leader.
+// isReportingToLeader reports whether this replica leads or has recently reported to the leader.
 func (d *Directory) isReportingToLeader() bool {
 	age := time.Duration(nowMillis()-d.reportedAt.Load()) * time.Millisecond
 	return d.replica.Status().Leading || age <= maxReportAgeHeartbeats*d.settings.HeartbeatInterval
@@ -129,18 +131,18 @@
 func (d *Directory) handleHeartbeats(ctx context.Context, heartbeats []Heartbeat) error {
 	d.checkStall()
 	current := d.recordHeartbeats(heartbeats)
-	states := make([]registrationState, len(current))
+	registrations := make([]registrationState, len(current))
 	if !d.replica.Do(func() {
 		for position, heartbeat := range current {
-			states[position] = d.registrationState(heartbeat.Backend)
+			registrations[position] = d.registrationState(heartbeat.Backend)
 		}
 	}) {
 		return replica.ErrUnavailable.New("the replica has stopped")
 	}
 	var changes []directory.Command
 	for position, heartbeat := range current {
-		heartbeat.mergeRegisteredModels(states[position].registered)
-		if change, isChange := d.registrationCommand(states[position], heartbeat); isChange {
+		heartbeat.mergeRegisteredModels(registrations[position].registered)
+		if change, isChange := d.registrationCommand(registrations[position], heartbeat); isChange {
 			changes = append(changes, change)
 		}
 	}
@@ -174,7 +176,7 @@
 	registered, addressHolder      directory.Backend
 	isRegistered, hasAddressHolder bool
 	// isRemoved is set if the incarnation has left or was removed, and mayReturn if it was removed only
-	// for silence.
+	// because it was silent.
 	isRemoved, mayReturn bool
 }
 
@@ -212,14 +214,14 @@
 	return true
 }
 
-// keepsAddress reports whether the holder keeps its address: it was heard from lately, or it started
+// keepsAddress reports whether the holder keeps its address: it sent a heartbeat recently, or it started
 // after the other backend, which must have ended.
 func (d *Directory) keepsAddress(holder, backend directory.Backend) bool {
 	return backend.Born > 0 && backend.Born < holder.Born || d.heartbeats.silence(clock.Now(), holder.ID) < d.addressHold()
 }
 
-// maxStartTimeSkew is how far a backend's start time may be ahead of this machine's clock. A start time
-// in the far future would keep all later incarnations out.
+// maxStartTimeSkew is how far a backend's start time may be ahead of the true time. After a start time in the
+// far future, later incarnations would be rejected as older.
 const maxStartTimeSkew = time.Minute
 
 // latestStartTime returns the latest valid start time of a backend, in milliseconds since 1970.
@@ -231,11 +233,11 @@
 	return now + maxStartTimeSkew.Milliseconds()
 }
 
-// reportHeard reports to the leader the backends that this replica has heard from, and regularly its
-// clock.
-func (d *Directory) reportHeard(ctx context.Context) {
-	heard := d.heartbeats.takeUnreported()
-	if len(heard) == 0 && time.Since(d.clockSentAt) < clockReportInterval {
+// reportToLeader reports the backends that this replica has received heartbeats from. It also reports this
+// machine's clock, at least every clockReportInterval.
+func (d *Directory) reportToLeader(ctx context.Context) {
+	unreported := d.heartbeats.takeUnreported()
+	if len(unreported) == 0 && time.Since(d.clockSentAt) < clockReportInterval {
 		return
 	}
 	d.clockSentAt = time.Now()
@@ -243,16 +245,16 @@
 	defer cancel()
 	startedAt := nowMillis()
 	// A backend in a lost report is reported again after its next heartbeat.
-	_, err := d.call(limited, directoryCall{Heard: heard, Clock: &clockReading{
-		Machine: d.settings.Name, Millis: time.Now().UnixMilli(), At: d.ownZone(),
-	}, Says: &d.versions.own})
+	_, err := d.call(limited, directoryCall{Heard: unreported, Clock: &clockReading{
+		Machine: d.settings.Name, Millis: time.Now().UnixMilli(), At: d.localZone(),
+	}, Says: &d.versions.localReport})
 	if err == nil {
 		d.recordReport(startedAt)
 	}
 }
 
-// ownZone returns this replica's address and zone.
-func (d *Directory) ownZone() directory.ReplicaZone {
+// localZone returns this replica's address and zone.
+func (d *Directory) localZone() directory.ReplicaZone {
 	return directory.ReplicaZone{Address: d.settings.InternalAddress, Zone: d.settings.Zone}
 }
 
@@ -266,5 +268,5 @@
 	return time.Duration(addressHoldHeartbeats * float64(d.settings.HeartbeatInterval))
 }
 
-// clockReportInterval is the longest time between two reports of a replica's clock.
+// clockReportInterval is the maximum time between two reports of a replica's clock.
 const clockReportInterval = time.Second
--- a/server/heartbeat_test.go
+++ b/server/heartbeat_test.go
@@ -22,7 +22,7 @@
 
 	require.Zero(t, leader.silence(start, "a"))
 	require.Equal(t, time.Minute, leader.silence(start.Add(time.Minute), "a"))
-	leader.recordHeard(start.Add(time.Minute), []string{"a"})
+	leader.recordReported(start.Add(time.Minute), []string{"a"})
 	require.Equal(t, time.Second, leader.silence(start.Add(time.Minute+time.Second), "a"))
 	leader.reset()
 	require.Zero(t, leader.silence(start.Add(time.Hour), "a"))
--- a/server/kind_locks_test.go
+++ b/server/kind_locks_test.go
@@ -15,5 +15,5 @@
 	require.True(t, locks.tryLock("kind"))
 	locks.unlock("kind")
 	locks.unlock("other")
-	require.Empty(t, locks.locked, "unlocked kinds are not kept")
+	require.Empty(t, locks.locked, "unlocked kinds are removed")
 }
--- a/server/node.go
+++ b/server/node.go
@@ -25,11 +25,11 @@
 	nodeTick = 50 * time.Millisecond
 	// incarnationUnit and incarnationMask derive a 31-bit incarnation from the start time. It differs
 	// between starts that are at least one unit apart.
-	incarnationUnit = 100 * time.Millisecond
-	incarnationMask = 1<<31 - 1
-	scoreTimeout    = 5 * time.Second
-	scoreRetry      = 200 * time.Millisecond
-	drainPoll       = 20 * time.Millisecond
+	incarnationUnit   = 100 * time.Millisecond
+	incarnationMask   = 1<<31 - 1
+	scoreTimeout      = 5 * time.Second
+	scoreRetryDelay   = 200 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 )
 
 // Node runs one node.
@@ -160,7 +160,7 @@
 			n.leave()
 			return
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	event.DrainTimedOut.On(n.logger).Str("node", n.settings.ID).Send()
 }
@@ -168,7 +168,7 @@
 func (n *Node) leave() {
 	n.loop.Submit(func() { n.core.Leave(n.now()) })
 	// The message is optional: without it the lease expires. The pause gives the transport time to write it.
-	time.Sleep(drainPoll)
+	time.Sleep(drainPollInterval)
 }
 
 func (n *Node) internalRoutes() http.Handler {
@@ -206,7 +206,7 @@
 		event.ScorerUnreachable.On(n.logger).Err(err).Send()
 		select {
 		case <-n.context.Done():
-		case <-time.After(scoreRetry):
+		case <-time.After(scoreRetryDelay):
 		}
 	}
 }
--- a/server/quarantine.go
+++ b/server/quarantine.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// sendCrashReport sends the pending observations to the directory, and reports whether that succeeded.
-// A process also calls it last in a graceful shutdown.
+// sendCrashReport sends the pending observations to the directory, and reports whether that succeeded. A
+// graceful shutdown calls it for the final report.
 func sendCrashReport(ctx context.Context, guard *quarantine.Guard, watcher *Watcher) bool {
 	report := guard.TakeReport()
 	if report.IsEmpty() {
@@ -125,8 +125,8 @@
 	revision  uint64
 	changedAt time.Time
 	suspect   quarantine.Suspect
-	// thresholdAt is when this leader saw the suspect reach CrashThreshold, or zero. graceCrashes is the
-	// number of later crashes within CrashGracePeriod.
+	// thresholdAt is when this leader observed that the suspect reached CrashThreshold, or zero. graceCrashes
+	// is the number of later crashes within CrashGracePeriod.
 	thresholdAt  time.Time
 	graceCrashes int
 	// pendingTrials counts the offered trials whose crash has not been reported.
@@ -139,16 +139,17 @@
 	return trackedSuspect{pendingTrials: min(suspect.Trials, 1)}
 }
 
-// recordTrials updates pendingTrials with the trials offered and the backends crashed since before.
-func (s *trackedSuspect) recordTrials(before, suspect quarantine.Suspect) {
-	offered := suspect.Trials - before.Trials
-	crashed := len(suspect.Ended) - len(before.Ended)
+// recordTrials updates pendingTrials with the trials offered and the backends crashed since the previous
+// state.
+func (s *trackedSuspect) recordTrials(previous, suspect quarantine.Suspect) {
+	offered := suspect.Trials - previous.Trials
+	crashed := len(suspect.Ended) - len(previous.Ended)
 	s.pendingTrials = max(s.pendingTrials+offered-crashed, 0)
 }
 
-// recordCrashes updates thresholdAt and graceCrashes with the crashes since before.
-func (s *trackedSuspect) recordCrashes(now time.Time, before, suspect quarantine.Suspect) {
-	_, reachedBefore := before.CrashesAfterThreshold()
+// recordCrashes updates thresholdAt and graceCrashes with the crashes since the previous state.
+func (s *trackedSuspect) recordCrashes(now time.Time, previous, suspect quarantine.Suspect) {
+	_, reachedBefore := previous.CrashesAfterThreshold()
 	crashes, reached := suspect.CrashesAfterThreshold()
 	if reached && !reachedBefore {
 		s.thresholdAt = now
@@ -162,7 +163,7 @@
 // those expected of pending trials.
 func (s *trackedSuspect) exemptCrashes() int { return s.graceCrashes - s.pendingTrials }
 
-// due returns the suspects whose trial is to be offered and those to be forgotten, and drops the state of
+// due returns the suspects for which a trial is due and those that are to be forgotten. It drops the state of
 // removed suspects.
 func (c *suspectTracker) due(now time.Time, suspects map[quarantine.Fingerprint]suspectVersion) (offer, forget []directory.SuspectRevision) {
 	tracked := make(map[quarantine.Fingerprint]trackedSuspect, len(suspects))
--- a/server/quarantine_bound_test.go
+++ b/server/quarantine_bound_test.go
@@ -17,9 +17,8 @@
 	"github.com/dillchute/dillchute/runner"
 )
 
-// The model runs the leaders of a ledger, its runners, the directory and engines in random order and virtual
-// time. Some samples crash each engine that runs them, and so end all runs on it. A new leader starts from
-// the directory's record and adopts the running samples.
+// The model runs random events of a ledger's leader, its runners, the directory and engines in virtual time.
+// Some samples crash each engine that runs them, which ends all runs on it.
 
 const (
 	modelEngineCount = 4
@@ -235,7 +234,7 @@
 	}
 }
 
-// changeLeader starts a new leader, which adopts the running samples. It has received the latest directory.
+// changeLeader starts a new leader with the newest copy of the directory, which adopts the running samples.
 func (m *quarantineModel) changeLeader() {
 	m.syncCatalog()
 	m.leader = m.newGuard()
--- a/server/quarantine_simulation_test.go
+++ b/server/quarantine_simulation_test.go
@@ -17,12 +17,10 @@
 	"github.com/dillchute/dillchute/quarantine"
 )
 
-// The simulation runs gateways, the directory and backends in virtual time, with the real code of the
-// directory's machine, the guards, the limit on suspects and the leader's tracker. Crashing requests are
-// repeated at any gateway and crash each backend that runs them, with all requests there; harmless requests
-// arrive all the time. With even seeds there are many crashing contents of one kind; with odd seeds there is
-// one, and all harmless requests are of its kind. Gateways restart and lose their connections to the
-// directory, and its leader changes.
+// The simulation runs gateways, the directory and backends in virtual time, under faults, with the real code
+// of the quarantine. Each crashing request is retried at any gateway and crashes each backend that runs it.
+// With even seeds there are many crashing contents of one kind; with odd seeds there is one, of the kind of
+// the harmless requests.
 
 const (
 	simGateways = 4
@@ -139,7 +137,7 @@
 	heap.Push(&s.events, simEvent{at: s.now + delay, order: s.order, run: run})
 }
 
-func (s *simulation) between(low, high int64) int64 { return low + s.random.Int64N(high-low+1) }
+func (s *simulation) randomBetween(low, high int64) int64 { return low + s.random.Int64N(high-low+1) }
 
 func (s *simulation) time() time.Time { return time.UnixMilli(s.now) }
 
@@ -173,7 +171,7 @@
 
 // syncCatalog updates the gateway's copy of the directory periodically.
 func (s *simulation) syncCatalog(g *simGateway, start int) {
-	s.after(s.between(5, 60), func() {
+	s.after(s.randomBetween(5, 60), func() {
 		if g.starts != start {
 			return
 		}
@@ -186,7 +184,7 @@
 
 // report sends the gateway's reports periodically.
 func (s *simulation) report(g *simGateway, start int) {
-	s.after(s.between(10, 20), func() {
+	s.after(s.randomBetween(10, 20), func() {
 		if g.starts != start {
 			return
 		}
@@ -252,7 +250,7 @@
 	s.register(b, incarnation)
 	if b.keepsAddressAsName && previous.Name != "" {
 		// A heartbeat of the previous incarnation arrives late, before or after this one's.
-		s.after(s.between(0, 3000), func() { s.put(b, previous) })
+		s.after(s.randomBetween(0, 3000), func() { s.put(b, previous) })
 	}
 }
 
@@ -287,7 +285,7 @@
 		}
 		s.after(1, func() { run.onEnd(false) })
 	}
-	s.after(s.between(800, 4000), func() { s.startBackend(b) })
+	s.after(s.randomBetween(800, 4000), func() { s.startBackend(b) })
 }
 
 // send sends a request to up to simAttempts backends, and calls done with whether it got a response.
@@ -299,7 +297,7 @@
 			attempts = 1
 		}
 	}
-	b := s.choose(g, verdict.IsSuspect())
+	b := s.chooseBackend(g, verdict.IsSuspect())
 	if verdict.Quarantined && !trial || attempts == 0 || !b.up || verdict.IsSuspect() && noCapacity {
 		done(false)
 		return
@@ -330,14 +328,14 @@
 		if s.thresholdAt > 0 && s.now > s.thresholdAt+simGracePeriod && s.now >= g.connectedFrom {
 			s.lateSends++
 		}
-		s.after(s.between(20, 150), func() {
+		s.after(s.randomBetween(20, 150), func() {
 			if b.up && b.id == id {
 				s.crash(b)
 			}
 		})
 		return
 	}
-	s.after(s.between(10, 60), func() {
+	s.after(s.randomBetween(10, 60), func() {
 		if b.up && b.id == id && b.runs[run] {
 			delete(b.runs, run)
 			run.onEnd(true)
@@ -345,8 +343,8 @@
 	})
 }
 
-// choose returns a random backend, or for a suspect the first one that is not known to have crashed.
-func (s *simulation) choose(g *simGateway, suspect bool) *simBackend {
+// chooseBackend returns a random backend, or for a suspect the first one that is not known to have crashed.
+func (s *simulation) chooseBackend(g *simGateway, suspect bool) *simBackend {
 	if suspect {
 		crashed := forward.KnownCrashedBackends(g.catalog, g.guard)
 		for _, b := range s.backends {
@@ -361,7 +359,7 @@
 // sendCrashing sends crashing requests periodically.
 func (s *simulation) sendCrashing() {
 	s.send(s.gateways[s.random.IntN(simGateways)], s.randomCrashingSubject(), simAttempts, false, func(bool) {})
-	s.after(s.between(30, 1500), s.sendCrashing)
+	s.after(s.randomBetween(30, 1500), s.sendCrashing)
 }
 
 // sendHarmless sends a harmless request, retries it until it gets a response, and schedules the next one.
@@ -375,12 +373,12 @@
 				delete(s.unserved, subject.Content)
 				return
 			}
-			s.after(s.between(50, 400), attempt)
+			s.after(s.randomBetween(50, 400), attempt)
 		})
 	}
 	attempt()
 	if s.now < simEnd {
-		s.after(s.between(10, 90), func() { s.sendHarmless(number + 1) })
+		s.after(s.randomBetween(10, 90), func() { s.sendHarmless(number + 1) })
 	}
 }
 
@@ -389,14 +387,14 @@
 	g := s.gateways[s.random.IntN(simGateways)]
 	switch s.random.IntN(3) {
 	case 0:
-		g.disconnectedUntil = s.now + s.between(500, 6000)
+		g.disconnectedUntil = s.now + s.randomBetween(500, 6000)
 		g.connectedFrom = g.disconnectedUntil + simMinConnected
 	case 1:
 		s.startGateway(g)
 	case 2:
-		s.tracker, s.leaderSince = suspectTracker{}, s.now+s.between(100, 1500)
+		s.tracker, s.leaderSince = suspectTracker{}, s.now+s.randomBetween(100, 1500)
 	}
-	s.after(s.between(500, 6000), s.fault)
+	s.after(s.randomBetween(500, 6000), s.fault)
 }
 
 func newSimulation(seed uint64) *simulation {
@@ -416,8 +414,8 @@
 	}
 	s.review()
 	s.sendHarmless(0)
-	s.after(s.between(0, 5000), s.sendCrashing)
-	s.after(s.between(0, 5000), s.fault)
+	s.after(s.randomBetween(0, 5000), s.sendCrashing)
+	s.after(s.randomBetween(0, 5000), s.fault)
 	return s
 }
 
@@ -435,9 +433,8 @@
 
 var simSeeds = flag.Uint64("quarantine.seeds", 40, "number of seeds of the quarantine simulation")
 
-// TestQuarantineUnderFaults checks that few crashing requests are sent after the threshold by connected
-// gateways, no suspect is sent while too many backends are known to be unavailable, and each harmless request
-// gets a response in the end.
+// TestQuarantineUnderFaults checks that connected gateways send few crashing requests after the threshold and
+// no suspects while too many backends are unavailable, and that harmless requests get responses.
 func TestQuarantineUnderFaults(t *testing.T) {
 	for seed := range *simSeeds {
 		s := newSimulation(seed)
--- a/server/quarantine_test.go
+++ b/server/quarantine_test.go
@@ -14,10 +14,10 @@
 // leader restarts the delays.
 func TestSuspectTrialAndExpiryTimes(t *testing.T) {
 	now := time.Now()
-	quarantined := quarantine.Suspect{Fingerprint: "held", Crashes: quarantine.CrashThreshold}
-	suspected := quarantine.Suspect{Fingerprint: "doubtful", Crashes: 1}
+	quarantined := quarantine.Suspect{Fingerprint: "quarantined", Crashes: quarantine.CrashThreshold}
+	suspected := quarantine.Suspect{Fingerprint: "suspected", Crashes: 1}
 	suspects := map[quarantine.Fingerprint]suspectVersion{
-		"held": {suspect: quarantined, revision: 1}, "doubtful": {suspect: suspected, revision: 2},
+		"quarantined": {suspect: quarantined, revision: 1}, "suspected": {suspect: suspected, revision: 2},
 	}
 	tracker := suspectTracker{}
 	offer, forget := tracker.due(now, suspects)
@@ -26,14 +26,14 @@
 	now = now.Add(quarantined.TrialDelay(0))
 	offer, forget = tracker.due(now, suspects)
 	require.Len(t, offer, 1)
-	require.Equal(t, quarantine.Fingerprint("held"), offer[0].Fingerprint)
+	require.Equal(t, quarantine.Fingerprint("quarantined"), offer[0].Fingerprint)
 	require.Empty(t, forget)
-	suspects["held"] = suspectVersion{suspect: quarantined.WithTrialOffered(), revision: 3}
+	suspects["quarantined"] = suspectVersion{suspect: quarantined.WithTrialOffered(), revision: 3}
 	offer, _ = tracker.due(now.Add(time.Hour), suspects)
 	require.Empty(t, offer, "the trial is still offered")
 	_, forget = tracker.due(now.Add(quarantine.ForgetAfter), suspects)
 	require.Len(t, forget, 1)
-	require.Equal(t, quarantine.Fingerprint("doubtful"), forget[0].Fingerprint)
+	require.Equal(t, quarantine.Fingerprint("suspected"), forget[0].Fingerprint)
 	nextLeader := suspectTracker{}
 	_, forget = nextLeader.due(now.Add(quarantine.ForgetAfter), suspects)
 	require.Empty(t, forget)
@@ -54,9 +54,9 @@
 		newLeader bool
 		trials    int
 	}{
-		{name: "at once", after: time.Second, trials: 3},
-		{name: "later", after: quarantine.CrashGracePeriod + time.Second, trials: 2},
-		{name: "a new leader", after: time.Second, newLeader: true, trials: 2},
+		{name: "in the grace period", after: time.Second, trials: 3},
+		{name: "after the grace period", after: quarantine.CrashGracePeriod + time.Second, trials: 2},
+		{name: "new leader", after: time.Second, newLeader: true, trials: 2},
 	}
 	for _, test := range cases {
 		now, tracker, revision := time.Now(), suspectTracker{}, uint64(0)
--- a/server/quarantine_trace_test.go
+++ b/server/quarantine_trace_test.go
@@ -105,7 +105,7 @@
 		s.crashEngineAt(engine)
 	}
 	s.advanceReviews(reviewsPerDelay)
-	require.True(s.t, s.send(0, 0, 1), "the first after the threshold is reached")
+	require.True(s.t, s.send(0, 0, 1), "the first send after the threshold is reached")
 	s.crashEngineAt(1)
 	require.True(s.t, s.crashingKind().IsQuarantined())
 }
--- a/server/read_confirmation.go
+++ b/server/read_confirmation.go
@@ -12,11 +12,11 @@
 
 const (
 	// readConfirmInterval is the time between two queries for the newest revision while the replica is
-	// watched, and readConfirmTimeout bounds one of them.
+	// watched, and readConfirmTimeout limits one of them.
 	readConfirmInterval = 400 * time.Millisecond
 	readConfirmTimeout  = 400 * time.Millisecond
-	// maxConfirmationAge is how old the newest confirmation may be that the replica holds everything
-	// acknowledged. It bounds how long a watcher stays with a stale replica, so that changes take effect
+	// maxConfirmationAge is the maximum age of a valid confirmation that the replica holds everything
+	// acknowledged. It limits how long a watcher stays with a stale replica, so that changes take effect
 	// within a second.
 	maxConfirmationAge = 700 * time.Millisecond
 	// confirmationCheckInterval is the time between two checks of the confirmation's age.
@@ -32,17 +32,17 @@
 	revision  uint64
 }
 
-// readConfirmations tracks how long ago the replica is known to have held everything that the directory
-// had acknowledged. Only a replica with a recent confirmation may report that nothing has changed. One
-// query serves all watches; none is sent without watches. It may be used concurrently.
+// readConfirmations tracks the latest time at which the replica is known to have held everything that the
+// directory had acknowledged. Only a replica with a recent confirmation may report that nothing has changed.
+// One query serves all watches; none is sent without watches. It is safe for concurrent use.
 type readConfirmations struct {
 	mutex sync.Mutex
 	// watchCount is the number of open watches, and lastWatchAt when the last one began or ended.
 	watchCount  int
 	lastWatchAt time.Time
-	// activeSince is when the first watch began after a time without any.
+	// activeSince is when the first watch began after readConfirmLinger without any.
 	activeSince time.Time
-	// confirmedAt is when the newest query began whose revision the replica holds, and pending are the
+	// confirmedAt is the start time of the newest query whose revision the replica holds. pending are the
 	// confirmations whose revisions it does not hold yet.
 	confirmedAt time.Time
 	pending     []confirmation
@@ -58,7 +58,7 @@
 	return &readConfirmations{suspended: make(chan struct{})}
 }
 
-// beginWatch counts a watch.
+// beginWatch records the start of a watch.
 func (c *readConfirmations) beginWatch(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -70,7 +70,7 @@
 	c.lastWatchAt = now
 }
 
-// endWatch ends a watch that beginWatch counted.
+// endWatch records the end of a watch.
 func (c *readConfirmations) endWatch(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -89,7 +89,7 @@
 	return c.watchCount > 0 || now.Sub(c.lastWatchAt) < readConfirmLinger
 }
 
-// beginQuery reports whether a query is due, and marks it as running.
+// beginQuery reports whether a query is due, and if so marks it as running.
 func (c *readConfirmations) beginQuery(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -100,7 +100,7 @@
 	return true
 }
 
-// endQuery ends a query that beginQuery started.
+// endQuery records the end of a query.
 func (c *readConfirmations) endQuery() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -192,8 +192,8 @@
 	transition.On(d.logger).Uint("revision", d.revision()).Str("leader", d.replica.Status().Leader).Send()
 }
 
-// confirmRead runs one query. It also reports the backends that this replica has heard from, which saves
-// a call.
+// confirmRead runs one query. It also reports the backends that this replica has received heartbeats from,
+// which saves a call.
 func (d *Directory) confirmRead(ctx context.Context) {
 	defer d.confirmations.endQuery()
 	call := directoryCall{Newest: true}
--- a/server/role_metrics.go
+++ b/server/role_metrics.go
@@ -168,7 +168,7 @@
 	catalog := w.Catalog()
 	gauge(emit, "configuration_version", "The configuration that this process follows.", float64(catalog.Version))
 	gauge(emit, "directory_revision", "The directory's revision that this process knows.", float64(catalog.Revision))
-	gauge(emit, "directory_age_seconds", "Time since the directory last answered.", w.ageSeconds())
+	gauge(emit, "directory_age_seconds", "Time since the directory last answered.", w.syncAgeSeconds())
 	gauge(emit, "copy_age_seconds", "Time since this process's copy of the directory is known to have held everything.", w.copyAgeSeconds())
 	const name, help = "copy_questions_total", "Questions what a copy that grows old misses, by outcome."
 	counter(emit, name, help, w.refreshes.Load(), "outcome", "answered")
--- a/server/scale_controller.go
+++ b/server/scale_controller.go
@@ -196,7 +196,7 @@
 		event.ScalingOrderFinished.On(c.logger).Str("service", order.Target.Service).Str("pool", order.Target.Pool().String()).
 			Uint("count", uint64(order.Target.Count)).Uint("before", uint64(order.Before)).Str("outcome", outcome.String()).Err(err).Send()
 		switch outcome {
-		case DutyTaken:
+		case DutyAccepted:
 			c.recordAnswer(order, capacity.Taken)
 		case DutyExhausted:
 			c.recordAnswer(order, capacity.Exhausted)
--- a/server/scale_controller_test.go
+++ b/server/scale_controller_test.go
@@ -26,14 +26,14 @@
 	answer func(send ScaleSend) DutyOutcome
 }
 
-func (f *fakeDutyClient) SendUsage(context.Context, UsageSend) DutyOutcome { return DutyTaken }
+func (f *fakeDutyClient) SendUsage(context.Context, UsageSend) DutyOutcome { return DutyAccepted }
 
 func (f *fakeDutyClient) SendScale(_ context.Context, send ScaleSend) DutyOutcome {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.sends = append(f.sends, send)
 	if f.answer == nil {
-		return DutyTaken
+		return DutyAccepted
 	}
 	return f.answer(send)
 }
@@ -101,7 +101,7 @@
 	client := &fakeDutyClient{}
 	d, _ := startSingleReplica(t, client, nil)
 	answers := map[DutyOutcome]capacity.Answer{
-		DutyTaken: capacity.Taken, DutyExhausted: capacity.Exhausted, DutyRefused: capacity.Refused,
+		DutyAccepted: capacity.Taken, DutyExhausted: capacity.Exhausted, DutyRefused: capacity.Refused,
 		DutyBusy: capacity.Open, DutyUnanswered: capacity.Open,
 	}
 	number := uint64(0)
@@ -154,7 +154,7 @@
 	client := &fakeDutyClient{answer: func(ScaleSend) DutyOutcome {
 		started <- struct{}{}
 		<-release
-		return DutyTaken
+		return DutyAccepted
 	}}
 	d, _ := startSingleReplica(t, client, nil)
 	defer close(release)
@@ -165,7 +165,7 @@
 		return len(d.scale.demands) == 0
 	}
 	require.Eventually(t, func() bool {
-		d.heartbeats.recordHeard(clock.Now(), []string{"e0", "e1"})
+		d.heartbeats.recordReported(clock.Now(), []string{"e0", "e1"})
 		_, err := d.call(t.Context(), *highDemand())
 		require.NoError(t, err)
 		return len(started) > 0
@@ -198,14 +198,14 @@
 // TestNoOrderIsSentWithoutRecord checks that nothing is sent after the process lost its quorum, or if it
 // stalled after recording the action.
 func TestNoOrderIsSentWithoutRecord(t *testing.T) {
-	machine := &clock.Suspendable{}
-	defer clock.Use(machine)()
+	source := &clock.Suspendable{}
+	defer clock.Use(source)()
 	client := &fakeDutyClient{}
 	d, stop := startSingleReplica(t, client, nil)
 	// The action is recorded, but the suspension exceeds the time limit for sending.
 	subject := scaleSubjectPrefix + "s/z"
 	outcome, err := d.duties.act(subject, []directory.Command{{Order: &capacity.Order{}}}, func(_ context.Context, send DutySend) DutyOutcome {
-		machine.Suspend(time.Minute)
+		source.Suspend(time.Minute)
 		require.Negative(t, clock.Until(send.SendBy), "SendBy must have passed after the suspension")
 		return DutyBusy
 	})
@@ -245,7 +245,7 @@
 		d, _ := startSingleReplica(t, client, func(settings *config.Directory) { settings.HoldOrders = hold })
 		putScaledService(t, d)
 		currentReason := func() capacity.Reason {
-			d.heartbeats.recordHeard(clock.Now(), []string{"e0", "e1"})
+			d.heartbeats.recordReported(clock.Now(), []string{"e0", "e1"})
 			_, err := d.call(t.Context(), *highDemand())
 			require.NoError(t, err)
 			d.scale.mutex.Lock()
--- a/server/seeds.go
+++ b/server/seeds.go
@@ -37,7 +37,7 @@
 	return s
 }
 
-// Addresses returns the addresses that were read last.
+// Addresses returns the addresses of the last successful read.
 func (s *Seeds) Addresses() []string { return *s.addresses.Load() }
 
 // Current returns the addresses after a Refresh. A process calls it when no known address answers.
--- a/server/seeds_test.go
+++ b/server/seeds_test.go
@@ -68,12 +68,12 @@
 	logger := zerolog.Nop()
 	reads := 0
 	seeds := NewSeeds(config.Process{}, func() (config.Process, error) { reads++; return config.Process{}, nil }, &logger)
-	machine := &clock.Suspendable{}
-	defer clock.Use(machine)()
+	source := &clock.Suspendable{}
+	defer clock.Use(source)()
 	seeds.Refresh()
 	seeds.Refresh()
 	require.Equal(t, 1, reads)
-	machine.Suspend(2 * minSeedReloadInterval)
+	source.Suspend(2 * minSeedReloadInterval)
 	seeds.Refresh()
 	require.Equal(t, 2, reads)
 }
--- a/server/stop.go
+++ b/server/stop.go
@@ -15,8 +15,8 @@
 	// readinessDelay is how long new connections may still arrive after a graceful shutdown has begun,
 	// until the load balancer has noticed that the gateway is not ready.
 	readinessDelay = 3500 * time.Millisecond
-	// acceptAllTime is how long after the start of the shutdown requests are accepted whatever their
-	// deadline: the load balancer and callers cannot know of the shutdown yet, and most requests end long
+	// acceptAllTime is how long after the start of the shutdown requests are accepted regardless of their
+	// deadlines: the load balancer and callers cannot know of the shutdown yet, and most requests end long
 	// before their deadlines.
 	acceptAllTime = 3 * time.Second
 	// exitMargin is the part of the grace period reserved after the last request: for minCloseTimeout,
@@ -31,9 +31,10 @@
 // shutdownPlan holds the deadlines of a gateway's graceful shutdown. They are times of package clock, which
 // counts suspensions, because the grace period does not stop while the machine is suspended.
 type shutdownPlan struct {
-	// acceptAllUntil is until when all requests are accepted. Later requests must end by workDeadline.
+	// acceptAllUntil is the time until which all requests are accepted. Later requests must end by
+	// workDeadline.
 	acceptAllUntil time.Time
-	// newConnectionsUntil is until when the load balancer may send new connections.
+	// newConnectionsUntil is the time until which the load balancer may open new connections.
 	newConnectionsUntil time.Time
 	// workDeadline is when all requests must have ended.
 	workDeadline time.Time
@@ -53,8 +54,8 @@
 	}
 }
 
-// Stop begins the graceful shutdown. From now on the gateway is not ready, and accepts only requests that
-// the shutdown plan permits.
+// Stop begins the graceful shutdown. After that the gateway is not ready, and accepts only requests that the
+// shutdown plan permits.
 func (g *Gateway) Stop(grace time.Duration) {
 	g.plan.Store(newShutdownPlan(clock.Now(), grace))
 }
@@ -123,11 +124,11 @@
 func (g *Gateway) drain() {
 	plan := g.plan.Load()
 	for clock.Now().Before(plan.workDeadline) && (clock.Now().Before(plan.newConnectionsUntil) || g.InFlight() > 0) {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	g.closed.Store(true)
 	for clock.Now().Before(plan.workDeadline) && g.InFlight() > 0 {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	g.cancelRequests()
 }
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -96,13 +96,13 @@
 
 // TestStopCountsSuspension checks that the time of a machine suspension counts towards the grace period.
 func TestStopCountsSuspension(t *testing.T) {
-	machine := &clock.Suspendable{}
-	defer clock.Use(machine)()
+	source := &clock.Suspendable{}
+	defer clock.Use(source)()
 	gateway := newTestGateway(time.Now())
 	gateway.Stop(time.Hour)
 	defer gateway.TrackRequest()()
 	require.True(t, gateway.canAccept(clock.Now().Add(time.Minute)))
-	machine.Suspend(time.Hour)
+	source.Suspend(time.Hour)
 	require.False(t, gateway.canAccept(clock.Now().Add(time.Minute)))
 	// The work deadline has passed, so drain does not wait for the open request.
 	gateway.drain()
@@ -143,39 +143,39 @@
 // TestLedgerIsClosedBeforeFinalReport checks that a stopping store closes its server before it reports
 // crashes: a run that started in between would be lost.
 func TestLedgerIsClosedBeforeFinalReport(t *testing.T) {
-	served := listenLoopback(t)
-	directory := newProbingDirectory(t, served.Addr().String())
+	listener := listenLoopback(t)
+	probing := newProbingDirectory(t, listener.Addr().String())
 	settings := config.DefaultLedger()
 	logger := zerolog.Nop()
-	seeds := directory.seeds(&logger)
+	seeds := probing.seeds(&logger)
 	ledger := NewLedger(settings, seeds, nil, nil, &logger)
 	httpServer := newHTTPServer(ledger.runnerServer)
-	serveHTTP(httpServer, served, &logger)
-	response, err := http.Get("http://" + served.Addr().String())
+	serveHTTP(httpServer, listener, &logger)
+	response, err := http.Get("http://" + listener.Addr().String())
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
 	ledger.executor.guard.RecordFingerprintCrash("content", "backend", 0)
 	ledger.shutdown(httpServer)
-	require.False(t, <-directory.reachable)
+	require.False(t, <-probing.reachable)
 }
 
 // TestUsageIsReportedLast checks that a stopping gateway reports usage after it has stopped serving,
 // including the last request.
 func TestUsageIsReportedLast(t *testing.T) {
-	served := listenLoopback(t)
-	directory := newProbingDirectory(t, served.Addr().String())
+	listener := listenLoopback(t)
+	probing := newProbingDirectory(t, listener.Addr().String())
 	logger := zerolog.Nop()
-	gateway := NewGateway(config.DefaultGateway(), directory.seeds(&logger), nil, &logger)
+	gateway := NewGateway(config.DefaultGateway(), probing.seeds(&logger), nil, &logger)
 	started := make(chan struct{})
 	callers := newCallerServer(gateway.closeConnections(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(started)
 		<-gateway.baseContext.Done()
 		gateway.usage.record("north", forward.Result{History: []forward.AttemptRecord{{StartedAt: clock.Now()}}})
 	})))
-	serveHTTP(callers, served, &logger)
+	serveHTTP(callers, listener, &logger)
 	answer := make(chan error, 1)
 	go func() {
-		response, err := http.Get("http://" + served.Addr().String())
+		response, err := http.Get("http://" + listener.Addr().String())
 		if err == nil {
 			err = response.Body.Close()
 		}
@@ -184,5 +184,5 @@
 	<-started
 	require.NoError(t, gateway.shutDown(callers, time.Second))
 	require.NoError(t, <-answer)
-	require.False(t, <-directory.reachable)
+	require.False(t, <-probing.reachable)
 }
--- a/server/suspension_test.go
+++ b/server/suspension_test.go
@@ -25,8 +25,8 @@
 	require.True(t, fresh.isStale(nowMillis()))
 }
 
-// TestLeaseExpiresDuringSuspension checks that a lease may expire during a suspension, and that one acquired
-// meanwhile is waited for in full.
+// TestLeaseExpiresDuringSuspension checks that a lease may expire during a suspension, and that the full
+// duration of a lease acquired during it is awaited.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
@@ -41,9 +41,9 @@
 	require.Less(t, nowMillis(), tracker.FreeAt("s", "me", lease))
 }
 
-// TestOwnStallIsNotCountedAsSilence checks that a stall or suspension of this process does not count as
+// TestProcessStallIsNotCountedAsSilence checks that a stall or suspension of this process does not count as
 // silence of backends.
-func TestOwnStallIsNotCountedAsSilence(t *testing.T) {
+func TestProcessStallIsNotCountedAsSilence(t *testing.T) {
 	source := &clock.Suspendable{}
 	defer clock.Use(source)()
 	d := &Directory{heartbeats: newHeartbeats()}
--- a/server/usage_aggregator.go
+++ b/server/usage_aggregator.go
@@ -160,7 +160,7 @@
 		outcome, err := a.sendReport(report)
 		event.UsageReported.On(a.logger).Uint("window", uint64(report.Window)).Uint("tenants", uint64(len(report.Counts))).
 			Uint("outcome", uint64(outcome)).Err(err).Send()
-		if outcome == DutyTaken || outcome == DutyRefused {
+		if outcome == DutyAccepted || outcome == DutyRefused {
 			delay = minUsageRetryDelay / 2
 			a.markReported(report.Window)
 			continue
--- a/server/version_coordinator.go
+++ b/server/version_coordinator.go
@@ -18,26 +18,26 @@
 	"github.com/dillchute/dillchute/upgrade"
 )
 
-// versionCoordinator raises, on the directory's leader, the version of its commands once all members know it,
-// and logs which members do not.
+// versionCoordinator raises the version of the directory's commands, on its leader, once all members support
+// it, and logs which members do not.
 type versionCoordinator struct {
-	own     upgrade.VersionReport
-	address string
-	replica *replica.Replica
-	machine *directory.Machine
-	logger  *zerolog.Logger
-	// inUse is the version in use, which may lag behind the machine.
+	localReport upgrade.VersionReport
+	address     string
+	replica     *replica.Replica
+	machine     *directory.Machine
+	logger      *zerolog.Logger
+	// inUse is the version in use. It may lag behind the machine's.
 	inUse atomic.Uint64
 
 	mutex   sync.Mutex
 	reports *upgrade.VersionTracker
-	// silentRemovals are the IDs of backends that this process, as the leader of silentRemovalsTerm,
-	// removed for silence before ReturnVersion was in use.
+	// silentRemovals are the IDs of backends that this process, as the leader of silentRemovalsTerm, removed
+	// as silent before ReturnVersion was in use.
 	silentRemovals     map[string]bool
 	silentRemovalsTerm uint64
-	// unconfirmed are the members that do not know the version, unconfirmedSince is when that list last
-	// changed, and unconfirmedLogged whether it was logged; builds are those of the members. They are
-	// used only by review.
+	// unconfirmed are the unconfirmed or outdated members, unconfirmedSince is when that list last changed,
+	// and unconfirmedLogged whether it was logged. builds are the members' builds. All four are used only by
+	// review.
 	unconfirmed       []string
 	unconfirmedSince  time.Time
 	unconfirmedLogged bool
@@ -46,13 +46,14 @@
 
 func newVersionCoordinator(address string, r *replica.Replica, machine *directory.Machine, logger *zerolog.Logger) *versionCoordinator {
 	return &versionCoordinator{
-		own:     upgrade.VersionReport{Knows: directory.KnownVersion, Build: upgrade.Build()},
-		address: address, replica: r, machine: machine, logger: logger,
+		localReport: upgrade.VersionReport{Knows: directory.KnownVersion, Build: upgrade.Build()},
+		address:     address, replica: r, machine: machine, logger: logger,
 		reports: upgrade.NewVersionTracker(), silentRemovals: map[string]bool{},
 	}
 }
 
-// recordReport records the version report of the member at the address; nil comes from an earlier build.
+// recordReport records the version report of the member at the address. Members of an earlier build send
+// none, so it may be nil.
 func (c *versionCoordinator) recordReport(address string, report *upgrade.VersionReport) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -62,8 +63,8 @@
 	c.reports.Record(clock.Now(), address, *report)
 }
 
-// recordCommand records, before a command is executed, which backends it removes for silence and which
-// leave. The machine does not distinguish them before ReturnVersion is in use.
+// recordCommand records which backends a command removes as silent and which have left. It is called before
+// the command is executed. The machine does not distinguish them before ReturnVersion is in use.
 func (c *versionCoordinator) recordCommand(command directory.Command) {
 	status := c.replica.Status()
 	if !status.Leading || c.inUse.Load() >= directory.ReturnVersion {
@@ -94,22 +95,22 @@
 	}
 }
 
-// updateInUse reads the version in use, and requires new members to know it.
+// updateInUse reads the version in use, and requires new members to support it.
 func (c *versionCoordinator) updateInUse() {
 	inUse := uint64(0)
 	c.replica.Do(func() { inUse = c.machine.VersionInUse() })
 	if c.inUse.Swap(inUse) != inUse {
-		event.CommandVersionChanged.On(c.logger).Uint("version", inUse).Uint("known", c.own.Knows).Send()
+		event.CommandVersionChanged.On(c.logger).Uint("version", inUse).Uint("known", c.localReport.Knows).Send()
 		c.replica.RequireVersion(inUse)
 	}
 }
 
-// review raises the version, on the leader, if all members know it.
+// review raises the version, on the leader, if all members support it.
 func (c *versionCoordinator) review(ctx context.Context) {
-	c.recordReport(c.address, &c.own)
+	c.recordReport(c.address, &c.localReport)
 	members := c.replica.Status().Members
 	c.logBuilds(members)
-	if c.inUse.Load() >= c.own.Knows {
+	if c.inUse.Load() >= c.localReport.Knows {
 		c.logUnconfirmed(c.outdatedMembers(members))
 		return
 	}
@@ -117,7 +118,7 @@
 		c.logUnconfirmed(unconfirmed)
 		return
 	}
-	_, err := c.replica.ExecuteVersioned(ctx, c.own.Knows, c.raiseCommand)
+	_, err := c.replica.ExecuteVersioned(ctx, c.localReport.Knows, c.raiseCommand)
 	if err != nil {
 		event.LeaderUpdateFailed.On(c.logger).Err(err).Send()
 		return
@@ -125,13 +126,13 @@
 	c.updateInUse()
 }
 
-// raiseCommand returns the command that raises the version, and whether the members know it. It is called
+// raiseCommand returns the command that raises the version, and whether all members support it. It is called
 // in the replica's loop.
 func (c *versionCoordinator) raiseCommand(members []consensus.Member) ([]byte, bool) {
 	if len(c.unconfirmedMembers(members)) > 0 {
 		return nil, false
 	}
-	raise := directory.RaiseVersion{Version: c.own.Knows, Silenced: c.silentRemovalsIn(c.replica.Status().Term)}
+	raise := directory.RaiseVersion{Version: c.localReport.Knows, Silenced: c.silentRemovalsIn(c.replica.Status().Term)}
 	return directory.Command{RaiseVersion: &raise}.Encode(), true
 }
 
@@ -152,7 +153,7 @@
 func (c *versionCoordinator) unconfirmedMembers(members []consensus.Member) []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.reports.Unconfirmed(clock.Now(), members, c.own.Knows)
+	return c.reports.Unconfirmed(clock.Now(), members, c.localReport.Knows)
 }
 
 func (c *versionCoordinator) outdatedMembers(members []consensus.Member) []string {
@@ -172,10 +173,10 @@
 	}
 	c.unconfirmedLogged = true
 	kind := event.CommandVersionPending
-	if c.inUse.Load() >= c.own.Knows {
+	if c.inUse.Load() >= c.localReport.Knows {
 		kind = event.MemberOutdated
 	}
-	kind.On(c.logger).Uint("in_use", c.inUse.Load()).Uint("known", c.own.Knows).Str("members", strings.Join(unconfirmed, " ")).Send()
+	kind.On(c.logger).Uint("in_use", c.inUse.Load()).Uint("known", c.localReport.Knows).Str("members", strings.Join(unconfirmed, " ")).Send()
 }
 
 // logBuilds logs the builds of the members when they change.
--- a/server/watch.go
+++ b/server/watch.go
@@ -40,9 +40,9 @@
 	// zone is this process's zone, and rotation spreads processes over its replicas.
 	zone     string
 	rotation int
-	// scope returns the part of the backends that this process follows now.
+	// scope returns the current scope: the part of the backends that this process needs.
 	scope func() directory.Scope
-	// after calls the function once the time has passed.
+	// after calls the function after the wait. It is replaced in tests.
 	after func(wait time.Duration, function func()) resettableTimer
 
 	catalog  atomic.Pointer[directory.Catalog]
@@ -53,19 +53,20 @@
 	// not answer a call.
 	leader, unresponsive string
 
-	// age tells whether the copy is fresh enough to act on, and tracker derives it from the keepalives of
-	// the current watch; tracker is used only by Run.
+	// age tracks whether the copy is fresh enough to act on. tracker updates it from the keepalives of the
+	// current watch; it is used only by Run.
 	age     copyAge
 	tracker watchTracker
-	// inFlight is the running refresh, or nil. The counters count finished refreshes.
-	inFlight                   *copyRefresh
+	// runningRefresh is the running refresh, or nil. refreshes counts the successful ones.
+	runningRefresh             *copyRefresh
 	refreshes, failedRefreshes atomic.Uint64
-	// isDisconnected is set once it was logged that no replica answers, until one does.
+	// isDisconnected is set from the first failed refresh that leaves the copy stale, which is logged, until
+	// the next successful one.
 	isDisconnected atomic.Bool
 }
 
-// NewWatcher returns a watcher that asks the seeds first, and then the members that it learns of, those
-// of its own zone first.
+// NewWatcher returns a watcher that asks the seeds until it knows the members of the directory. Then it asks
+// those of its zone first.
 func NewWatcher(seeds *Seeds, zone string, rotation int, logger *zerolog.Logger) *Watcher {
 	w := &Watcher{
 		logger: logger, client: replica.NewInternalClient(), seeds: seeds, zone: zone, rotation: rotation, changed: make(chan struct{}),
@@ -86,10 +87,10 @@
 	return w.changed
 }
 
-// Run follows the directory until the context ends.
+// Run keeps the copy up to date until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	failures := 0
-	awaySince := clock.Now()
+	lastSwitchAt := clock.Now()
 	for position := 0; ctx.Err() == nil; {
 		addresses := w.addresses()
 		address := addresses[position%len(addresses)]
@@ -99,21 +100,21 @@
 				event.DirectoryReachable.On(w.logger).Str("replica", address).Uint("revision", w.Catalog().Revision).Send()
 			}
 			failures = 0
-			if position != 0 && clock.Since(awaySince) > preferredReplicaRetryInterval {
-				position, awaySince = 0, clock.Now()
+			if position != 0 && clock.Since(lastSwitchAt) > preferredReplicaRetryInterval {
+				position, lastSwitchAt = 0, clock.Now()
 			}
 			continue
 		}
 		w.tracker.reset()
 		position++
 		failures++
-		awaySince = clock.Now()
+		lastSwitchAt = clock.Now()
 		w.backOff(ctx, failures, len(addresses), err)
 	}
 }
 
 // preferredReplicaRetryInterval is how long a watcher stays with another replica before it tries its
-// preferred one again, which avoids traffic between zones and evens out the load.
+// preferred one again, to avoid traffic between zones and to balance the load.
 const preferredReplicaRetryInterval = 15 * time.Second
 
 // backOff pauses before the next replica is queried. After all have failed it reloads the seeds.
@@ -265,8 +266,8 @@
 	}
 }
 
-// apply applies a delta to the copy that it is based on. It returns false if the watcher has another copy
-// by now.
+// apply applies a delta to the copy that it is based on. It returns false if the copy has been replaced
+// since.
 func (w *Watcher) apply(catalog *directory.Catalog, delta directory.Delta) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -294,8 +295,8 @@
 // callTimeout bounds the call to one replica.
 const callTimeout = time.Second
 
-// call executes the call on the directory's leader, through any replica. An attempt takes at most half of
-// the remaining time, so that an unresponsive replica leaves some for the next.
+// call executes the call on the directory's leader, through any replica. An attempt takes at most half of the
+// remaining time, which leaves time for the next replica if one is unresponsive.
 func (w *Watcher) call(ctx context.Context, call directoryCall) (directoryAnswer, error) {
 	var answer directoryAnswer
 	err := error(replica.ErrUnavailable.New("no replica of the directory is known"))
@@ -358,7 +359,7 @@
 	}
 }
 
-// ageSeconds returns the time since the directory last answered.
-func (w *Watcher) ageSeconds() float64 {
+// syncAgeSeconds returns the time since the directory last answered.
+func (w *Watcher) syncAgeSeconds() float64 {
 	return float64(nowMillis()-w.syncedAt.Load()) / millisPerSecond
 }
--- a/server/watch_call_test.go
+++ b/server/watch_call_test.go
@@ -14,9 +14,8 @@
 	"github.com/dillchute/dillchute/config"
 )
 
-// TestCallsSkipUnresponsiveReplica checks that calls with a timeout no longer than that of one attempt
-// reach the next replica, at the latest in later calls, if the first one accepts connections and never
-// answers.
+// TestCallsSkipUnresponsiveReplica checks that calls with a short timeout reach the next replica, if
+// necessary only after some have failed, if the first one accepts connections and never answers.
 func TestCallsSkipUnresponsiveReplica(t *testing.T) {
 	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/server/watch_keepalive.go
+++ b/server/watch_keepalive.go
@@ -31,19 +31,21 @@
 	// are reached too.
 	minFirstByteTimeout = 300 * time.Millisecond
 	maxFirstByteTimeout = 2500 * time.Millisecond
-	// keepaliveWatchTimeout bounds a watch with keepalives. A long one saves traffic between zones.
+	// keepaliveWatchTimeout limits the duration of a watch with keepalives. Long watches save traffic between
+	// zones.
 	keepaliveWatchTimeout = 10 * time.Second
 )
 
-// watchAnswer is the answer to a watch. Watchers that accept keepalives get one at once and then
-// regularly, so that they soon notice a replica that has failed.
+// watchAnswer is the answer to a watch. Watchers that accept keepalives receive one at once and then
+// periodically, so that they soon notice a failed replica.
 type watchAnswer struct {
 	response http.ResponseWriter
 	// members is the digest of the members that the watcher knows, or "" if it accepts no keepalives.
 	members string
 	// started is set once a keepalive was sent, after which the status cannot change.
 	started bool
-	// isFresh reports whether the replica is known to hold everything acknowledged; nil means no.
+	// isFresh reports whether the replica is known to hold everything acknowledged. If it is nil, the answer
+	// is not marked as fresh.
 	isFresh func() bool
 }
 
@@ -63,7 +65,8 @@
 	return http.NewResponseController(a.response).Flush() == nil
 }
 
-// reject sends the watcher to another replica. After a keepalive, an empty answer does so.
+// reject rejects the watch, so that the watcher asks another replica. After a keepalive, the empty answer
+// means the same.
 func (a *watchAnswer) reject(reason string) {
 	if !a.started {
 		http.Error(a.response, reason, http.StatusServiceUnavailable)
--- a/server/watch_test.go
+++ b/server/watch_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// manualClock has timers that expire when the test says so.
+// manualClock is a clock whose timers expire only when a test calls fire.
 type manualClock struct {
 	mutex  sync.Mutex
 	armed  *sync.Cond
@@ -141,7 +141,8 @@
 	c.now += wait
 }
 
-// startUnresponsiveReplica accepts connections and never answers. The channel reports each connection.
+// startUnresponsiveReplica starts a server that accepts connections and never answers. The channel receives a
+// value for each connection.
 func startUnresponsiveReplica(t *testing.T) (string, <-chan struct{}) {
 	listener := listenLoopback(t)
 	accepted := make(chan struct{}, 100)
@@ -190,8 +191,8 @@
 	})
 }
 
-// TestWatcherSkipsTwoUnresponsiveReplicas checks that a watcher gets the newest configuration within
-// 1200 ms if its replica falls silent during a watch and the next one never answers.
+// TestWatcherSkipsTwoUnresponsiveReplicas checks that a watcher gets the newest configuration within 1200 ms
+// if its replica stops sending during a watch and the next one never answers.
 func TestWatcherSkipsTwoUnresponsiveReplicas(t *testing.T) {
 	watching, done := make(chan struct{}, 1), make(chan struct{})
 	defer close(done)
@@ -349,9 +350,9 @@
 	require.Contains(t, w.callAddresses(), live)
 }
 
-// TestWatcherPrefersOwnZone checks that the replicas of the own zone come first, spread over the
-// processes, and then those of other zones and the seeds, each once.
-func TestWatcherPrefersOwnZone(t *testing.T) {
+// TestWatcherPrefersLocalZone checks that the replicas of the local zone come first, rotated by process, and
+// then those of other zones and the seeds, each once.
+func TestWatcherPrefersLocalZone(t *testing.T) {
 	logger := zerolog.Nop()
 	process := config.DefaultGateway().Process
 	process.Peers = []string{"seed:1", "near:1"}
