--- a/forward/choose.go
+++ b/forward/choose.go
@@ -260,7 +260,7 @@
 	f.recordLoad(state, backend.Service, attempt, now)
 	f.hedgeBudget = min(f.hedgeBudget+hedgeBudgetFraction, hedgeBudgetBurst)
 	if cancelled && attempt.Outcome != Answered {
-		// The attempt lost to a hedge, or its caller gave up.
+		// Another attempt answered first, or the caller gave up.
 		if latency > slowFactor*state.latency && latency > minHedgeDelay {
 			state.avoidedUntil = now.Add(slowPenalty)
 		}
@@ -299,13 +299,13 @@
 	serviceLoad.recordReport(state, load, now)
 }
 
-// smoothed returns the exponential moving average including the newest latency. A latency of 0 means
-// that there is no average yet.
-func smoothed(latency, newest time.Duration, weight float64) time.Duration {
-	if latency == 0 {
+// smoothed returns the exponential moving average including the newest latency. An average of 0 means
+// that there is none yet.
+func smoothed(average, newest time.Duration, weight float64) time.Duration {
+	if average == 0 {
 		return newest
 	}
-	return latency + time.Duration(weight*float64(newest-latency))
+	return average + time.Duration(weight*float64(newest-average))
 }
 
 func (f *Forwarder) spendHedgeBudget() bool {
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -247,7 +247,7 @@
 		client: client, zone: zone, guard: guard, backends: map[string]*backendState{}, averageLatency: map[string]time.Duration{},
 		random:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		credits: map[string][]float64{}, hedgeBudget: hedgeBudgetBurst, serviceLoads: map[string]*serviceLoadState{},
-		admissionControl: admissionControl{limiter: admission.AdmitAll{}, retries: retryDetector{routes: map[string]*recentDeadlines{}}},
+		admissionControl: admissionControl{limiter: admission.AdmitAll{}, retries: retryDetector{routes: map[string]*recentRemainingTimes{}}},
 	}
 }
 
@@ -264,7 +264,7 @@
 	unreached      int
 	result         Result
 	attemptResults chan attemptResult
-	// fallback is a backend's server error, which is returned if no better response comes.
+	// fallback is a backend's server error, which is returned if no better response arrives.
 	fallback *attemptResult
 	quarantineCheck
 }
@@ -328,8 +328,8 @@
 	}
 }
 
-// cancellationReason uses the cause of the context: a process that shuts down ends a request the way
-// its deadline does.
+// cancellationReason returns the reason for which the context has ended. A process that shuts down
+// cancels requests with the cause context.DeadlineExceeded, so these count as expired.
 func cancellationReason(ctx context.Context) Reason {
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return Expired
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -74,7 +74,7 @@
 
 // A request that certainly did not run may be sent to another backend whatever its kind, and must not
 // be reported as run if all refuse.
-func TestRefusedRequestGoesElsewhere(t *testing.T) {
+func TestRefusedRequestIsSentToAnotherBackend(t *testing.T) {
 	for _, outcome := range []Outcome{NotSent, Refused, Misdirected} {
 		client := &fakeClient{answers: map[string]func(context.Context) Attempt{"a": respondOutcome(outcome), "b": respondOutcome(outcome)}}
 		result := doRequest(client, newCatalog(newBackend("a"), newBackend("b")), newRoute(routing.Unrepeatable, 3))
@@ -133,7 +133,7 @@
 	require.Equal(t, http.StatusOK, result.Response.Status)
 }
 
-// A request must be refused at once if all backends are draining.
+// A request must be refused immediately if all backends are draining.
 func TestDrainingBackendGetsNoRequests(t *testing.T) {
 	draining := newBackend("a")
 	draining.Draining = true
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// observe reports an attempt to the limiter. A cancelled attempt or a failure shows nothing about a
-// queue.
+// observe reports an attempt to the limiter, unless it was cancelled: its latency then shows nothing
+// about a queue.
 func (a *admissionControl) observe(ctx context.Context, backend directory.Backend, attempt Attempt, latency time.Duration) {
 	observation := admission.Observation{
 		Service: backend.Service, Backend: backend.ID, Latency: latency, Refused: attempt.Outcome == Refused,
--- a/forward/load_report_test.go
+++ b/forward/load_report_test.go
@@ -84,9 +84,8 @@
 	minWithinTarget float64
 }
 
-// At 80 % utilization, with uneven and temporarily slowed backends, many gateways with the same load
-// reports must not overload one backend, and must reach lower latencies than without reports. Expired
-// reports must have no effect.
+// Many gateways with the same load reports must not overload one of several uneven backends, and must reach
+// lower latencies than without reports. Expired reports must have no effect.
 func TestSimulatedLoads(t *testing.T) {
 	const recent, older, expired = 5 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond
 	cases := []loadCase{
@@ -348,7 +347,7 @@
 	require.Equal(t, 100*time.Millisecond, f.assumedLatency("s", simEpoch.Add(serviceLoadLifetime)))
 }
 
-// A backend that is slow when nearly full must be avoided before all its slots are taken, and used
+// A backend that is slow when nearly full must be avoided before all its slots are in use, and used
 // again once its load has fallen.
 func TestBackendSlowWhenNearlyFullIsAvoided(t *testing.T) {
 	normal, nearlyFull := Load{Running: 2, Slots: 6, Slowdown: 100}, Load{Running: 5, Slots: 6, Slowdown: 100}
--- a/forward/load_simulation_test.go
+++ b/forward/load_simulation_test.go
@@ -77,7 +77,7 @@
 	return last
 }
 
-// modelBackend is a simulated backend with slots and a queue.
+// simBackend is a simulated backend with slots and a queue.
 type simBackend struct {
 	workFactor, slowdown float64
 	running              int
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -51,7 +51,7 @@
 func (c *quarantineCheck) isSuspect() bool { return c.verdict.IsSuspect() }
 
 // isUnreachedSuspect reports whether a suspect could not be sent to a backend. The backend may have
-// crashed under another suspect without a report yet, so the request is not retried at once.
+// crashed under another suspect without a report yet, so the request is not retried immediately.
 func isUnreachedSuspect(c *quarantineCheck, outcome Outcome) bool {
 	return outcome == NotSent && c.isSuspect()
 }
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -11,33 +11,34 @@
 // different remaining times.
 type retryDetector struct {
 	mutex  sync.Mutex
-	routes map[string]*recentDeadlines
+	routes map[string]*recentRemainingTimes
 }
 
-// recentDeadlines counts the most frequent remaining times of a route's recent requests.
-type recentDeadlines struct {
-	counts    [maxTrackedDeadlines]deadlineCount
+// recentRemainingTimes counts the most frequent remaining times of a route's recent requests.
+type recentRemainingTimes struct {
+	counts    [maxTrackedTimes]remainingTimeCount
 	total     float64
 	updatedAt time.Time
 }
 
-// deadlineCount is the number of requests with a remaining time, decayed exponentially.
-type deadlineCount struct {
+// remainingTimeCount is the exponentially decayed number of requests with a remaining time, which is
+// given in steps of remainingTimeStep.
+type remainingTimeCount struct {
 	steps  int64
 	weight float64
 }
 
 const (
-	// deadlineStep is the resolution of remaining times: part of the time passes in transit.
-	deadlineStep = 5 * time.Millisecond
-	// maxTrackedDeadlines is large enough for all frequent remaining times.
-	maxTrackedDeadlines = 16
+	// remainingTimeStep is the resolution of remaining times. It allows for the time in transit.
+	remainingTimeStep = 5 * time.Millisecond
+	// maxTrackedTimes is large enough for all frequent remaining times.
+	maxTrackedTimes = 16
 	// frequentFraction is the minimum fraction of a route's requests that have the remaining time of a
-	// first attempt. Remaining times of retries are spread over many steps, hardly any of which is
-	// that frequent.
+	// first attempt. Remaining times of retries are spread over many steps, few of which are that
+	// frequent.
 	frequentFraction = 0.03
-	// deadlineDecayTime is the time constant of the exponential decay.
-	deadlineDecayTime = 10 * time.Second
+	// remainingTimeDecay is the time constant of the exponential decay.
+	remainingTimeDecay = 10 * time.Second
 )
 
 // isRetry counts a request, and reports whether it is probably a retry.
@@ -46,17 +47,17 @@
 	defer r.mutex.Unlock()
 	d := r.routes[route]
 	if d == nil {
-		d = &recentDeadlines{updatedAt: now}
+		d = &recentRemainingTimes{updatedAt: now}
 		r.routes[route] = d
 	}
 	d.decay(now)
-	steps := int64((remaining + deadlineStep - 1) / deadlineStep)
+	steps := int64((remaining + remainingTimeStep - 1) / remainingTimeStep)
 	d.add(steps)
 	return d.isRare(steps) && d.longestFrequent() > steps
 }
 
-func (d *recentDeadlines) decay(now time.Time) {
-	factor := math.Exp(-now.Sub(d.updatedAt).Seconds() / deadlineDecayTime.Seconds())
+func (d *recentRemainingTimes) decay(now time.Time) {
+	factor := math.Exp(-now.Sub(d.updatedAt).Seconds() / remainingTimeDecay.Seconds())
 	d.updatedAt = now
 	d.total *= factor
 	for position := range d.counts {
@@ -65,7 +66,7 @@
 }
 
 // add counts a request. A new remaining time replaces the rarest one.
-func (d *recentDeadlines) add(steps int64) {
+func (d *recentRemainingTimes) add(steps int64) {
 	d.total++
 	rarest := &d.counts[0]
 	for position := range d.counts {
@@ -78,10 +79,10 @@
 			rarest = c
 		}
 	}
-	*rarest = deadlineCount{steps: steps, weight: 1}
+	*rarest = remainingTimeCount{steps: steps, weight: 1}
 }
 
-func (d *recentDeadlines) isRare(steps int64) bool {
+func (d *recentRemainingTimes) isRare(steps int64) bool {
 	for _, c := range d.counts {
 		if c.steps == steps {
 			return c.weight < frequentFraction*d.total
@@ -91,7 +92,7 @@
 }
 
 // longestFrequent returns the longest of the frequent remaining times.
-func (d *recentDeadlines) longestFrequent() int64 {
+func (d *recentRemainingTimes) longestFrequent() int64 {
 	longest := int64(0)
 	for _, c := range d.counts {
 		if c.weight >= frequentFraction*d.total {
@@ -106,7 +107,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for route, d := range r.routes {
-		if now.Sub(d.updatedAt) > deadlineDecayTime {
+		if now.Sub(d.updatedAt) > remainingTimeDecay {
 			delete(r.routes, route)
 		}
 	}
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Retries must be told from first attempts by their remaining time. Two thirds of the requests are
+// Retries must be distinguished from first attempts by their remaining time. Two thirds of the requests are
 // first attempts with 800 ms, some with 500 or 1600 ms; retries have waited for 60 to 260 ms.
 func TestRetriesAreDetected(t *testing.T) {
-	detector, random, now := retryDetector{routes: map[string]*recentDeadlines{}}, rand.New(rand.NewPCG(1, 2)), time.Unix(1_000_000, 0)
+	detector, random, now := retryDetector{routes: map[string]*recentRemainingTimes{}}, rand.New(rand.NewPCG(1, 2)), time.Unix(1_000_000, 0)
 	wrong := map[bool]int{}
 	for position := range 3000 {
 		now = now.Add(20 * time.Millisecond)
@@ -36,8 +36,8 @@
 
 // Routes without recent requests must not take up memory.
 func TestStaleRoutesAreRemoved(t *testing.T) {
-	detector, now := retryDetector{routes: map[string]*recentDeadlines{}}, time.Unix(1_000_000, 0)
+	detector, now := retryDetector{routes: map[string]*recentRemainingTimes{}}, time.Unix(1_000_000, 0)
 	require.False(t, detector.isRetry(now, "r", time.Second))
-	detector.removeStale(now.Add(deadlineDecayTime + time.Second))
+	detector.removeStale(now.Add(remainingTimeDecay + time.Second))
 	require.Empty(t, detector.routes)
 }
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -33,7 +33,7 @@
 type Sink interface {
 	// Begin receives the status and header. It is called once, before Write.
 	Begin(status int, header http.Header)
-	// Write receives data that must be passed on at once.
+	// Write receives data that must be passed on immediately.
 	Write(data []byte) (int, error)
 }
 
@@ -56,8 +56,8 @@
 
 // Stream forwards a request whose response is a stream of events. Events are passed on as they arrive.
 // A resumable stream that breaks is continued at another backend after its last complete event,
-// without another header. If the result has no Response, the caller must be told that the response is
-// incomplete.
+// without another header. If the result has no Response, the caller must be informed that the response
+// is incomplete.
 func (f *Forwarder) Stream(ctx context.Context, catalog *directory.Catalog, route routing.Route, request *Request, sink Sink) Result {
 	ctx, cancel := context.WithTimeout(ctx, request.remaining())
 	defer cancel()
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -77,7 +77,7 @@
 }
 
 // A truncated stream that is not resumable must not be reported as complete nor sent again.
-func TestCutStreamDoesNotLookComplete(t *testing.T) {
+func TestTruncatedStreamIsNotReportedComplete(t *testing.T) {
 	client := &fakeStreamClient{open: func(string, string) OpenedStream { return openedWith(eventText(1, 2) + "id: 3") }}
 	result, sink := doStreamRequest(client, false, newBackend("a"), newBackend("b"))
 	require.Nil(t, result.Response)
@@ -87,7 +87,7 @@
 }
 
 // A refused stream must be sent to another backend, resumable or not.
-func TestRefusedStreamGoesElsewhere(t *testing.T) {
+func TestRefusedStreamIsSentToAnotherBackend(t *testing.T) {
 	client := &fakeStreamClient{open: func(string, string) OpenedStream { return OpenedStream{Outcome: Refused} }}
 	result, sink := doStreamRequest(client, false, newBackend("a"), newBackend("b"))
 	require.Nil(t, result.Response)
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -7,10 +7,10 @@
 	"github.com/dillchute/dillchute/quarantine"
 )
 
-// A suspect is a request that has crashed a backend and was not answered since, or one of a kind of
-// which different requests have crashed backends. It may crash the next backend, too. Suspects
-// therefore share few backends, and are not sent while too many of the service's backends are
-// unavailable. All processes prefer the same backends without communication.
+// A suspect is a request that has crashed a backend without a response since, or whose kind is
+// suspected because different requests of that kind have crashed backends. It may crash further
+// backends. Suspects therefore share few backends, the same in all processes, and are not sent while
+// too many of the service's backends are unavailable.
 
 // chooseForSuspect returns a backend for a suspect, of the first service that has an eligible one, and
 // counts the request as in flight there. postponed reports whether a service has too many unavailable
--- a/quarantine/exact_test.go
+++ b/quarantine/exact_test.go
@@ -33,7 +33,7 @@
 	require.Equal(t, []string{"b"}, uncounted.Uncounted, "suspects are immutable")
 }
 
-// TestInexactCrashReports guards the handling of reports from older versions, which lack Exact.
+// TestInexactCrashReports verifies the handling of reports from older versions, which lack Exact.
 func TestInexactCrashReports(t *testing.T) {
 	before := Suspect{Fingerprint: "kind", Crashes: 1, Ended: []string{"a"}}
 	first, _ := before.WithCrash(Crash{Fingerprint: "kind", Backend: "b", Known: 0})
--- a/quarantine/kind_test.go
+++ b/quarantine/kind_test.go
@@ -51,7 +51,8 @@
 	require.False(t, guardB.CheckSubject(Subject{Content: "content-100", Kind: "other"}).Quarantined)
 }
 
-// TestSingleContentDoesNotQuarantineKind guards other requests to the target of a crashing request.
+// TestSingleContentDoesNotQuarantineKind verifies that a single crashing request does not quarantine others
+// to the same target.
 func TestSingleContentDoesNotQuarantineKind(t *testing.T) {
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
@@ -104,8 +105,8 @@
 	require.False(t, guard.CheckSubject(crashingSubject(2000)).Quarantined)
 }
 
-// TestOnlyPermittedContentOfQuarantinedKindIsSent guards against a permit for one content that lets
-// others of its kind pass.
+// TestOnlyPermittedContentOfQuarantinedKindIsSent verifies that a permit for one content of a kind does not
+// apply to others.
 func TestOnlyPermittedContentOfQuarantinedKindIsSent(t *testing.T) {
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
@@ -134,7 +135,7 @@
 	}
 }
 
-// TestCrashingKindIsQuarantinedInAnyOrder verifies that a process with any stale view sends no request of
+// TestCrashingKindIsQuarantinedInAnyOrder verifies that a process with a stale view sends no request of
 // a kind after it has learned of CrashThreshold crashes of different contents.
 func TestCrashingKindIsQuarantinedInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -69,7 +69,7 @@
 // one, since in a mostly harmless kind a response clears the suspect before a second crash.
 const suspectedKindThreshold = CrashThreshold - 1
 
-// maxUnavailableFraction limits the share of a service's backends that suspects may have crashed
+// maxUnavailableFraction limits the fraction of a service's backends that suspects may have crashed
 // at a time, so that the others can carry the service's load.
 const maxUnavailableFraction = 1.0 / 3
 
@@ -212,7 +212,7 @@
 // TrialDelay returns the time from the suspect's last change to its next trial. The send budget of a
 // kind does not count exempt crashes, which came within CrashGracePeriod; a negative number adds the
 // crashes expected of running trials. The jitter separates requests that crashed the same backends,
-// so that a harmless one does not run beside the crashing one again.
+// so that a harmless one does not run alongside the crashing one again.
 func (s Suspect) TrialDelay(exempt int) time.Duration {
 	if !s.isKind() {
 		exempt = 0
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -162,9 +162,8 @@
 	require.Equal(t, suspect, again)
 }
 
-// TestCrashingRequestIsQuarantinedInAnyOrder verifies, for processes with views of any age, that a process
-// that knows of CrashThreshold crashes does not send the request, that the shared count never
-// decreases, and that no crash counts twice.
+// TestCrashingRequestIsQuarantinedInAnyOrder verifies that no process that knows of CrashThreshold crashes
+// sends the request, however stale the views, and that the shared count neither falls nor counts twice.
 func TestCrashingRequestIsQuarantinedInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
--- a/quarantine/trial_test.go
+++ b/quarantine/trial_test.go
@@ -65,8 +65,8 @@
 	return s.Of[0]
 }
 
-// TestSimultaneousCrashesDoNotQuarantineKind guards against quarantining a kind for a power loss: it
-// takes a later crash as well.
+// TestSimultaneousCrashesDoNotQuarantineKind verifies that backends which crash together, as in a power
+// loss, do not quarantine a kind without a later crash.
 func TestSimultaneousCrashesDoNotQuarantineKind(t *testing.T) {
 	require.False(t, newCrashedSuspect(true, 8).IsQuarantined())
 	require.False(t, newCrashedSuspect(true, 1, 1).IsQuarantined(), "two crashes are below the threshold")
--- a/scheduler/adopt_test.go
+++ b/scheduler/adopt_test.go
@@ -29,7 +29,7 @@
 	_, ok = s.Adopt(0, "s", "s-1", "e00", Text{})
 	require.True(t, ok, "the run has no events yet")
 	s.engines["e00"].versions["a"] = 2
-	require.Empty(t, s.Assign(0, anywhere), "both slots are taken")
+	require.Empty(t, s.Assign(0, anywhere), "both slots are in use")
 	require.True(t, s.RunEnded(0, assignment.Task, assignment.Run, Interrupted))
 	require.Equal(t, Waiting, assignment.Task.State)
 	require.Equal(t, text, assignment.Task.Text)
--- a/scheduler/ahead.go
+++ b/scheduler/ahead.go
@@ -17,8 +17,8 @@
 const (
 	// minSpeculativeMillis is the expected duration from which on a sample is run speculatively.
 	minSpeculativeMillis = 1500
-	// speculativeReserve is the share of an engine's slots that speculative runs leave free.
-	speculativeReserve = 0.25
+	// speculativeReserveFraction is the fraction of an engine's slots that speculative runs leave free.
+	speculativeReserveFraction = 0.25
 	// resubmissionSmoothing is the weight of the newest resubmission in the moving average.
 	resubmissionSmoothing = 0.2
 )
@@ -138,7 +138,7 @@
 	bestCost := 0.0
 	competing := s.competingModels(task)
 	for _, e := range s.sortedEngines {
-		hasReserve := float64(e.backend.Slots-len(e.running)) > speculativeReserve*float64(e.backend.Slots)
+		hasReserve := float64(e.backend.Slots-len(e.running)) > speculativeReserveFraction*float64(e.backend.Slots)
 		if e.backend.ID == excludedID || !hasReserve || e.backend.Silent || !s.canRun(now, e, task, services) {
 			continue
 		}
@@ -190,7 +190,7 @@
 	task.State = Finished
 	task.Text.Complete = end == Complete
 	delete(s.speculative, task.Sample.ID)
-	s.kept.keep(task.Step, task.Sample, task.Text)
+	s.keptTexts.keep(task.Step, task.Sample, task.Text)
 	task.Text = Text{}
 }
 
--- a/scheduler/ahead_test.go
+++ b/scheduler/ahead_test.go
@@ -9,9 +9,8 @@
 	"github.com/dillchute/dillchute/ledger"
 )
 
-// newSchedulerWithLateSample returns a scheduler with a running step of three single-sample groups,
-// and the task of the third. The trainer waits for two groups and the third is long. Groups are
-// resubmitted after two steps.
+// newSchedulerWithLateSample returns a scheduler with a running step of three single-sample groups and the
+// long task of the third. The trainer waits for two groups; groups are resubmitted after two steps.
 func newSchedulerWithLateSample(t *testing.T) (*Scheduler, *Task) {
 	s := New()
 	s.SyncEngines(0, engines(2, 8, "m"), map[string]uint64{"m": 2})
--- a/scheduler/assigning.go
+++ b/scheduler/assigning.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// assignPass offers free slots to the waiting tasks. If there are more tasks than slots, a first
+// assignPass assigns free slots to the waiting tasks. If there are more tasks than slots, a first
 // pass gives a slow engine's slot only to tasks that would be in time on it, so that a long task
 // waits for a faster engine instead of being late. A second pass then fills the remaining slots.
 type assignPass struct {
@@ -17,8 +17,8 @@
 	assignments []Assignment
 }
 
-// offer starts the task if an engine can run it.
-func (a *assignPass) offer(task *Task) (taken bool) {
+// tryStart starts the task if an engine can run it.
+func (a *assignPass) tryStart(task *Task) (started bool) {
 	if len(a.assignments) == a.freeSlots {
 		return false
 	}
@@ -42,8 +42,8 @@
 	return true
 }
 
-// isLateOn reports whether the task would be late if it started now on this engine, but not on a
-// fast one.
+// isLateOn reports whether the task would be late if it started now on the engine, but in time on a
+// fast engine.
 func (s *Scheduler) isLateOn(now int64, e *engine, task *Task) bool {
 	if task.rank != rankChosen || e.pace <= s.fastPace {
 		return false
--- a/scheduler/choice.go
+++ b/scheduler/choice.go
@@ -30,7 +30,7 @@
 }
 
 func newGroupSelection(now int64, slots float64, usage map[trainerKey]float64) *groupSelection {
-	c := &groupSelection{now: now, slots: slots * plannedSlotShare, shares: map[trainerKey]*trainerShare{}}
+	c := &groupSelection{now: now, slots: slots * plannedSlotFraction, shares: map[trainerKey]*trainerShare{}}
 	for trainer, millis := range usage {
 		c.shares[trainer] = &trainerShare{millis: millis}
 	}
@@ -124,7 +124,7 @@
 	}
 	var next *trainerShare
 	for _, share := range c.shares {
-		if len(share.chosen) == 0 || share.millis < shareTolerance*largest {
+		if len(share.chosen) == 0 || share.millis < deferralUsageFraction*largest {
 			continue
 		}
 		if next == nil || deferredBefore(share.chosen[0], next.chosen[0]) {
--- a/scheduler/demand_test.go
+++ b/scheduler/demand_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestDemandOfOpenSteps checks that running and waiting samples count with their remaining work by
-// due time, but samples that are done or that no service may run do not count.
+// due time, but finished samples and those that no service may run do not count.
 func TestDemandOfOpenSteps(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 2, "m", "n"), nil)
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -14,13 +14,12 @@
 	resubmitted bool
 }
 
-// overrunPredictionShare is the share of its prediction that a text near or beyond its predicted
-// length is expected to still produce. Predictions are right in the median with a log-normal error
-// (sigma about 0.5), and this is the median of the remainder.
-const overrunPredictionShare = 0.4
+// overrunPredictionFraction is the expected remainder of a text near or beyond its predicted length,
+// as a fraction of the prediction.
+const overrunPredictionFraction = 0.4
 
-// overrunTextShare is the minimum expected remainder of a text, as a share of its current length.
-const overrunTextShare = 0.15
+// overrunTextFraction is the minimum expected remainder of a text, as a fraction of its current length.
+const overrunTextFraction = 0.15
 
 // predictedEvents returns the expected number of events of the complete text. For a resubmitted
 // sample it is the known length, or at least the number of events seen earlier.
@@ -43,7 +42,7 @@
 	if task.lengthKnown {
 		return max(predicted-float64(after), 1)
 	}
-	left := max(predicted-float64(after), overrunPredictionShare*predicted, overrunTextShare*float64(after))
+	left := max(predicted-float64(after), overrunPredictionFraction*predicted, overrunTextFraction*float64(after))
 	if maxTokens := task.Sample.MostTokens; maxTokens > 0 {
 		left = min(left, float64(maxTokens)/task.tokensPerEvent()-float64(after))
 	}
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -12,8 +12,8 @@
 	Task    *Task
 	Backend directory.Backend
 	Run     uint64
-	// ExpectedEvents is the number of events that are expected to come. Pace is the engine's time
-	// between events in milliseconds, or 0 if unknown.
+	// ExpectedEvents is the expected number of further events. Pace is the engine's time between
+	// events in milliseconds, or 0 if unknown.
 	ExpectedEvents, Pace float64
 	// SlackMillis is the time left until the task's latest start; it is negative if the task is
 	// late.
@@ -24,7 +24,7 @@
 // run now.
 type ServicesFunc func(task *Task) (services []string, ok bool)
 
-// Assign starts as many waiting tasks as there are free slots, the most urgent first.
+// Assign starts waiting tasks in the free slots, the most urgent first.
 func (s *Scheduler) Assign(now int64, servicesOf ServicesFunc) []Assignment {
 	s.updateWaitingModels()
 	freeSlots := s.countFreeSlots(now)
@@ -38,16 +38,16 @@
 		scheduler: s, now: now, freeSlots: freeSlots, servicesOf: servicesOf, unplaceable: map[requirements]bool{},
 		inTimeOnly: len(s.waiting.tasks) > freeSlots,
 	}
-	s.waiting.take(pass.offer)
+	s.waiting.startEach(pass.tryStart)
 	if pass.skippedLate {
 		pass.inTimeOnly = false
-		s.waiting.take(pass.offer)
+		s.waiting.startEach(pass.tryStart)
 	}
 	s.updateChosenWaiting(len(pass.assignments) == freeSlots)
 	return pass.assignments
 }
 
-// updateChosenWaiting records whether tasks of chosen groups wait because all slots are taken.
+// updateChosenWaiting records whether tasks of chosen groups wait because all slots are in use.
 func (s *Scheduler) updateChosenWaiting(full bool) {
 	s.plan.chosenWaiting = full && slices.ContainsFunc(s.waiting.tasks, func(task *Task) bool {
 		return task.State == Waiting && task.rank == rankChosen
@@ -84,7 +84,7 @@
 	return slots
 }
 
-// freeSlots returns the number of further runs that the engine can take.
+// freeSlots returns the number of runs that the engine can run in addition to its current ones.
 func (e *engine) freeSlots() int { return max(e.backend.Slots, 1) - len(e.running) }
 
 // newAssignment returns the assignment of the task's current run to the engine.
@@ -178,7 +178,7 @@
 	return cheapest.backend, placed
 }
 
-// startRun takes a slot of the engine for the task and resets the state of its run.
+// startRun assigns a slot of the engine to the task and resets the state of its run.
 func (s *Scheduler) startRun(now int64, e *engine, task *Task) {
 	e.running[task] = true
 	task.State, task.Engine = Running, e.backend.ID
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -12,7 +12,7 @@
 )
 
 // If the open steps need more work than the engines can do by the due times, ordering by latest
-// start alone makes all groups complete at about the same time, and late. The plan therefore
+// start alone makes all groups complete late, at about the same time. The plan therefore
 // chooses groups that can complete in time together, and the others wait behind them. While all
 // groups fit, all are chosen and the order does not change.
 
@@ -24,18 +24,18 @@
 	// lateExtensionMillis is added to the due time of a late group that the trainer waits for,
 	// since the trainer submits no further step meanwhile.
 	lateExtensionMillis = 4000
-	// minTimeShare is the share of its longest sample's expected time that must be left for a group
-	// to count as achievable. It is below 1 because samples may be shorter than predicted.
-	minTimeShare = 0.3
-	// plannedSlotShare is the share of the slots' time that is planned. The rest allows for samples
+	// minTimeFraction is the fraction of the expected time of a group's longest sample that must be
+	// left for the group to count as achievable. It is below 1 because samples may be shorter than predicted.
+	minTimeFraction = 0.3
+	// plannedSlotFraction is the fraction of the slots' time that is planned. The rest allows for samples
 	// that are longer than predicted and for the time between two runs in a slot.
-	plannedSlotShare = 0.6
+	plannedSlotFraction = 0.6
 	// startedWeight scales the work of a started or resubmitted group when choosing which group to
 	// defer.
 	startedWeight = 0.5
-	// shareTolerance is the share of the largest trainer's usage above which a trainer's groups may
-	// be deferred.
-	shareTolerance = 0.9
+	// deferralUsageFraction is the fraction of the largest trainer's usage from which on a trainer's
+	// groups may be deferred.
+	deferralUsageFraction = 0.9
 	// usageDecayMillis is the time over which past usage of engines decays.
 	usageDecayMillis = 12000
 )
@@ -63,7 +63,7 @@
 	return trainerKey{model: step.Model}
 }
 
-// groupPlan is an incomplete group as the plan sees it.
+// groupPlan holds what the plan computes for an incomplete group.
 type groupPlan struct {
 	name    string
 	trainer trainerKey
@@ -92,7 +92,7 @@
 
 // canMeetDue reports whether the group can complete in time if it starts now on fast engines.
 func (g *groupPlan) canMeetDue(now int64) bool {
-	return float64(now)+minTimeShare*g.longestMillis <= g.dueAt
+	return float64(now)+minTimeFraction*g.longestMillis <= g.dueAt
 }
 
 // plan is the state of the latest plan and of the trainers' usage.
@@ -104,7 +104,7 @@
 	usage          map[trainerKey]float64
 	usageUpdatedAt int64
 	counts         PlanCounts
-	// chosenWaiting is set while tasks of chosen groups wait because all slots are taken.
+	// chosenWaiting is set while tasks of chosen groups wait because all slots are in use.
 	chosenWaiting bool
 }
 
--- a/scheduler/progress_test.go
+++ b/scheduler/progress_test.go
@@ -95,7 +95,7 @@
 	later := newEntry("y", "m", 1, 0)
 	later.Step.Samples = step.Step.Samples[4:]
 	require.Len(t, s.AddStep(later), 4)
-	require.Len(t, s.kept.texts["m"], 4, "texts of the delivered group are dropped")
+	require.Len(t, s.keptTexts.texts["m"], 4, "texts of the delivered group are dropped")
 }
 
 // TestRemainingEvents checks that predictions are converted from tokens to events, that texts
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -15,8 +15,8 @@
 )
 
 // queue holds the tasks that wait for an engine, ordered by latest start time. A step is complete
-// only when its longest samples are, so the rest of a long sample of an earlier step goes before
-// short samples of a later step.
+// only when its longest samples are, so a long sample of an earlier step comes before short samples
+// of a later step.
 type queue struct {
 	tasks []*Task
 }
@@ -43,20 +43,21 @@
 	return cmp.Or(cmp.Compare(a.groupWork, b.groupWork), cmp.Compare(a.latestStart, b.latestStart))
 }
 
-// take offers the waiting tasks in order and removes those that were taken or no longer wait.
-func (q *queue) take(offer func(task *Task) (taken bool)) {
-	kept := q.tasks[:0]
+// startEach calls tryStart for each waiting task in order, and removes the tasks that were started or
+// no longer wait.
+func (q *queue) startEach(tryStart func(task *Task) (started bool)) {
+	remaining := q.tasks[:0]
 	for _, task := range q.tasks {
-		if task.State == Waiting && !offer(task) {
-			kept = append(kept, task)
+		if task.State == Waiting && !tryStart(task) {
+			remaining = append(remaining, task)
 		}
 	}
-	clear(q.tasks[len(kept):])
-	q.tasks = kept
+	clear(q.tasks[len(remaining):])
+	q.tasks = remaining
 }
 
-// latestStartAt returns when the task must start for its step to be complete when due, given the
-// time between events in milliseconds.
+// latestStartAt returns when the task must start for its step to complete in time, given the time
+// between events in milliseconds.
 func (task *Task) latestStartAt(pace float64) float64 {
 	latest := float64(task.Step.DueAt) + task.dueExtension - task.remainingEvents(task.Text.Last)*pace
 	if !task.needed {
--- a/scheduler/run.go
+++ b/scheduler/run.go
@@ -6,14 +6,14 @@
 	"github.com/dillchute/dillchute/ledger"
 )
 
-// RunEnd says how a run ended.
+// RunEnd is the outcome of a run.
 type RunEnd uint8
 
-// The ways in which a run can end.
+// The outcomes of a run.
 const (
 	// Complete: the text is complete.
 	Complete RunEnd = iota + 1
-	// Broken: the stream broke off; the text so far can be continued.
+	// Broken: the stream ended early; the text so far can be continued.
 	Broken
 	// Rejected: the engine did not run the sample for lack of capacity.
 	Rejected
@@ -25,10 +25,10 @@
 	Failed
 	// Unprocessable: no engine can ever run the sample.
 	Unprocessable
-	// Interrupted: the process that held the stream was lost, which is no fault of the engine; the
-	// text so far can be continued.
+	// Interrupted: the process that held the stream was lost, which does not count as a failure of the
+	// engine; the text so far can be continued.
 	Interrupted
-	// Crashed: the stream broke off because the engine exited; the text so far can be continued.
+	// Crashed: the stream ended early because the engine exited; the text so far can be continued.
 	Crashed
 )
 
--- a/scheduler/scarce_result_test.go
+++ b/scheduler/scarce_result_test.go
@@ -98,7 +98,7 @@
 	return bound, shares
 }
 
-// smallestFairShare returns the smallest share of its fair share that any trainer had over three
+// smallestFairShare returns the smallest fraction of its fair share that any trainer had over three
 // steps.
 func (f *fleetSimulation) smallestFairShare() float64 {
 	const steps = 3
--- a/scheduler/scarce_test.go
+++ b/scheduler/scarce_test.go
@@ -13,11 +13,10 @@
 	overloadUntil   = 40000
 	overloadEngines = 12
 	overloadSlots   = 8
-	// minInTimeShare is the share of the groups within the fair bound that must complete in time.
-	// minFairShare is the minimum share of its fair share that each trainer must get over three
-	// steps.
-	minInTimeShare = 0.9
-	minFairShare   = 0.8
+	// minInTimeFraction is the fraction of the fair bound that must complete in time, and
+	// minFairShareFraction the fraction of its fair share that each trainer must get over three steps.
+	minInTimeFraction    = 0.9
+	minFairShareFraction = 0.8
 )
 
 // simulateFleets runs the simulation with several seeds.
@@ -63,9 +62,9 @@
 				fleetBound, _ := f.fairBound(0)
 				bound += fleetBound
 				require.Zero(t, f.idleMillis, "samples waited although slots were free")
-				require.GreaterOrEqual(t, f.smallestFairShare(), minFairShare)
+				require.GreaterOrEqual(t, f.smallestFairShare(), minFairShareFraction)
 			}
-			require.GreaterOrEqual(t, float64(groupsInTime(fleets)), minInTimeShare*float64(bound))
+			require.GreaterOrEqual(t, float64(groupsInTime(fleets)), minInTimeFraction*float64(bound))
 		})
 	}
 }
@@ -102,7 +101,7 @@
 	f.simulate(overloadUntil + 12000)
 	fewer := newFleetSimulation(t, 1, overloadEngines-overloadEngines/3, overloadSlots, 1.5*3/2.0, false)
 	fewer.simulate(overloadUntil + 12000)
-	require.GreaterOrEqual(t, float64(f.result(24000).inTime), minInTimeShare*float64(fewer.result(24000).inTime))
+	require.GreaterOrEqual(t, float64(f.result(24000).inTime), minInTimeFraction*float64(fewer.result(24000).inTime))
 	require.Zero(t, f.idleMillis)
 }
 
@@ -229,9 +228,8 @@
 	require.Equal(t, "x-0", assignments[0].Task.Sample.ID)
 }
 
-// TestPlanProperties checks for random steps that nothing waits beside free slots, that each group
-// has one rank, that all samples run eventually, and that the usage of inactive trainers is
-// dropped.
+// TestPlanProperties checks for random steps that no sample waits while a slot is free, that each group has
+// one rank, that all samples run eventually, and that the usage of inactive trainers is dropped.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := New()
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,6 +1,6 @@
 // Package scheduler assigns samples to engines and decides which engines load which model versions.
-// It is a deterministic state machine without I/O: the caller reports what exists and what has
-// happened, passes the current time in milliseconds, and asks what to do.
+// It is a deterministic state machine without I/O: the caller passes in the engines, steps, events
+// and the current time in milliseconds, and carries out the returned decisions.
 package scheduler
 
 import (
@@ -58,7 +58,7 @@
 	// loadsDeferredUntil holds, by engine name, the time before which the engine gets no load
 	// orders.
 	loadsDeferredUntil map[string]int64
-	kept               *keptTexts
+	keptTexts          *keptTexts
 	// speculative holds the speculative runs that no step has claimed yet, by sample ID.
 	speculative map[string]*Task
 	// loadMillis is the average load time, shortestLoadMillis the shortest recent one, and
@@ -86,7 +86,7 @@
 func New() *Scheduler {
 	return &Scheduler{
 		engines: map[string]*engine{}, steps: map[string]*stepState{}, models: map[string]*modelState{},
-		loadsDeferredUntil: map[string]int64{}, kept: newKeptTexts(), speculative: map[string]*Task{}, loadMillis: defaultLoadMillis, shortestLoadMillis: defaultLoadMillis, tokenMillis: defaultTokenMillis,
+		loadsDeferredUntil: map[string]int64{}, keptTexts: newKeptTexts(), speculative: map[string]*Task{}, loadMillis: defaultLoadMillis, shortestLoadMillis: defaultLoadMillis, tokenMillis: defaultTokenMillis,
 		plan: plan{usage: map[trainerKey]float64{}},
 	}
 }
@@ -160,16 +160,16 @@
 			task = &Task{Step: step, Sample: sample, Text: s.initialText(entry, sample)}
 		}
 		task.Failures = entry.Failures[sample.ID]
-		task.earlierEvents, task.lengthKnown = s.kept.knownLength(step, sample)
+		task.earlierEvents, task.lengthKnown = s.keptTexts.knownLength(step, sample)
 		state.tasks = append(state.tasks, task)
 		if task.Text.Complete {
 			task.State = Scoring
 			complete = append(complete, task)
 		}
 	}
-	state.resubmitted = s.kept.resubmittedGroups(step)
+	state.resubmitted = s.keptTexts.resubmittedGroups(step)
 	s.model(step.Model).recordResubmissions(step, state.resubmitted)
-	s.kept.recordGroups(step)
+	s.keptTexts.recordGroups(step)
 	needed := neededGroups(state)
 	for _, task := range state.tasks {
 		task.needed = needed[task.Sample.Group]
@@ -186,12 +186,12 @@
 
 // RecordEndedStep records a step that ended before this scheduler started. Its incomplete groups
 // may be resubmitted.
-func (s *Scheduler) RecordEndedStep(step *ledger.Step) { s.kept.recordGroups(step) }
+func (s *Scheduler) RecordEndedStep(step *ledger.Step) { s.keptTexts.recordGroups(step) }
 
 // initialText returns the text from which the sample's first run continues: the text kept from an
 // earlier step, or what an earlier leader has checkpointed.
 func (s *Scheduler) initialText(entry *ledger.Entry, sample *ledger.Sample) Text {
-	text, ok := s.kept.usableText(entry.Step, sample)
+	text, ok := s.keptTexts.usableText(entry.Step, sample)
 	if ok && text.Complete {
 		return text
 	}
@@ -224,7 +224,7 @@
 		s.release(task)
 		task.State = Finished
 		if !state.progress.delivered[task.Sample.Group] {
-			s.kept.keep(task.Step, task.Sample, task.Text)
+			s.keptTexts.keep(task.Step, task.Sample, task.Text)
 		}
 		task.Text = Text{}
 	}
@@ -232,7 +232,7 @@
 }
 
 // KeepText keeps the text of a run whose step has ended, in case a later step resubmits the sample.
-func (s *Scheduler) KeepText(task *Task, text Text) { s.kept.keep(task.Step, task.Sample, text) }
+func (s *Scheduler) KeepText(task *Task, text Text) { s.keptTexts.keep(task.Step, task.Sample, text) }
 
 // giveUpMargin is added to the time at which a sample may be given up. It allows for clock skew
 // between this leader and the one that accepted the step.
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -164,7 +164,7 @@
 }
 
 // TestTextIsKeptForALaterStep checks that a resubmitted sample continues from its kept text, or is
-// scored at once if that is complete, unless the later step does not allow the text's version.
+// scored immediately if that is complete, unless the later step does not allow the text's version.
 func TestTextIsKeptForALaterStep(t *testing.T) {
 	for oldest, usable := range map[uint64]bool{1: true, 2: false} {
 		s := New()
@@ -351,7 +351,7 @@
 	}
 	s.EndStep("a")
 	var kept []string
-	for id := range s.kept.texts["m"] {
+	for id := range s.keptTexts.texts["m"] {
 		kept = append(kept, id)
 	}
 	require.ElementsMatch(t, []string{"a-4", "a-5", "a-6", "a-7"}, kept)
@@ -414,9 +414,8 @@
 	require.Zero(t, s.engines["e00"].rejections)
 }
 
-// TestLongSampleOfEarlierStepStartsFirst checks that a long sample of a step that is due soon
-// starts before short samples of a later step, even if its own trainer probably does not wait for
-// it.
+// TestLongSampleOfEarlierStepStartsFirst checks that a long sample of a step that is due soon starts
+// before short samples of a later step, even if its trainer probably does not wait for it.
 func TestLongSampleOfEarlierStepStartsFirst(t *testing.T) {
 	s := New()
 	s.SyncEngines(0, engines(1, 4, "a"), nil)
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -159,9 +159,9 @@
 // minCases is the minimum number of cases to draw.
 const minCases = 10_000
 
-// TestNoSampleWaitsBesideFreeSlot checks that, after any history, every sample that is not held
+// TestNoSampleWaitsWhileSlotIsFree checks that, after any history, every sample that is not held
 // back runs if there is a free slot, unless its kind is suspected and already running.
-func TestNoSampleWaitsBesideFreeSlot(t *testing.T) {
+func TestNoSampleWaitsWhileSlotIsFree(t *testing.T) {
 	checks := flag.Lookup("rapid.checks")
 	original := checks.Value.String()
 	if count, err := strconv.Atoi(original); err == nil && count < minCases {
--- a/scheduler/weights.go
+++ b/scheduler/weights.go
@@ -12,14 +12,14 @@
 	// loadDivisor limits concurrent loads to one in loadDivisor engines, because loads slow each
 	// other down.
 	loadDivisor = 5
-	// loadTimeShare is the share of the time that is planned for loads. The rest is left for loads
+	// loadTimeFraction is the fraction of the time that is planned for loads. The rest is left for loads
 	// that waiting samples require and for failures.
-	loadTimeShare = 0.8
+	loadTimeFraction = 0.8
 	// loadReportMillis is how long it may take until the end of a load is known.
 	loadReportMillis = 300
-	// loadWaitShare is the share of the load time that samples must wait for engines to justify a
-	// load.
-	loadWaitShare = 0.5
+	// loadWaitFraction is the fraction of the load time that samples must wait for engines to justify
+	// a load.
+	loadWaitFraction = 0.5
 	// stepStartMillis is the time within which all samples of a step should have started.
 	stepStartMillis = 1500
 	// minCurrentEngines is the minimum number of engines that hold a model's newest version.
@@ -101,8 +101,8 @@
 }
 
 // LoadOrders returns the load orders to send now. Steps allow versions somewhat behind the newest,
-// so an engine need not load every version. Because concurrent loads slow each other down, only few
-// are allowed. Models whose samples wait for engines come first, then models that too few engines
+// so an engine need not load every version. The number of concurrent loads is limited, because they
+// slow each other down. Models whose samples wait for engines come first, then models that too few engines
 // could serve after the next version.
 func (s *Scheduler) LoadOrders(now int64) []LoadOrder {
 	maxLoads := max((max(s.fleetSize, len(s.engines))+loadDivisor/2)/loadDivisor, 1)
@@ -157,7 +157,7 @@
 }
 
 // loadNeed rates the need for another engine with the model's newest version. Above 1, samples wait
-// too long for engines; otherwise it is the missing share of the engines wanted for the next step.
+// too long for engines; otherwise it is the missing fraction of the engines wanted for the next step.
 func (s *Scheduler) loadNeed(model *modelState, maxLoads int) float64 {
 	serving, upToDate := 0, 0
 	for _, e := range s.engines {
@@ -175,7 +175,7 @@
 			upToDate++
 		}
 	}
-	if wait := s.waitingMillis(model) / float64(max(serving, 1)); wait > loadWaitShare*s.loadMillis {
+	if wait := s.waitingMillis(model) / float64(max(serving, 1)); wait > loadWaitFraction*s.loadMillis {
 		return 1 + wait/s.loadMillis
 	}
 	wanted := s.wantedEngines(model, maxLoads)
@@ -213,7 +213,7 @@
 	if work > 0 {
 		share = model.expectedTokens / work
 	}
-	affordable := int(loadTimeShare * float64(maxLoads) * model.versionInterval / s.loadMillis * share)
+	affordable := int(loadTimeFraction * float64(maxLoads) * model.versionInterval / s.loadMillis * share)
 	useful := int(model.expectedTokens*s.tokenMillis/(s.meanSlots()*stepStartMillis)) + 1
 	return min(max(min(affordable, useful), minCurrentEngines), max(len(s.engines), 1))
 }
@@ -274,8 +274,8 @@
 }
 
 // LoadCompleted records that the engine holds the version. The load time is measured only if
-// tookPlace is set, since the engine may already have held the version.
-func (s *Scheduler) LoadCompleted(now int64, id, model string, version uint64, tookPlace bool) {
+// loaded is set, since the engine may already have held the version.
+func (s *Scheduler) LoadCompleted(now int64, id, model string, version uint64, loaded bool) {
 	e := s.engines[id]
 	if e == nil {
 		return
@@ -284,7 +284,7 @@
 	if e.loading == nil || e.loading.Model != model || version < e.loading.Version {
 		return
 	}
-	if tookPlace {
+	if loaded {
 		s.observeLoad(float64(now - e.loading.SentAt))
 	}
 	e.loading = nil
--- a/scheduler/workingset.go
+++ b/scheduler/workingset.go
@@ -41,40 +41,40 @@
 	}
 }
 
-// Choose returns the engines of the service to use for the given number of concurrent samples. The
-// service's engines must be ordered by ID. It scans all of them only if more must be selected.
-func (w *WorkingSet) Choose(service []*directory.Backend, samples int) []directory.Backend {
-	if len(service) <= minWorkingSet {
-		return copies(service)
+// Choose returns which of a service's backends to use for the given number of concurrent samples. The
+// backends must be ordered by ID. It scans all of them only if more must be selected.
+func (w *WorkingSet) Choose(backends []*directory.Backend, samples int) []directory.Backend {
+	if len(backends) <= minWorkingSet {
+		return copies(backends)
 	}
-	selected, healthy := w.currentMembers(service)
-	if missing := workingSetSize(service, samples) - healthy; missing > 0 {
-		selected = append(selected, w.chooseMore(service, missing)...)
+	selected, healthy := w.currentMembers(backends)
+	if missing := workingSetSize(backends, samples) - healthy; missing > 0 {
+		selected = append(selected, w.chooseMore(backends, missing)...)
 	}
 	slices.SortFunc(selected, func(a, b *directory.Backend) int { return cmp.Compare(a.ID, b.ID) })
 	return copies(selected)
 }
 
 // workingSetSize returns how many engines of the service to use for that many samples.
-func workingSetSize(service []*directory.Backend, samples int) int {
-	slots := max(service[0].Slots, 1)
+func workingSetSize(backends []*directory.Backend, samples int) int {
+	slots := max(backends[0].Slots, 1)
 	wanted := int(workingSetFactor*float64(samples)/float64(slots)) + 1
-	return min(max(wanted, minWorkingSet), len(service))
+	return min(max(wanted, minWorkingSet), len(backends))
 }
 
 // currentMembers returns the selected engines that still exist and how many of them are healthy. It
 // removes the others from the set.
-func (w *WorkingSet) currentMembers(service []*directory.Backend) (selected []*directory.Backend, healthy int) {
+func (w *WorkingSet) currentMembers(backends []*directory.Backend) (selected []*directory.Backend, healthy int) {
 	for id := range w.selected {
-		index, found := slices.BinarySearchFunc(service, id, func(backend *directory.Backend, id string) int {
+		index, found := slices.BinarySearchFunc(backends, id, func(backend *directory.Backend, id string) int {
 			return cmp.Compare(backend.ID, id)
 		})
 		if !found {
 			delete(w.selected, id)
 			continue
 		}
-		selected = append(selected, service[index])
-		if isHealthy(service[index]) {
+		selected = append(selected, backends[index])
+		if isHealthy(backends[index]) {
 			healthy++
 		}
 	}
@@ -84,7 +84,7 @@
 func isHealthy(backend *directory.Backend) bool { return !backend.Draining && !backend.Silent }
 
 // chooseMore selects up to count more healthy engines.
-func (w *WorkingSet) chooseMore(service []*directory.Backend, count int) []*directory.Backend {
+func (w *WorkingSet) chooseMore(backends []*directory.Backend, count int) []*directory.Backend {
 	type candidate struct {
 		backend   *directory.Backend
 		preferred bool
@@ -92,7 +92,7 @@
 		rank      uint64
 	}
 	var candidates []candidate
-	for _, backend := range service {
+	for _, backend := range backends {
 		if w.selected[backend.ID] || !isHealthy(backend) {
 			continue
 		}
