--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -81,7 +81,7 @@
 // MaxCount returns the highest number of backends that this order and earlier ones may produce.
 func (o Order) MaxCount() int {
 	switch o.Answer {
-	case Taken:
+	case Accepted:
 		return o.Target.Count
 	case Open:
 		return max(o.Target.Count, o.Held)
@@ -95,8 +95,8 @@
 const (
 	// Open means that no answer was received: the order may have been carried out, or may yet be.
 	Open Answer = iota
-	// Taken means that the platform accepted the order.
-	Taken
+	// Accepted means that the platform accepted the order.
+	Accepted
 	// Exhausted means that the platform has no capacity for the pool at present.
 	Exhausted
 	// Refused means that the order will never be carried out.
--- a/capacity/history.go
+++ b/capacity/history.go
@@ -11,7 +11,7 @@
 	// loadTime is how long a new backend loads weights before it runs its first sample.
 	loadTime = 900 * time.Millisecond
 	// baseWindow is the initial length of the demand window. It exceeds the time between two steps,
-	// so that the pause between them is not taken for the end of the work.
+	// so that the pause between them is not mistaken for the end of the work.
 	baseWindow = 9 * time.Second
 	// maxWindow limits the window, which doubles each time demand oscillates.
 	maxWindow = 2 * time.Minute
@@ -21,7 +21,7 @@
 )
 
 // requiredSlots returns the number of slots that complete the work by its due times. Work due within the
-// lead time is given that time, as backends ordered now cannot help earlier. If work is overdue while
+// lead time counts as due at its end, as backends ordered now cannot help earlier. If work is overdue while
 // samples wait, the result is at least the number of running samples.
 func requiredSlots(demand Demand, leadTimeMillis int64) float64 {
 	sorted := slices.Clone(demand.Work)
--- a/capacity/layout.go
+++ b/capacity/layout.go
@@ -159,7 +159,7 @@
 
 // enginesFor returns how many engines provide that many usable slots.
 func (l *layout) enginesFor(slots float64) int {
-	return int(math.Ceil(slots / usableShare / l.slotsPerBackend))
+	return int(math.Ceil(slots / usableFraction / l.slotsPerBackend))
 }
 
 // maxLoss returns how many backends one failure may remove: the reclaimable ones of a zone, or the whole
@@ -180,11 +180,11 @@
 // minEnginesAfterLoss returns how many of the needed engines must survive a loss: until replacements are
 // up, the load may use all slots of the rest.
 func minEnginesAfterLoss(engines int) int {
-	return int(math.Ceil(float64(engines) * minShareAfterLoss))
+	return int(math.Ceil(float64(engines) * minFractionAfterLoss))
 }
 
-// minShareAfterLoss is the share of the needed engines that suffices until lost ones are replaced.
-const minShareAfterLoss = 0.75
+// minFractionAfterLoss is the fraction of the needed engines that suffices until lost ones are replaced.
+const minFractionAfterLoss = 0.75
 
 // shortage returns why there are too few backends, or Enough.
 func (l *layout) shortage(engines int) Reason {
@@ -267,11 +267,11 @@
 	return false
 }
 
-// addInZone adds a backend in the zone, a reclaimable one if their share allows it.
+// addInZone adds a backend in the zone, a reclaimable one if their maximum fraction allows it.
 func (l *layout) addInZone(zone string) bool {
 	total := l.sumInZone(zone, wantedCount)
 	kinds := []bool{false}
-	if reclaimable := l.poolStates[Pool{Zone: zone, Reclaimable: true}]; reclaimable != nil && float64(reclaimable.Wanted+1) <= maxReclaimableShare*float64(total+1) && l.scale.ReclaimablePrice < 1 {
+	if reclaimable := l.poolStates[Pool{Zone: zone, Reclaimable: true}]; reclaimable != nil && float64(reclaimable.Wanted+1) <= maxReclaimableFraction*float64(total+1) && l.scale.ReclaimablePrice < 1 {
 		kinds = []bool{true, false}
 	}
 	for _, reclaimable := range kinds {
@@ -288,12 +288,12 @@
 	return false
 }
 
-// removeInZone removes a backend of the zone: an on-demand one, unless the share of reclaimable ones would
-// then exceed its maximum.
+// removeInZone removes a backend of the zone: an on-demand one, unless the fraction of reclaimable ones
+// would then exceed its maximum.
 func (l *layout) removeInZone(zone string) bool {
 	onDemand, reclaimable := l.poolStates[Pool{Zone: zone}], l.poolStates[Pool{Zone: zone, Reclaimable: true}]
 	switch {
-	case reclaimable != nil && reclaimable.Wanted > 0 && float64(reclaimable.Wanted) > maxReclaimableShare*float64(onDemand.Wanted+reclaimable.Wanted-1):
+	case reclaimable != nil && reclaimable.Wanted > 0 && float64(reclaimable.Wanted) > maxReclaimableFraction*float64(onDemand.Wanted+reclaimable.Wanted-1):
 		reclaimable.Wanted--
 	case onDemand.Wanted > 0:
 		onDemand.Wanted--
@@ -323,14 +323,14 @@
 // scaleDown removes backends if the surplus is large enough, and reports whether it is.
 func (l *layout) scaleDown(engines int) bool {
 	total := l.totalSupply()
-	maxRemoved := int(maxScaleDownShare * float64(total))
+	maxRemoved := int(maxScaleDownFraction * float64(total))
 	trial := l.clone()
 	minAfterLoss := min(minEnginesAfterLoss(engines), l.supplyAfterLoss())
 	removable := 0
 	for trial.removeBackend() && trial.totalSupply() >= engines && trial.supplyAfterLoss() >= minAfterLoss {
 		removable++
 	}
-	if float64(removable) < minIdleShare*float64(total) || removable == 0 {
+	if float64(removable) < minIdleFraction*float64(total) || removable == 0 {
 		return false
 	}
 	for range min(removable, max(maxRemoved, 1)) {
--- a/capacity/losses_test.go
+++ b/capacity/losses_test.go
@@ -24,7 +24,7 @@
 // TestZoneThatCannotReachMinimum checks that a zone below its minimum does not block orders for others.
 func TestZoneThatCannotReachMinimum(t *testing.T) {
 	sim := newSettledSimulation(t, 6)
-	sim.answerOrder = func(order Order) (Answer, bool) { return Taken, order.Target.Zone != "a" }
+	sim.answerOrder = func(order Order) (Answer, bool) { return Accepted, order.Target.Zone != "a" }
 	for _, m := range sim.machinesIn(Pool{Zone: "a"}) {
 		m.silent = true
 	}
@@ -64,7 +64,7 @@
 			if order.Target.Zone != "a" && order.Target.Count > order.Before {
 				return Exhausted, false
 			}
-			return Taken, true
+			return Accepted, true
 		}
 		sim.run(60000, constantLoad(50))
 		require.GreaterOrEqual(t, len(sim.serving()), 15)
--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// usableShare is the share of an engine's slots that is planned with. The rest is lost to loading
+	// usableFraction is the fraction of an engine's slots that plans rely on. The rest is lost to loading
 	// weights, and to samples of uneven length at the end of a step.
-	usableShare = 0.6
+	usableFraction = 0.6
 	// registrationBootTimes is the number of boot times after which an ordered backend that has not
 	// registered is no longer expected.
 	registrationBootTimes = 2
 	// exhaustedBackoff and refusedBackoff are how long a pool is not scaled up after an order was
-	// answered so. They double with each consecutive failure, up to maxBackoff.
+	// answered Exhausted or Refused. They double with each consecutive failure, up to maxBackoff.
 	exhaustedBackoff = 8 * time.Second
 	refusedBackoff   = 30 * time.Second
 	maxBackoff       = 5 * time.Minute
@@ -30,16 +30,16 @@
 	// oscillationWindows is the number of demand windows after a scale-down during which a scale-up counts
 	// as an oscillation.
 	oscillationWindows = 3
-	// maxScaleDownShare is the largest share of the backends that one plan removes. minIdleShare is
-	// the surplus needed to remove any, as ordering them again costs boot and load time.
-	maxScaleDownShare = 0.3
-	minIdleShare      = 0.15
+	// maxScaleDownFraction is the largest fraction of the backends that one plan removes.
+	// minIdleFraction is the surplus needed to remove any, as ordering them again costs boot and load time.
+	maxScaleDownFraction = 0.3
+	minIdleFraction      = 0.15
 	// settleTime is how long pools without an order must not have grown before their first order.
 	// Backends of a new deployment register one by one, and an order sets their total number.
 	settleTime = 5 * time.Second
-	// maxReclaimableShare limits the reclaimable backends of a zone, as the others must take over
+	// maxReclaimableFraction limits the reclaimable backends of a zone, as the others must take over
 	// their samples within the notice period.
-	maxReclaimableShare = 0.5
+	maxReclaimableFraction = 0.5
 )
 
 // Member is a registered backend.
@@ -188,7 +188,7 @@
 }
 
 // mayScaleUp reports whether more backends may be ordered: scaleUpInterval limits the rate of orders
-// while demand grows, but after a failed order other pools are tried at once.
+// while demand grows, but after a failed order other pools are tried immediately.
 func (p *Planner) mayScaleUp(now int64) bool {
 	if p.scaledUpAt == 0 || now-p.scaledUpAt >= scaleUpInterval.Milliseconds() {
 		return true
@@ -203,7 +203,7 @@
 
 // withMargin adds a margin to the number of engines, so that small changes of demand cause no further
 // orders.
-func withMargin(engines int) int { return int(math.Ceil((1 + minIdleShare) * float64(engines))) }
+func withMargin(engines int) int { return int(math.Ceil((1 + minIdleFraction) * float64(engines))) }
 
 // recordScaleUp records a scale-up, and widens the demand window if it follows a recent scale-down.
 func (p *Planner) recordScaleUp(now int64) {
--- a/capacity/planner_rapid_test.go
+++ b/capacity/planner_rapid_test.go
@@ -18,10 +18,10 @@
 		if rapid.Bool().Draw(t, "no reclaimables") {
 			sim.scale.ReclaimablePrice = 0
 		}
-		answers := rapid.SliceOfN(rapid.SampledFrom([]Answer{Taken, Taken, Taken, Open, Exhausted, Refused}), 1, 40).Draw(t, "answers")
+		answers := rapid.SliceOfN(rapid.SampledFrom([]Answer{Accepted, Accepted, Accepted, Open, Exhausted, Refused}), 1, 40).Draw(t, "answers")
 		sim.answerOrder = func(Order) (Answer, bool) {
 			answer := answers[len(sim.sentOrders)%len(answers)]
-			return answer, answer == Taken || answer == Open && len(sim.sentOrders)%2 == 0
+			return answer, answer == Accepted || answer == Open && len(sim.sentOrders)%2 == 0
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
 			load := rapid.Float64Range(0, 800).Draw(t, "slots")
@@ -75,7 +75,7 @@
 			zones = append(zones, zone)
 		}
 	}
-	load = min(load, usableShare*float64(len(zones)*sim.scale.Most*engineSlots))
+	load = min(load, usableFraction*float64(len(zones)*sim.scale.Most*engineSlots))
 	sim.run(maxBackoff.Milliseconds()+60000, constantLoad(load))
 	sim.lateWork = 0
 	sim.run(40000, constantLoad(load))
@@ -95,7 +95,7 @@
 		before := len(sim.sentOrders)
 		sim.lateWork = 0
 		sim.run(120000, constantLoad(load))
-		if load <= usableShare*float64(len(sim.zones)*sim.scale.Most*engineSlots) {
+		if load <= usableFraction*float64(len(sim.zones)*sim.scale.Most*engineSlots) {
 			require.Zero(t, sim.lateWork)
 		}
 		require.Len(t, sim.sentOrders, before)
--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -87,7 +87,7 @@
 	require.Equal(t, 8, len(sim.sentOrders), "one order for each pool")
 }
 
-// TestScaleUpForLargerSteps checks that engines are ordered at once, and that steps are then in time.
+// TestScaleUpForLargerSteps checks that engines are ordered immediately, and that steps are then in time.
 func TestScaleUpForLargerSteps(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
 	sim.run(tick, constantLoad(600))
@@ -147,7 +147,7 @@
 				attempts++
 				return Exhausted, false
 			}
-			return Taken, true
+			return Accepted, true
 		}
 		sim.lateWork = 0
 		sim.run(12000, constantLoad(300))
@@ -232,7 +232,7 @@
 		if order.Target.Zone == "b" {
 			return Exhausted, false
 		}
-		return Taken, true
+		return Accepted, true
 	}
 	sim.run(1000, constantLoad(500))
 	ordered := 0
@@ -271,7 +271,9 @@
 // TestOrderedEnginesNeverRegister checks that other pools get orders after the registration timeout.
 func TestOrderedEnginesNeverRegister(t *testing.T) {
 	sim := newSettledSimulation(t, 6)
-	sim.answerOrder = func(order Order) (Answer, bool) { return Taken, order.Target.Zone != "a" && order.Target.Zone != "b" }
+	sim.answerOrder = func(order Order) (Answer, bool) {
+		return Accepted, order.Target.Zone != "a" && order.Target.Zone != "b"
+	}
 	sim.run(3000, constantLoad(240))
 	require.Positive(t, sim.plan.Pools[Pool{Zone: "a"}].Booting+sim.plan.Pools[Pool{Zone: "a", Reclaimable: true}].Booting)
 	sim.run(20000, constantLoad(240))
@@ -298,7 +300,7 @@
 	require.LessOrEqual(t, len(sim.serving()), 32)
 }
 
-// TestEnginesRegisterWithoutAnOrder checks that engines count even if no order asked for them.
+// TestEnginesRegisterWithoutAnOrder checks that engines count even without an order.
 func TestEnginesRegisterWithoutAnOrder(t *testing.T) {
 	sim := newSettledSimulation(t, 6)
 	for _, zone := range sim.zones {
@@ -347,7 +349,7 @@
 // on-demand ones within the zone's limit.
 func TestUnavailableReclaimablesAreCancelled(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
-	sim.answerOrder = func(order Order) (Answer, bool) { return Taken, !order.Target.Reclaimable }
+	sim.answerOrder = func(order Order) (Answer, bool) { return Accepted, !order.Target.Reclaimable }
 	sim.run(28000, constantLoad(700))
 	for _, zone := range sim.zones {
 		require.Equal(t, 24, len(sim.machinesIn(Pool{Zone: zone})))
@@ -360,7 +362,7 @@
 func TestUnavailableOnDemandOrdersAreKept(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
 	sim.scale.ReclaimablePrice = 0
-	sim.answerOrder = func(Order) (Answer, bool) { return Taken, false }
+	sim.answerOrder = func(Order) (Answer, bool) { return Accepted, false }
 	sim.run(60000, constantLoad(700))
 	require.NotEmpty(t, sim.sentOrders)
 	for _, order := range sim.sentOrders {
@@ -371,7 +373,7 @@
 // TestRemovedEnginesDoNotCount checks that removed engines do not count before they report that they drain.
 func TestRemovedEnginesDoNotCount(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
-	sim.answerOrder = func(order Order) (Answer, bool) { return Taken, order.Target.Count > order.Before }
+	sim.answerOrder = func(order Order) (Answer, bool) { return Accepted, order.Target.Count > order.Before }
 	for len(sim.sentOrders) == 0 {
 		sim.run(stepPeriod, constantLoad(40))
 	}
@@ -451,7 +453,7 @@
 	}
 }
 
-// TestLimitsChange checks that changed limits apply at once, to both kinds together.
+// TestLimitsChange checks that changed limits apply immediately, to both kinds together.
 func TestLimitsChange(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
 	sim.run(20000, constantLoad(300))
--- a/capacity/simulation_test.go
+++ b/capacity/simulation_test.go
@@ -156,7 +156,7 @@
 // send records an order with its answer, and carries it out if the answer says so.
 func (sim *simulation) send(order Order) {
 	sim.sentOrders, sim.sentAt = append(sim.sentOrders, order), append(sim.sentAt, sim.now)
-	answer, done := Taken, true
+	answer, done := Accepted, true
 	if sim.answerOrder != nil {
 		answer, done = sim.answerOrder(order)
 	}
--- a/capacity/tracker.go
+++ b/capacity/tracker.go
@@ -73,7 +73,7 @@
 		// Backends of the pool's later orders are not expected either.
 		t.cohorts = nil
 		t.pause(now, exhaustedBackoff)
-	case len(t.cohorts) == 0 && t.hasOrder() && t.order.Answer == Taken && t.maxRegistered >= t.order.Count():
+	case len(t.cohorts) == 0 && t.hasOrder() && t.order.Answer == Accepted && t.maxRegistered >= t.order.Count():
 		t.failures = 0
 	}
 }
@@ -116,7 +116,7 @@
 
 func (t *orderTracker) hasOrder() bool { return t.order.Number > 0 }
 
-// ordered returns the count that the platform takes to be the pool's target.
+// ordered returns the pool's target count at the platform.
 func (t *orderTracker) ordered() int {
 	if t.hasOrder() {
 		return t.order.Count()
--- a/capacity/tracker_test.go
+++ b/capacity/tracker_test.go
@@ -23,16 +23,16 @@
 	tracker.observe(0, Order{}, PoolState{Ready: 3}, registrationTimeout)
 	require.Zero(t, tracker.pending())
 	require.Equal(t, 3, tracker.ordered())
-	tracker.observe(1000, newOrder(8, 3, 1, Taken), PoolState{Ready: 3}, registrationTimeout)
+	tracker.observe(1000, newOrder(8, 3, 1, Accepted), PoolState{Ready: 3}, registrationTimeout)
 	require.Equal(t, 5, tracker.pending())
-	tracker.observe(5000, newOrder(8, 3, 1, Taken), PoolState{Ready: 6}, registrationTimeout)
+	tracker.observe(5000, newOrder(8, 3, 1, Accepted), PoolState{Ready: 6}, registrationTimeout)
 	require.Equal(t, 2, tracker.pending())
-	tracker.observe(5500, newOrder(8, 3, 1, Taken), PoolState{Ready: 4}, registrationTimeout)
+	tracker.observe(5500, newOrder(8, 3, 1, Accepted), PoolState{Ready: 4}, registrationTimeout)
 	require.Equal(t, 2, tracker.pending(), "two were lost")
-	tracker.observe(6000, newOrder(10, 8, 2, Taken), PoolState{Ready: 6, Silent: 1}, registrationTimeout)
+	tracker.observe(6000, newOrder(10, 8, 2, Accepted), PoolState{Ready: 6, Silent: 1}, registrationTimeout)
 	require.Equal(t, 3, tracker.pending())
 	require.False(t, tracker.isPaused(8999))
-	tracker.observe(1000+registrationTimeout, newOrder(10, 8, 2, Taken), PoolState{Ready: 7}, registrationTimeout)
+	tracker.observe(1000+registrationTimeout, newOrder(10, 8, 2, Accepted), PoolState{Ready: 7}, registrationTimeout)
 	require.Zero(t, tracker.pending(), "the first order timed out")
 	require.True(t, tracker.isPaused(1000+registrationTimeout))
 	require.False(t, tracker.isPaused(1000+registrationTimeout+exhaustedBackoff.Milliseconds()))
@@ -40,19 +40,19 @@
 
 func TestLowerOrderReducesPending(t *testing.T) {
 	tracker := &orderTracker{}
-	tracker.observe(1000, newOrder(12, 8, 1, Taken), PoolState{Ready: 8}, registrationTimeout)
-	tracker.observe(2000, newOrder(9, 12, 2, Taken), PoolState{Ready: 8}, registrationTimeout)
+	tracker.observe(1000, newOrder(12, 8, 1, Accepted), PoolState{Ready: 8}, registrationTimeout)
+	tracker.observe(2000, newOrder(9, 12, 2, Accepted), PoolState{Ready: 8}, registrationTimeout)
 	require.Equal(t, 1, tracker.pending())
-	tracker.observe(3000, newOrder(9, 12, 2, Taken), PoolState{Ready: 9}, registrationTimeout)
+	tracker.observe(3000, newOrder(9, 12, 2, Accepted), PoolState{Ready: 9}, registrationTimeout)
 	require.Zero(t, tracker.pending())
-	tracker.observe(1000+2*registrationTimeout, newOrder(9, 12, 2, Taken), PoolState{Ready: 9}, registrationTimeout)
+	tracker.observe(1000+2*registrationTimeout, newOrder(9, 12, 2, Accepted), PoolState{Ready: 9}, registrationTimeout)
 	require.False(t, tracker.isPaused(1000+2*registrationTimeout), "all registered")
 }
 
 // TestRejectionRestoresPending also checks that the backoff doubles with each consecutive failure.
 func TestRejectionRestoresPending(t *testing.T) {
 	tracker := &orderTracker{}
-	tracker.observe(1000, newOrder(5, 3, 1, Taken), PoolState{Ready: 3}, registrationTimeout)
+	tracker.observe(1000, newOrder(5, 3, 1, Accepted), PoolState{Ready: 3}, registrationTimeout)
 	tracker.observe(1500, newOrder(9, 5, 2, Open), PoolState{Ready: 3}, registrationTimeout)
 	require.Equal(t, 6, tracker.pending())
 	tracker.observe(1600, newOrder(9, 5, 2, Exhausted), PoolState{Ready: 3}, registrationTimeout)
@@ -62,7 +62,7 @@
 	require.False(t, tracker.isPaused(1600+exhaustedBackoff.Milliseconds()))
 	tracker.observe(20000, newOrder(9, 5, 3, Exhausted), PoolState{Ready: 5}, registrationTimeout)
 	require.True(t, tracker.isPaused(20000+2*exhaustedBackoff.Milliseconds()-1))
-	tracker.observe(50000, newOrder(9, 5, 4, Taken), PoolState{Ready: 9}, registrationTimeout)
+	tracker.observe(50000, newOrder(9, 5, 4, Accepted), PoolState{Ready: 9}, registrationTimeout)
 	tracker.observe(51000, newOrder(12, 9, 5, Exhausted), PoolState{Ready: 9}, registrationTimeout)
 	require.False(t, tracker.isPaused(51000+exhaustedBackoff.Milliseconds()), "an accepted order resets the backoff")
 }
@@ -77,12 +77,12 @@
 		state PoolState
 		due   bool
 	}{
-		"nothing changed":                  {order: newOrder(8, 3, 1, Taken), after: 60000, count: 8, state: unchanged},
-		"different count":                  {order: newOrder(8, 3, 1, Taken), count: 9, state: unchanged, due: true},
+		"nothing changed":                  {order: newOrder(8, 3, 1, Accepted), after: 60000, count: 8, state: unchanged},
+		"different count":                  {order: newOrder(8, 3, 1, Accepted), count: 9, state: unchanged, due: true},
 		"unanswered, just sent":            {order: newOrder(8, 3, 1, Open), after: 999, count: 8, state: unchanged},
 		"unanswered":                       {order: newOrder(8, 3, 1, Open), after: 1000, count: 8, state: unchanged, due: true},
-		"backends missing before timeout":  {order: newOrder(8, 3, 1, Taken), after: registrationTimeout - 1, count: 8, state: growing},
-		"backends missing after timeout":   {order: newOrder(8, 3, 1, Taken), after: registrationTimeout, count: 8, state: growing, due: true},
+		"backends missing before timeout":  {order: newOrder(8, 3, 1, Accepted), after: registrationTimeout - 1, count: 8, state: growing},
+		"backends missing after timeout":   {order: newOrder(8, 3, 1, Accepted), after: registrationTimeout, count: 8, state: growing, due: true},
 		"scale-up refused, previous count": {order: newOrder(9, 8, 1, Refused), after: 60000, count: 8, state: unchanged},
 		"scale-up refused, lower count":    {order: newOrder(9, 8, 1, Refused), count: 7, state: unchanged, due: true},
 		"scale-down refused, just sent":    {order: newOrder(6, 8, 1, Refused), after: 1999, count: 7, state: unchanged},
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// indexBackends rebuilds what is derived from the stored state and starts an empty journal.
+// indexBackends rebuilds the indexes that are derived from the stored state, and starts an empty journal.
 func (m *Machine) indexBackends() {
 	m.journal, m.urgentRevision, m.versionRevision = journal{floor: m.state.Revision}, m.state.Revision, m.state.Revision
 	m.forwarded = newForwarded(m.state.Routes)
@@ -60,7 +60,7 @@
 		}
 		delete(m.byAddress, existing.Address)
 		if existing.Service != backend.Service {
-			// Watchers of its previous service only must remove it.
+			// Watchers that receive only its previous service must remove it.
 			m.addTombstone(KindBackend, existing.ID)
 		}
 	case isRegistered && !backend.Incarnation().startedAfter(existing.Born):
@@ -89,8 +89,8 @@
 	}
 }
 
-// removeBackend applies the command. The removal of a name that is not registered is recorded too,
-// because a heartbeat of it may still arrive.
+// removeBackend applies the command. It also records the removal of a name that is not registered, because
+// a heartbeat of the backend may still arrive.
 func (m *Machine) removeBackend(command RemoveBackend) {
 	if command.Name == "" {
 		m.removeSilentBackend(command.ID)
@@ -105,7 +105,7 @@
 	}
 }
 
-// removeSilentBackend removes a backend that sends no heartbeats. It may be removed already: the command
+// removeSilentBackend removes a backend that sends no heartbeats. It may already be removed: the command
 // may result from a stale copy of the directory.
 func (m *Machine) removeSilentBackend(id string) {
 	existing, isRegistered := m.Backend(id)
--- a/directory/command.go
+++ b/directory/command.go
@@ -45,7 +45,7 @@
 	PutZone *ReplicaZone `cbor:"19,keyasint,omitempty"`
 	// Order is a capacity order that is about to be sent or was answered.
 	Order *capacity.Order `cbor:"20,keyasint,omitempty"`
-	// RaiseVersion raises the version of the commands' meaning.
+	// RaiseVersion raises the version that determines how commands are applied.
 	RaiseVersion *RaiseVersion `cbor:"21,keyasint,omitempty"`
 	// ReturnBackend registers a backend again that was removed because it was silent. It is written
 	// from ReturnVersion on.
@@ -75,8 +75,8 @@
 
 // RemoveBackend removes a backend, identified by either ID or Name.
 type RemoveBackend struct {
-	// ID identifies a silent incarnation. From ReturnVersion on it may return. Before, and if the
-	// backend is removed by Name, it may not.
+	// ID identifies a silent incarnation, which may return from ReturnVersion on. An incarnation that
+	// is removed by Name may not return.
 	ID string `cbor:"1,keyasint"`
 	// Name identifies the incarnation that is registered under it.
 	Name string `cbor:"2,keyasint,omitempty"`
--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -103,9 +103,8 @@
 	require.Equal(t, []string{"left/50"}, backendIDs(m))
 }
 
-// TestIncarnationsMatchModel draws starts, late heartbeats, removals, address conflicts and restores in
-// any order. The newest incarnation of a name that was not removed is registered, and no address belongs
-// to two backends.
+// TestIncarnationsMatchModel: after any commands and restores, the newest incarnation of each name that was
+// not removed is registered, and no address belongs to two backends.
 func TestIncarnationsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
--- a/directory/journal_test.go
+++ b/directory/journal_test.go
@@ -43,7 +43,7 @@
 		{"draining", Command{PutBackend: &Backend{ID: "a", Address: "1", Draining: true}}, true},
 		{"still draining", Command{PutBackend: &Backend{ID: "a", Address: "1", Slots: 3, Draining: true}}, false},
 		{"a registration in a batch", Command{Batch: []Command{{PutBackend: &Backend{ID: "b", Address: "2"}}}}, false},
-		{"an address taken over", Command{PutBackend: &Backend{ID: "c", Address: "2"}}, true},
+		{"an address reused by another backend", Command{PutBackend: &Backend{ID: "c", Address: "2"}}, true},
 		{"leaving", Command{RemoveBackend: &RemoveBackend{Name: "a"}}, true},
 		{"a named version", Command{NameVersion: &ModelVersion{Model: "m", Version: 2}}, true},
 	} {
--- a/directory/machine.go
+++ b/directory/machine.go
@@ -21,7 +21,7 @@
 // a full delta.
 const maxTombstones = 20000
 
-// keptTombstones is the number of tombstones that remain after pruning. It is well below maxTombstones,
+// keptTombstones is the number of tombstones left after pruning. It is well below maxTombstones,
 // so that pruning, which copies them, is rare.
 const keptTombstones = maxTombstones / 2
 
@@ -223,7 +223,7 @@
 	case command.RemoveBackend != nil:
 		m.removeBackend(*command.RemoveBackend)
 	case command.NameVersion != nil:
-		m.nameVersion(*command.NameVersion)
+		m.putModelVersion(*command.NameVersion)
 	case command.PutStore != nil:
 		m.putStore(*command.PutStore)
 	case command.FormGroup != nil:
@@ -325,7 +325,7 @@
 	}
 }
 
-func (m *Machine) nameVersion(version ModelVersion) {
+func (m *Machine) putModelVersion(version ModelVersion) {
 	if current := m.state.Models[version.Model]; current != nil && current.Object >= version.Version {
 		return
 	}
--- a/directory/orders_test.go
+++ b/directory/orders_test.go
@@ -25,12 +25,12 @@
 		return recorded
 	}
 	order("s", "a", false, 3, 1, capacity.Open)
-	answered := order("s", "a", false, 3, 1, capacity.Taken)
+	answered := order("s", "a", false, 3, 1, capacity.Accepted)
 	reclaimableOrder := order("s", "a", true, 5, 1, capacity.Exhausted)
 	order("s", "b", false, 4, 1, capacity.Open)
 	newer := order("s", "b", false, 6, 2, capacity.Open)
-	order("s", "b", false, 4, 1, capacity.Taken)
-	other := order("t", "a", false, 9, 1, capacity.Taken)
+	order("s", "b", false, 4, 1, capacity.Accepted)
+	other := order("t", "a", false, 9, 1, capacity.Accepted)
 
 	var snapshot bytes.Buffer
 	require.NoError(t, m.Snapshot()(&snapshot))
@@ -60,10 +60,10 @@
 	order(6, capacity.Open)
 	order(2, capacity.Open)
 	require.Equal(t, 6, m.Orders("s")[0].Target.Count)
-	order(6, capacity.Taken)
+	order(6, capacity.Accepted)
 	order(2, capacity.Open)
 	require.Equal(t, 6, m.Orders("s")[0].Target.Count)
-	require.Equal(t, capacity.Taken, m.Orders("s")[0].Answer)
+	require.Equal(t, capacity.Accepted, m.Orders("s")[0].Answer)
 }
 
 // TestSnapshotWithoutOrders: a snapshot without orders, as earlier builds wrote it, is read.
--- a/directory/version.go
+++ b/directory/version.go
@@ -7,9 +7,9 @@
 	"github.com/joomcode/errorx"
 )
 
-// Versions of the commands' meaning. The state records the version in use, and the leader raises it once
-// all members of the group have reported that they support the new version. Otherwise replicas of
-// different builds would apply the same command differently.
+// Versions that determine how commands are applied. The state records the version in use. The leader raises
+// it only once all members of the group have reported that they support the new version, so that replicas
+// of different builds apply each command in the same way.
 const (
 	// ReturnVersion is the first version that records which backends were removed because they were
 	// silent, so that they may return.
@@ -34,8 +34,8 @@
 // VersionInUse returns the version of the commands in use, 0 if it was never raised.
 func (m *Machine) VersionInUse() uint64 { return m.state.InUse }
 
-// Err returns an ErrUnknownVersion error if this build does not support the version in use. Apply
-// ignores all commands then.
+// Err returns an ErrUnknownVersion error if this build does not support the version in use. In
+// that case Apply ignores all commands.
 func (m *Machine) Err() error {
 	if m.state.InUse <= KnownVersion {
 		return nil
--- a/directory/version_test.go
+++ b/directory/version_test.go
@@ -39,11 +39,11 @@
 		"silent, and removed twice":              {[]Command{raiseVersion, register, removeSilent, removeSilent, returnBackend}, true},
 		"silent, in a batch":                     {[]Command{raiseVersion, register, {Batch: []Command{removeSilent}}, {Batch: []Command{returnBackend}}}, true},
 		"silent, and registers":                  {[]Command{raiseVersion, register, removeSilent, register}, false},
-		"silent before the raise":                {[]Command{register, removeSilent, raiseVersion, returnBackend}, false},
+		"silent before the version was raised":   {[]Command{register, removeSilent, raiseVersion, returnBackend}, false},
 		"silent before, as listed by the leader": {[]Command{register, removeSilent, {RaiseVersion: &RaiseVersion{Version: ReturnVersion, Silenced: []string{"i/100"}}}, returnBackend}, true},
 		"left before, but the leader lists an earlier incarnation as silent": {[]Command{registerLater, {RemoveBackend: &RemoveBackend{Name: "i", Born: 200}},
 			{RaiseVersion: &RaiseVersion{Version: ReturnVersion, Silenced: []string{"i/100"}}}, returnBackend}, false},
-		"never raised":                           {[]Command{register, removeSilent, returnBackend}, false},
+		"version never raised":                   {[]Command{register, removeSilent, returnBackend}, false},
 		"left":                                   {[]Command{raiseVersion, register, leave, returnBackend}, false},
 		"left without a start time":              {[]Command{raiseVersion, register, leaveWithoutStartTime, returnBackend}, false},
 		"silent, then left":                      {[]Command{raiseVersion, register, removeSilent, leave, returnBackend}, false},
@@ -54,9 +54,9 @@
 		"a later incarnation is registered":      {[]Command{raiseVersion, register, removeSilent, registerLater, returnBackend}, false},
 		"a later incarnation has left":           {[]Command{raiseVersion, register, removeSilent, registerLater, {RemoveBackend: &RemoveBackend{Name: "i", Born: 200}}, returnBackend}, false},
 		"a later incarnation is silent":          {[]Command{raiseVersion, register, removeSilent, registerLater, {RemoveBackend: &RemoveBackend{ID: "i/200"}}, returnBackend}, false},
-		"its address is taken":                   {[]Command{raiseVersion, register, registerOther, returnBackend}, true},
-		"its address is taken, never raised":     {[]Command{register, registerOther, returnBackend}, false},
-		"its address is taken, then left":        {[]Command{raiseVersion, register, registerOther, leave, returnBackend}, false},
+		"address reused":                         {[]Command{raiseVersion, register, registerOther, returnBackend}, true},
+		"address reused, version never raised":   {[]Command{register, registerOther, returnBackend}, false},
+		"address reused, then left":              {[]Command{raiseVersion, register, registerOther, leave, returnBackend}, false},
 		"an earlier incarnation leaves late":     {[]Command{raiseVersion, register, removeSilent, {RemoveBackend: &RemoveBackend{Name: "i", Born: 50}}, returnBackend}, true},
 	} {
 		m := NewMachine()
@@ -115,9 +115,8 @@
 	require.ErrorContains(t, NewMachine().Restore(&snapshot), "version")
 }
 
-// TestReturnsMatchModel draws registrations, removals, returns and raised versions in any order, on two
-// replicas of which one restarts from snapshots. Their states are equal, and the registered backends
-// match the model.
+// TestReturnsMatchModel: after any commands, a replica that restarts from snapshots has the same state as
+// one that does not, and the registered backends match the model.
 func TestReturnsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		continuous, restarted := NewMachine(), NewMachine()
--- a/server/active_run.go
+++ b/server/active_run.go
@@ -80,8 +80,8 @@
 	return end, text, r.version
 }
 
-// recordOutcome updates the quarantine guard. A crash is also reported by the runner, but counted once;
-// recording it here ensures that this leader knows of it before the sample waits again.
+// recordOutcome updates the quarantine guard. A crash that the runner also reports is counted once. Recording
+// it here ensures that this leader knows of it before the sample is queued again.
 func (r *activeRun) recordOutcome(end scheduler.RunEnd) {
 	guard, task := r.leadership.guard, r.assignment.Task
 	subject := func() quarantine.Subject {
--- a/server/checkpoint.go
+++ b/server/checkpoint.go
@@ -71,8 +71,8 @@
 	return p.text, p.events
 }
 
-// observed returns the number of events since the run began and the time for which it holds. Events arrive
-// in batches; counted as of now, an engine would look slow just before the next batch.
+// observed returns the number of events since the run began and the time of that count. Events arrive in
+// batches, so with the current time an engine would seem slow just before its next batch.
 func (p *runProgress) observed(now int64) (at int64, events int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/server/demand.go
+++ b/server/demand.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// demandInterval is the time between demand reports: a small part of a backend's boot time.
+	// demandInterval is the minimum time between demand reports. It is short compared to a backend's boot time.
 	demandInterval = 500 * time.Millisecond
 	// demandTimeout limits one report. The next report replaces a lost one.
 	demandTimeout = time.Second
--- a/server/engines.go
+++ b/server/engines.go
@@ -114,7 +114,7 @@
 	return protocol.EngineMessage{Lost: &protocol.EngineLost{Attempt: attempt}}
 }
 
-// handleRefusal forwards a refusal if it is the engine's own. Any other response counts as a lost attempt.
+// handleRefusal forwards the engine's refusal of the attempt. Any other response counts as a lost attempt.
 func (c *engineClient) handleRefusal(engine, attempt string, response *http.Response) {
 	var refused protocol.EngineRefused
 	err := json.NewDecoder(response.Body).Decode(&refused)
--- a/server/engines_test.go
+++ b/server/engines_test.go
@@ -58,7 +58,7 @@
 }
 
 // TestCancelRightAfterStart checks that a cancel immediately after a start ends the attempt, even if the
-// start was not sent yet.
+// start has not been sent yet.
 func TestCancelRightAfterStart(t *testing.T) {
 	for range 200 {
 		client, address, received := newTestEngine(t, func(_ http.ResponseWriter, request *http.Request) { waitForClose(request) })
@@ -90,7 +90,7 @@
 }
 
 // TestInvalidEngineResponses checks that an incomplete or malformed response counts as a lost attempt, and
-// that only the engine's own refusals count as refusals.
+// that only an engine's refusal of this attempt counts as a refusal.
 func TestInvalidEngineResponses(t *testing.T) {
 	tests := map[string]struct {
 		status  int
--- a/server/executor.go
+++ b/server/executor.go
@@ -20,8 +20,8 @@
 
 const (
 	executorTickInterval = 100 * time.Millisecond
-	// stallTimeout ends a run whose engine sends nothing, loadStallTimeout one whose engine is loading
-	// weights.
+	// stallTimeout is how long an engine may send nothing before its run is ended. loadStallTimeout
+	// applies instead if the engine is loading weights when the run begins.
 	stallTimeout     = 1200 * time.Millisecond
 	loadStallTimeout = 5 * time.Second
 	// rewardBackoff is the pause before a reward call is retried.
@@ -45,7 +45,7 @@
 	logger    *zerolog.Logger
 	// openRunners is the number of open links to runners at the leader's last tick.
 	openRunners atomic.Int64
-	// planCounts counts the open groups by their place in the leader's last plan, or is nil on other
+	// planCounts counts the open groups by their rank in the leader's latest plan, or is nil on other
 	// replicas.
 	planCounts atomic.Pointer[scheduler.PlanCounts]
 }
@@ -90,7 +90,7 @@
 	l.deferLoads()
 	l.restoreHistory()
 	go l.watchChanges(stop)
-	// An empty call makes the loop flush once the leadership is confirmed.
+	// An empty function makes the loop flush once the leadership is confirmed.
 	go l.freshness.confirmLeadership(leaderContext, r, func() { l.loop.Submit(func() {}) })
 	l.loop.Run(leaderContext, executorTickInterval, l.tick, l.flush)
 	x.openRunners.Store(0)
--- a/server/inspect.go
+++ b/server/inspect.go
@@ -9,13 +9,13 @@
 	"github.com/dillchute/dillchute/event"
 )
 
-// recentOrderWindow is how far before the newest order another one counts as recent. It covers loadTimeout
-// and the heartbeat by which the directory then learns what the engine holds.
+// recentOrderWindow is the age, relative to the newest order, up to which an order counts as recent. It
+// covers loadTimeout and the next heartbeat, which reports the engine's version to the directory.
 const recentOrderWindow = loadTimeout + 4*time.Second
 
-// inspectEngines queries the engines with recent orders for their versions and loads in progress. The
-// directory learns of versions only with heartbeats and never of loads in progress; for all other engines
-// its state is complete. So the number of queries depends on recent loads, not on the size of the fleet.
+// inspectEngines queries the engines with recent orders for their versions and loads in progress. Heartbeats
+// report versions with a delay and loads in progress not at all. For all other engines the directory is up
+// to date, so the number of queries depends on recent loads, not on the size of the fleet.
 func (l *leadership) inspectEngines(backends []directory.Backend) {
 	var recent map[string]bool
 	l.replica.Do(func() { recent = recentlyOrdered(l.machine.Orders()) })
--- a/server/inspect_test.go
+++ b/server/inspect_test.go
@@ -8,8 +8,8 @@
 	"github.com/dillchute/dillchute/duty"
 )
 
-// TestRecentlyOrdered checks that engines without an order, or with one that must have ended long before
-// the newest, are omitted, independently of the wall clock.
+// TestRecentlyOrdered checks that engines without an order, or with one long before the newest, are
+// omitted, independently of the wall clock.
 func TestRecentlyOrdered(t *testing.T) {
 	require.Empty(t, recentlyOrdered(nil))
 	orders := map[string]duty.Action{
--- a/server/leadership.go
+++ b/server/leadership.go
@@ -73,7 +73,7 @@
 	planLoggedAt, demandReportedAt time.Time
 }
 
-// deferLoads postpones loads on engines that another leader has sent orders to until its lease has ended.
+// deferLoads postpones loads on engines to which another leader has sent orders until its lease has ended.
 func (l *leadership) deferLoads() {
 	wait := (l.settings.OrderLease + duty.LeaseMargin).Milliseconds()
 	l.replica.Do(func() { l.orders.Observe(nowMillis(), l.machine.Orders()) })
@@ -219,7 +219,7 @@
 	}
 	l.scheduler.SetFleetSize(fleetSize)
 	for _, task := range l.scheduler.SyncEngines(nowMillis(), l.selectedEngines, l.catalog.Models) {
-		// The task waits again once its run has ended and its text so far is known.
+		// The task is queued again when its run has ended, with the text produced until then.
 		l.cancel(task)
 	}
 }
--- a/server/ledger.go
+++ b/server/ledger.go
@@ -40,8 +40,8 @@
 	// runnerServer runs samples for the leader.
 	runnerServer *runner.Server
 	metrics      ledgerMetrics
-	// identity is the replica ID to use if the data folder is empty. fresh is set if the store never held
-	// data.
+	// identity is the replica ID to use if the data folder is empty. fresh is set if the store has never
+	// held data.
 	identity consensus.ReplicaID
 	fresh    bool
 
@@ -211,8 +211,8 @@
 	return addresses
 }
 
-// otherContacts returns the addresses of all other stores that are not retired. All members may have been
-// replaced by such stores while the directory was unreachable.
+// otherContacts returns the addresses of all stores outside the group that are not retired. They may have
+// replaced all its members while the directory was unreachable.
 func (l *Ledger) otherContacts() []string { return storesOutsideGroup(l.watcher.Catalog()) }
 
 func storesOutsideGroup(catalog *directory.Catalog) []string {
@@ -260,9 +260,9 @@
 	l.watcher.call(ctx, directoryCall{Report: &directory.Group{Members: status.Members, Number: status.Commit}})
 }
 
-// shouldReportGroup reports whether the directory must be told the group's members; reported are those that
-// it knows. A retiring store that is no longer a member counts as empty once this is reported, and other
-// stores may fail from then on. So it is reported only once the group has all its voters.
+// shouldReportGroup reports whether the group's members must be sent to the directory, which knows those in
+// reported. A retiring store that is no longer a member counts as empty once this is reported, and other
+// stores may fail from then on, so its removal is reported only once the group has all its voters.
 func shouldReportGroup(status *replica.Status, reported []consensus.Member, retiringLeft bool) bool {
 	if !status.MembersCommitted || retiringLeft && status.MissingVoters > 0 {
 		return false
--- a/server/ledger_call.go
+++ b/server/ledger_call.go
@@ -49,7 +49,7 @@
 }
 
 type ledgerAnswer struct {
-	// NotLeader means that nothing was done. Leader is the address of the leader, if known.
+	// NotLeader means that the call was not executed. Leader is the address of the leader, if known.
 	NotLeader bool   `cbor:"1,keyasint,omitempty"`
 	Leader    string `cbor:"2,keyasint,omitempty"`
 	// Unknown means that the call may or may not have been executed.
@@ -59,7 +59,7 @@
 	Total   int             `cbor:"5,keyasint,omitempty"`
 	Results []ledger.Result `cbor:"6,keyasint,omitempty"`
 	Body    []byte          `cbor:"7,keyasint,omitempty"`
-	// Refused means that nothing was done and a retry would be refused, too.
+	// Refused means that the call was not executed and that a retry would be refused as well.
 	Refused bool `cbor:"8,keyasint,omitempty"`
 }
 
@@ -91,8 +91,8 @@
 	return ledgerAnswer{}
 }
 
-// submit commits a new step. The times in the step are relative to its first submission, by the leader's
-// clock.
+// submit commits a new step. It converts the step's times, which are relative to the submission, to times
+// of the leader's clock.
 func (l *Ledger) submit(ctx context.Context, step *ledger.Step) ledgerAnswer {
 	now := nowMillis()
 	step.SubmittedAt = now
@@ -120,8 +120,7 @@
 	return submitAnswer(l.stepAccess(step.ID, step.Tenant))
 }
 
-// submit commits a new step. The step's relative times become times of the leader's clock at the first
-// submission.
+// submitAnswer returns the answer to a committed submission, given the result of stepAccess.
 func submitAnswer(exists, allowed bool) ledgerAnswer {
 	switch {
 	case !exists:
@@ -133,7 +132,7 @@
 }
 
 // stepAccess reports whether the step exists and whether the tenant may access it. If two tenants submit
-// steps with the same ID, the first owns it and the second is refused.
+// steps with the same ID, the step belongs to the first, and the second is refused.
 func (l *Ledger) stepAccess(id, tenant string) (exists, allowed bool) {
 	l.replica.Do(func() {
 		if entry := l.machine.Step(id); entry != nil {
--- a/server/ledger_client.go
+++ b/server/ledger_client.go
@@ -43,8 +43,8 @@
 	return &ledgerClient{watcher: watcher, client: replica.NewInternalClient(), zone: zone, logger: logger}
 }
 
-// results returns results. Existing ones may come from the replica in the local zone, since applied results
-// are committed and never change position or content. Everything else comes from the leader.
+// results returns a step's results. A call that does not wait reads them from the replica in the local zone
+// if it has any, since applied results are committed and never change. All other calls go to the leader.
 func (c *ledgerClient) results(ctx context.Context, call resultsCall) (ledgerAnswer, bool, error) {
 	if call.Wait == 0 {
 		if answer, ok := c.localResults(ctx, call); ok {
@@ -74,7 +74,7 @@
 }
 
 // localMember returns the address of a member in the local zone that is not known to lead, or "" if there
-// is none or it must not be called now.
+// is none or calls to it are in a backoff.
 func (c *ledgerClient) localMember() string {
 	c.mutex.Lock()
 	leader, retryAt := c.leader, c.localRetryAt
@@ -100,8 +100,8 @@
 	return ""
 }
 
-// call calls the group's members until the leader has answered. mayHaveExecuted reports whether a leader
-// may have executed the call, even if it failed.
+// call sends the call to the group's members until the leader has answered. mayHaveExecuted reports whether
+// a leader may have executed the call, even if it failed.
 func (c *ledgerClient) call(ctx context.Context, call ledgerCall, wait time.Duration) (answer ledgerAnswer, mayHaveExecuted bool, err error) {
 	body := encodeInternal(call)
 	ctx, cancel := context.WithTimeout(ctx, ledgerCallTimeout+wait)
--- a/server/ledger_client_test.go
+++ b/server/ledger_client_test.go
@@ -79,8 +79,8 @@
 	return len(answer.Results)
 }
 
-// TestResultsComeFromLocalZone checks that results the local replica holds are read there, and that missing
-// or awaited ones come from the leader.
+// TestResultsComeFromLocalZone checks that results are read from the local replica if it holds them, and
+// that missing or awaited ones are read from the leader.
 func TestResultsComeFromLocalZone(t *testing.T) {
 	client, local, remote := newZonedClient(t)
 	require.Equal(t, 3, readResults(t, client, 0, 0))
--- a/server/ledger_test.go
+++ b/server/ledger_test.go
@@ -12,9 +12,8 @@
 	"github.com/dillchute/dillchute/replica"
 )
 
-// TestNewStoreMayFormGroupAfterRestart checks that a store from the first start of a cluster keeps its
-// identity when it restarts before the group is formed, and that one with an empty disk may not form a
-// group.
+// TestNewStoreMayFormGroupAfterRestart checks that a store of a new cluster keeps its identity when it
+// restarts before the group is formed, and that a store that lost its data may not form a group.
 func TestNewStoreMayFormGroupAfterRestart(t *testing.T) {
 	logger := zerolog.Nop()
 	settings := config.DefaultLedger()
@@ -50,9 +49,8 @@
 	require.False(t, shouldReportGroup(&replica.Status{Members: reported, MembersCommitted: true}, reported, false))
 }
 
-// TestContactsIncludeStoresOutsideGroup checks that a store outside the group can ask for admission at all
-// stores that the group may have moved to while the directory was unreachable, and that an empty catalog
-// names none.
+// TestContactsIncludeStoresOutsideGroup checks that a store can request admission from all stores that may
+// have joined the group while the directory was unreachable. An empty catalog lists none.
 func TestContactsIncludeStoresOutsideGroup(t *testing.T) {
 	machine := directory.NewMachine()
 	for number, name := range []string{"a", "b", "c", "d"} {
--- a/server/load.go
+++ b/server/load.go
@@ -26,8 +26,8 @@
 	conflictBackoff = 250 * time.Millisecond
 )
 
-// runLoad executes a load order, which is sent until the engine holds the version. Each request names the
-// engine's expected sequence, so that of a delayed request and its retry only one takes effect.
+// runLoad sends a load order until the engine holds the version. Each request contains the engine's expected
+// sequence, so that only one of a delayed request and its retry takes effect.
 func (l *leadership) runLoad(order scheduler.LoadOrder) {
 	limited, cancel := context.WithTimeout(l.context, loadTimeout)
 	defer cancel()
@@ -84,7 +84,7 @@
 	return 0, false
 }
 
-// sendOrder records the order in the ledger for the next leader, then sends it. An order is not sent if
+// sendOrder records the order in the ledger for the next leader, then sends it. It does not send the order if
 // recording took longer than duty.MaxStartDelay.
 func (l *leadership) sendOrder(ctx context.Context, request LoadRequest) LoadAnswer {
 	limited, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -107,7 +107,7 @@
 func orderSubject(backend directory.Backend) string { return backend.NameOrID() }
 
 // isSameIncarnation reports whether the report is from the incarnation that the order is meant for. A later
-// one reports its versions with its own registration and counts orders from zero.
+// one reports its versions when it registers, and counts orders from zero.
 func (l *leadership) isSameIncarnation(backend directory.Backend, report EngineReport) bool {
 	if report.StartTime == backend.Born || report.StartTime == 0 || backend.Born == 0 {
 		return true
--- a/server/plan_metrics.go
+++ b/server/plan_metrics.go
@@ -24,7 +24,7 @@
 		Uint("late", uint64(counts.Late)).Str("shares", l.scheduler.FormatShares()).Send()
 }
 
-// collectPlan emits the group counts of the leader's last plan.
+// collectPlan emits the group counts of the leader's latest plan.
 func (x *Executor) collectPlan(emit chan<- prometheus.Metric) {
 	counts := x.planCounts.Load()
 	if counts == nil {
--- a/server/quarantined_sample.go
+++ b/server/quarantined_sample.go
@@ -10,8 +10,8 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// isQuarantined reports whether the task's sample is quarantined. If a trial is offered, it requests it
-// outside the event loop.
+// isQuarantined reports whether the task's sample is quarantined. If a trial is offered, it starts a request
+// for it outside the event loop.
 func (l *leadership) isQuarantined(task *scheduler.Task) bool {
 	if l.guard.IsIdle() {
 		return false
@@ -26,7 +26,7 @@
 	}
 	if verdict.TrialOffered && !l.requestingTrial[verdict.Fingerprint] {
 		l.requestingTrial[verdict.Fingerprint] = true
-		go l.takeTrial(verdict)
+		go l.requestTrial(verdict)
 	}
 	return true
 }
@@ -43,8 +43,9 @@
 	return verdict.IsSuspect() && l.forwarder.PostponesSuspects(l.catalog, services)
 }
 
-// takeTrial requests a trial. A trial of a kind also permits only this sample.
-func (l *leadership) takeTrial(verdict quarantine.Verdict) {
+// requestTrial requests a trial and permits the sample if it is granted. A trial of a kind permits no other
+// sample.
+func (l *leadership) requestTrial(verdict quarantine.Verdict) {
 	if l.guard.TakeTrial(l.context, verdict.Fingerprint) {
 		l.guard.Permit(verdict.Subject.Content)
 	}
@@ -78,7 +79,7 @@
 	return verdict
 }
 
-// Run implements runner.Engine. It returns Crashed if the run broke off because the engine crashed.
+// Run implements runner.Engine. It returns Crashed if the stream ended because the engine crashed.
 func (g *guardedEngine) Run(ctx context.Context, request runner.Request, onEvent func(runner.Event)) scheduler.RunEnd {
 	verdict := quarantine.Verdict{KnownCrashes: request.KnownCrashes, KnownKindCrashes: request.KnownKindCrashes}
 	if !g.guard.IsIdle() {
--- a/server/quarantined_sample_test.go
+++ b/server/quarantined_sample_test.go
@@ -14,15 +14,15 @@
 	"github.com/dillchute/dillchute/scheduler"
 )
 
-// brokenEngine breaks off each run.
+// brokenEngine ends each run as broken.
 type brokenEngine struct{}
 
 func (brokenEngine) Run(context.Context, runner.Request, func(runner.Event)) scheduler.RunEnd {
 	return scheduler.Broken
 }
 
-// TestRunnerReportsCrashWithLeaderVerdict checks that a crash is counted, whoever reports it first, if the
-// leader knew of an earlier crash that the runner did not know of.
+// TestRunnerReportsCrashWithLeaderVerdict checks that a crash is counted, whether leader or runner reports
+// it first, if only the leader knew of an earlier crash.
 func TestRunnerReportsCrashWithLeaderVerdict(t *testing.T) {
 	request := runner.Request{
 		Backend: directory.Backend{ID: "second"}, Host: "host", Sample: &ledger.Sample{ID: "two", Path: "/crashing"},
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestRunnerReportsCrashWithOwnVerdict checks that the runner's counts are used if a new leader knows of
-// fewer crashes.
-func TestRunnerReportsCrashWithOwnVerdict(t *testing.T) {
+// TestRunnerCountsApplyIfLeaderKnowsFewer checks that the runner's crash counts are used if a new leader
+// knows of fewer crashes.
+func TestRunnerCountsApplyIfLeaderKnowsFewer(t *testing.T) {
 	subject := quarantine.Subject{Content: "one", Kind: "kind"}
 	guard := quarantine.NewGuard(quarantine.SharedRecord{}, clock.Now)
 	guard.RecordCrash(subject, "first", quarantine.Verdict{})
--- a/server/reward_limit.go
+++ b/server/reward_limit.go
@@ -9,9 +9,9 @@
 	"github.com/dillchute/dillchute/routing"
 )
 
-// rewardSlotFraction is the fraction of a service's slots available to reward calls. They come in bursts
-// when the samples of a step end, and without a limit would delay callers' requests or cause them to be
-// refused. A lower fraction would delay steps when few backends are left.
+// rewardSlotFraction is the fraction of a service's slots available to reward calls. These are sent in bursts
+// when the samples of a step end. Without a limit they would delay callers' requests or cause refusals, and
+// a lower limit would delay steps when few backends are left.
 const rewardSlotFraction = 5.0 / 6
 
 // rewardLimiter limits the concurrent reward calls on each route. Waiting calls are admitted in the order
--- a/server/reward_limit_test.go
+++ b/server/reward_limit_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestRewardLimiter checks that active calls stay within the limit, that waiting ones are admitted in
-// order, and that one whose context ends takes no slot.
+// order, and that a call whose context ends uses no slot.
 func TestRewardLimiter(t *testing.T) {
 	limiter := newRewardLimiter()
 	ctx := context.Background()
--- a/server/run.go
+++ b/server/run.go
@@ -117,7 +117,7 @@
 }
 
 // recordFailures records the task's failure counts for later leaders. If that fails, the next failure
-// records them again; if the leader is lost before then, one failure is not counted.
+// records them again. If the leader is lost before then, one failure is not counted.
 func (l *leadership) recordFailures(task *scheduler.Task) {
 	command := &ledger.Failed{Step: task.Step.ID, Sample: task.Sample.ID, Counts: task.Failures}
 	go func() {
--- a/server/scale_controller.go
+++ b/server/scale_controller.go
@@ -197,7 +197,7 @@
 			Uint("count", uint64(order.Target.Count)).Uint("before", uint64(order.Before)).Str("outcome", outcome.String()).Err(err).Send()
 		switch outcome {
 		case DutyTaken:
-			c.recordAnswer(order, capacity.Taken)
+			c.recordAnswer(order, capacity.Accepted)
 		case DutyExhausted:
 			c.recordAnswer(order, capacity.Exhausted)
 		case DutyRefused:
--- a/server/scale_controller_test.go
+++ b/server/scale_controller_test.go
@@ -101,7 +101,7 @@
 	client := &fakeDutyClient{}
 	d, _ := startSingleReplica(t, client, nil)
 	answers := map[DutyOutcome]capacity.Answer{
-		DutyTaken: capacity.Taken, DutyExhausted: capacity.Exhausted, DutyRefused: capacity.Refused,
+		DutyTaken: capacity.Accepted, DutyExhausted: capacity.Exhausted, DutyRefused: capacity.Refused,
 		DutyBusy: capacity.Open, DutyUnanswered: capacity.Open,
 	}
 	number := uint64(0)
@@ -263,7 +263,7 @@
 		}
 		require.Eventually(t, func() bool {
 			orders := recordedOrders(d)
-			return len(orders) == 1 && orders[0].Answer == capacity.Taken
+			return len(orders) == 1 && orders[0].Answer == capacity.Accepted
 		}, time.Minute, time.Millisecond)
 		require.Equal(t, capacity.Target{Service: "s", Zone: "z", Count: 6}, client.sent()[0].Target)
 		require.Len(t, client.sent(), 1)
