--- a/directory/backends.go
+++ b/directory/backends.go
@@ -10,7 +10,7 @@
 // indexBackends rebuilds the indexes that are derived from the stored state, and starts an empty journal.
 func (m *Machine) indexBackends() {
 	m.journal, m.urgentRevision, m.versionRevision = journal{floor: m.state.Revision}, m.state.Revision, m.state.Revision
-	m.forwarded = newForwarded(m.state.Routes)
+	m.forwarded = newForwardedServices(m.state.Routes)
 	m.byName, m.byAddress = map[string]string{}, map[string]string{}
 	for id, stored := range m.state.Backends {
 		m.byName[stored.Object.NameOrID()] = id
--- a/directory/machine.go
+++ b/directory/machine.go
@@ -97,7 +97,7 @@
 	// urgentRevision is explained at UrgentRevision. versionRevision is the revision at which the
 	// configuration's version last changed, or a later one after a restore.
 	urgentRevision, versionRevision uint64
-	forwarded                       forwarded
+	forwarded                       forwardedServices
 }
 
 // NewMachine returns a machine in its initial state.
@@ -300,7 +300,7 @@
 	}
 	syncObjects(m, m.state.Tenants, tenants, KindTenant)
 	syncObjects(m, m.state.Routes, routes, KindRoute)
-	m.forwarded = newForwarded(m.state.Routes)
+	m.forwarded = newForwardedServices(m.state.Routes)
 	syncObjects(m, m.state.Services, services, KindService)
 	m.removeObsoleteOrders()
 	if m.state.Limits.Object != configuration.Limits {
--- a/directory/scope.go
+++ b/directory/scope.go
@@ -31,15 +31,15 @@
 	Held string
 }
 
-// forwarded holds the services with routes for single requests, and a digest of their names.
-type forwarded struct {
+// forwardedServices holds the services with routes for single requests, and a digest of their names.
+type forwardedServices struct {
 	services map[string]bool
 	digest   string
 }
 
-// newForwarded returns the services to which the routes send single requests.
-func newForwarded(routes map[string]*versioned[routing.Route]) forwarded {
-	f := forwarded{services: map[string]bool{}}
+// newForwardedServices returns the services to which the routes send single requests.
+func newForwardedServices(routes map[string]*versioned[routing.Route]) forwardedServices {
+	f := forwardedServices{services: map[string]bool{}}
 	var names []string
 	for _, route := range routes {
 		if route.Object.Kind == routing.Rollout {
--- a/directory/services.go
+++ b/directory/services.go
@@ -14,7 +14,7 @@
 // is cheaper than an incremental update.
 const rebuildDivisor = 20
 
-// indexBackends updates the lists of services' backends. The argument base is the catalog before the delta.
+// indexBackends updates the lists of services' backends. base is the catalog before the delta.
 func (c *Catalog) indexBackends(base *Catalog, delta Delta) {
 	removed := delta.removedNames(KindBackend)
 	switch changes := len(delta.Backends) + len(removed); {
--- a/directory/watch.go
+++ b/directory/watch.go
@@ -207,7 +207,7 @@
 	return next
 }
 
-// updateIndexes rebuilds the indexes that the delta affects. The parameter base is the catalog before it.
+// updateIndexes rebuilds the indexes that the delta affects. base is the catalog before the delta.
 func (c *Catalog) updateIndexes(base *Catalog, delta Delta) {
 	if delta.Full || len(delta.Routes) > 0 || len(delta.removedNames(KindRoute)) > 0 {
 		routes := make([]routing.Route, 0, len(c.routes))
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -75,7 +75,7 @@
 	return nextShare(credits, route.Shares)
 }
 
-// nextShare advances the round robin by one turn and returns the position of the picked share.
+// nextShare advances the round robin by one turn and returns the index of the picked share.
 func nextShare(credits []float64, shares []routing.Share) int {
 	best, total := 0, 0.0
 	for position, share := range shares {
--- a/forward/load_report.go
+++ b/forward/load_report.go
@@ -16,7 +16,7 @@
 	// processes may have the same report; their own measurements keep them from all choosing one
 	// backend.
 	maxReportWeight = 0.5
-	// serviceLoadLifetime is how long a service is known to report load after its last report.
+	// serviceLoadLifetime is how long a service counts as reporting its load after its last report.
 	serviceLoadLifetime = 10 * time.Second
 	// baselineSmoothing is the weight of the newest request in a baseline latency. It is small, since
 	// requests differ.
@@ -25,7 +25,8 @@
 	// with all slots in use: reports are old when they are used, and other processes send requests as
 	// well.
 	utilizationPenalty = 1.0
-	// nearlyFullOccupancy is the occupancy from which on a separate baseline latency is kept.
+	// nearlyFullOccupancy is the occupancy from which a backend counts as nearly full and has a
+	// separate baseline latency.
 	nearlyFullOccupancy = 0.75
 	// normalSlowdown is the reported slowdown of a backend at normal speed.
 	normalSlowdown = 100
@@ -60,7 +61,7 @@
 	return 1 - float64(max(age, 0))/float64(lifetime)
 }
 
-// slowdown returns the backend's slowdown as a factor, by a report of the given age.
+// slowdown returns the backend's slowdown as a factor, according to a report of the given age.
 func (r *loadReport) slowdown(age time.Duration) float64 {
 	if r.Slowdown == 0 {
 		return 1
@@ -113,8 +114,8 @@
 	b.normal = smoothed(b.normal, baseline, baselineSmoothing)
 }
 
-// expectedLatency returns the expected latency of a request that is sent to the backend now, by a
-// report of the given age.
+// expectedLatency returns the expected latency of a request that is sent to the backend now,
+// according to a report of the given age.
 func (s *backendState) expectedLatency(age time.Duration) time.Duration {
 	occupancy := s.report.occupancy(s.inFlight)
 	baseline := s.baselines.at(occupancy, s.service.baseline)
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -56,8 +56,8 @@
 
 // Stream forwards a request whose response is a stream of events. Events are passed on as they arrive.
 // A resumable stream that breaks is continued at another backend after its last complete event,
-// without another header. If the result has no Response, the caller must be informed that the response
-// is incomplete.
+// without sending the header again. If the result has no Response, the caller must be informed that
+// the response is incomplete.
 func (f *Forwarder) Stream(ctx context.Context, catalog *directory.Catalog, route routing.Route, request *Request, sink Sink) Result {
 	ctx, cancel := context.WithTimeout(ctx, request.remaining())
 	defer cancel()
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -18,8 +18,8 @@
 // Verdict is the result of checking a request before it is sent.
 type Verdict struct {
 	Subject Subject
-	// Fingerprint is the one to request a trial for: the kind's if the kind is quarantined, and
-	// the content's otherwise.
+	// Fingerprint identifies the suspect for which a trial can be requested: the kind if it is
+	// quarantined, and the content otherwise.
 	Fingerprint Fingerprint
 	// KnownCrashes and KnownKindCrashes are the numbers of counted crashes of the content and of
 	// its kind.
@@ -158,7 +158,7 @@
 }
 
 // RecordCrash records for the content and the kind that the backend crashed while it ran the request.
-// The verdict is that on which the request was sent.
+// The verdict is the result of the check before the request was sent.
 func (g *Guard) RecordCrash(subject Subject, backend string, verdict Verdict) {
 	g.RecordFingerprintCrash(subject.Content, backend, verdict.KnownCrashes)
 	g.addCrash(Crash{Fingerprint: subject.Kind, Backend: backend, Known: verdict.KnownKindCrashes, Of: subject.Content})
@@ -170,8 +170,8 @@
 	g.RecordFingerprintResponse(subject.Kind)
 }
 
-// RecordFingerprintCrash records a crash for one fingerprint, of which the sender knew the given number
-// of crashes. It returns the number of crashes now counted by this process.
+// RecordFingerprintCrash records a crash for one fingerprint, given how many of its crashes the sender
+// knew. It returns the number of crashes now counted by this process.
 func (g *Guard) RecordFingerprintCrash(fingerprint Fingerprint, backend string, known int) int {
 	return g.addCrash(Crash{Fingerprint: fingerprint, Backend: backend, Known: known})
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -210,8 +210,8 @@
 }
 
 // TrialDelay returns the time from the suspect's last change to its next trial. The send budget of a
-// kind does not count exempt crashes, which came within CrashGracePeriod; a negative number adds the
-// crashes expected of running trials. The jitter separates requests that crashed the same backends,
+// kind does not count exempt crashes, which happened within CrashGracePeriod; a negative number adds
+// the crashes expected of running trials. The jitter separates requests that crashed the same backends,
 // so that a harmless one does not run alongside the crashing one again.
 func (s Suspect) TrialDelay(exempt int) time.Duration {
 	if !s.isKind() {
--- a/scheduler/ahead.go
+++ b/scheduler/ahead.go
@@ -9,13 +9,13 @@
 )
 
 // A group that a step did not wait for is resubmitted in a later step, which must wait for it. The
-// later step does not allow the versions that produced the texts so far, so they have to be
-// generated again, and they tend to be the longest ones. A speculative second run of such a sample
-// therefore starts before that step, as soon as engines hold a version that it will allow and have
-// spare slots. The step that resubmits the sample takes over the run.
+// later step does not allow the versions that produced the texts so far, so the samples, which tend
+// to be the longest ones, have to run again. A speculative second run of such a sample therefore
+// starts before that step, as soon as engines with spare slots hold a version that the step will
+// allow. The step that resubmits the sample claims the run.
 
 const (
-	// minSpeculativeMillis is the expected duration from which on a sample is run speculatively.
+	// minSpeculativeMillis is the minimum expected duration of samples that are run speculatively.
 	minSpeculativeMillis = 1500
 	// speculativeReserveFraction is the fraction of an engine's slots that speculative runs leave free.
 	speculativeReserveFraction = 0.25
@@ -84,8 +84,8 @@
 	return tasks
 }
 
-// lateGroups returns the groups that are expected to complete after the trainer has what it waits
-// for.
+// lateGroups returns the groups that are expected to complete after the trainer has the groups that it
+// waits for.
 func (s *Scheduler) lateGroups(state *stepState) map[string]bool {
 	ends := map[string]float64{}
 	for _, task := range state.tasks {
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -12,7 +12,7 @@
 
 // Demand returns the demand of the open steps for each service. A sample that several services may
 // run counts for the first of them. Before the first runs start, engines are assumed to have the
-// default pace; while these run and no pace is known yet, the work is omitted.
+// default pace; while they run and no pace is known yet, the work is omitted.
 func (s *Scheduler) Demand(now int64, servicesOf ServicesFunc) []capacity.Demand {
 	demands := map[string]*capacity.Demand{}
 	work := map[string]map[int64]float64{}
--- a/scheduler/pace.go
+++ b/scheduler/pace.go
@@ -25,7 +25,7 @@
 	millis, events float64
 }
 
-// ObserveRun records how many events the task's current run has had so far. Time in which the
+// ObserveRun records how many events the task's current run has produced so far. Time in which the
 // engine loads weights is not counted.
 func (s *Scheduler) ObserveRun(now int64, task *Task, events int) {
 	e := s.engines[task.Engine]
@@ -107,7 +107,7 @@
 
 const (
 	// drainingGraceMillis is the expected remaining time up to which a sample stays on a draining
-	// engine. drainingCostMillis is added to longer ones, since their runs will be cut off.
+	// engine. drainingCostMillis is added to longer ones, since their runs will be interrupted.
 	drainingGraceMillis = 1000
 	drainingCostMillis  = 3000
 )
@@ -131,8 +131,8 @@
 // Move is a task that should continue on another engine.
 type Move struct {
 	Task *Task
-	// From is the task's engine and To currently the best other one. FromPace and ToPace are their
-	// times between events in milliseconds, or 0 if unknown.
+	// From is the task's engine, and To the best other engine at present. FromPace and ToPace are
+	// their times between events in milliseconds, or 0 if unknown.
 	From, To         string
 	FromPace, ToPace float64
 	ExpectedEvents   float64
