--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -112,7 +112,7 @@
 
 // TestOscillatingDemand checks that engines are kept while the load is temporarily low.
 func TestOscillatingDemand(t *testing.T) {
-	for name, steps := range map[string]int{"each step": 1, "each two steps": 2, "each four steps": 4, "each six steps": 6} {
+	for name, steps := range map[string]int{"every step": 1, "every two steps": 2, "every four steps": 4, "every six steps": 6} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSettledSimulation(t, 12)
 			load := func(number int) float64 { return 90 * float64(1+number/steps%2) }
--- a/capacity/simulation_test.go
+++ b/capacity/simulation_test.go
@@ -30,7 +30,7 @@
 }
 
 // job is the remaining work of a step.
-type job struct{ due, left float64 }
+type job struct{ due, remaining float64 }
 
 // simulation runs a service on a simulated platform, with backends ordered by a planner.
 type simulation struct {
@@ -82,7 +82,7 @@
 
 // submitStep adds a step that occupies this many slots for a step period.
 func (sim *simulation) submitStep(slots float64) {
-	sim.jobs = append(sim.jobs, job{due: float64(sim.now + dueAfter), left: slots * slotWork})
+	sim.jobs = append(sim.jobs, job{due: float64(sim.now + dueAfter), remaining: slots * slotWork})
 }
 
 // run advances the clock and submits a step at the start of each step period.
@@ -101,14 +101,14 @@
 func (sim *simulation) runJobs() {
 	budget := float64(len(sim.serving()) * engineSlots * tick)
 	for i := range sim.jobs {
-		done := min(sim.jobs[i].left, budget)
-		sim.jobs[i].left -= done
+		done := min(sim.jobs[i].remaining, budget)
+		sim.jobs[i].remaining -= done
 		budget -= done
 		if float64(sim.now) > sim.jobs[i].due {
 			sim.lateWork += done
 		}
 	}
-	sim.jobs = slices.DeleteFunc(sim.jobs, func(j job) bool { return j.left <= 0 })
+	sim.jobs = slices.DeleteFunc(sim.jobs, func(j job) bool { return j.remaining <= 0 })
 }
 
 // serving returns the machines that run samples.
@@ -145,8 +145,8 @@
 	}
 	busySlots := 0.0
 	for _, job := range sim.jobs {
-		busySlots += job.left / tick
-		fleet.Demand.Work = append(fleet.Demand.Work, Work{DueMillis: int64(job.due) - sim.now, SlotMillis: job.left})
+		busySlots += job.remaining / tick
+		fleet.Demand.Work = append(fleet.Demand.Work, Work{DueMillis: int64(job.due) - sim.now, SlotMillis: job.remaining})
 	}
 	fleet.Demand.Running = min(int(busySlots), len(sim.serving())*engineSlots)
 	fleet.Demand.Waiting = int(busySlots) - fleet.Demand.Running
@@ -222,7 +222,7 @@
 	slots := func(demand Demand) float64 { return requiredSlots(demand, 5000) }
 	require.Zero(t, slots(Demand{}))
 	require.InDelta(t, 2, slots(Demand{Work: []Work{{DueMillis: 10000, SlotMillis: 20000}}}), 1e-9)
-	require.InDelta(t, 4, slots(Demand{Work: []Work{{DueMillis: 100, SlotMillis: 20000}}}), 1e-9, "work due within the lead time is given the lead time")
+	require.InDelta(t, 4, slots(Demand{Work: []Work{{DueMillis: 100, SlotMillis: 20000}}}), 1e-9, "work due within the lead time counts as due at its end")
 	late := Demand{Running: 12, Work: []Work{{DueMillis: 10000, SlotMillis: 30000}, {DueMillis: -2000, SlotMillis: 20000}}}
 	require.InDelta(t, 5, slots(late), 1e-9, "overdue work counts as well")
 	late.Waiting = 1
--- a/quarantine/exact_test.go
+++ b/quarantine/exact_test.go
@@ -29,7 +29,7 @@
 	_, changed = uncounted.WithCrash(crashKnowing(0))
 	require.False(t, changed)
 	_, changed = uncounted.WithCrash(crashKnowing(1))
-	require.True(t, changed, "otherwise it would not be reported")
+	require.True(t, changed, "an unchanged suspect would not be reported")
 	require.Equal(t, []string{"b"}, uncounted.Uncounted, "suspects are immutable")
 }
 
@@ -42,6 +42,6 @@
 	require.False(t, changed)
 	require.Equal(t, first, again)
 	exact, changed := first.WithCrash(Crash{Fingerprint: "kind", Backend: "b", Known: 1, Exact: true})
-	require.False(t, changed, "whether it was counted is not known")
+	require.False(t, changed, "the first report does not show whether it was counted")
 	require.Equal(t, first, exact)
 }
--- a/quarantine/kind_test.go
+++ b/quarantine/kind_test.go
@@ -71,7 +71,7 @@
 	crashBackend(guard, shared, crashingSubject(1), "b1")
 	require.False(t, guard.CheckSubject(crashingSubject(100)).IsSuspect(), "one crash does not make the kind suspected")
 	crashBackend(guard, shared, crashingSubject(1), "b2")
-	require.False(t, guard.CheckSubject(crashingSubject(100)).IsSuspect(), "nor do two crashes of the same content")
+	require.False(t, guard.CheckSubject(crashingSubject(100)).IsSuspect(), "two crashes of the same content do not make the kind suspected")
 	crashBackend(guard, shared, crashingSubject(2), "b2")
 	verdict := guard.CheckSubject(crashingSubject(100))
 	require.True(t, verdict.IsSuspect())
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -102,7 +102,7 @@
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
 	guard.RecordFingerprintResponse(crashingRequest)
-	require.True(t, guard.TakeReport().IsEmpty(), "responses to requests that are no suspects are not reported")
+	require.True(t, guard.TakeReport().IsEmpty(), "responses to requests that are not suspects are not reported")
 	guard.RecordFingerprintCrash(crashingRequest, "a", 0)
 	guard.RecordFingerprintCrash(crashingRequest, "b", 1)
 	shared.apply(guard.TakeReport())
--- a/scheduler/scarce_bench_test.go
+++ b/scheduler/scarce_bench_test.go
@@ -7,7 +7,7 @@
 func newOverloadedScheduler(b *testing.B) *Scheduler {
 	f := newFleetSimulation(b, 1, 48, 6, 4, false)
 	f.simulate(6000)
-	return f.s
+	return f.scheduler
 }
 
 // BenchmarkPlan measures planGroups with thousands of waiting samples.
--- a/scheduler/scarce_fleet_test.go
+++ b/scheduler/scarce_fleet_test.go
@@ -24,8 +24,8 @@
 	fleetDueMillis      = 7500
 	fleetDeadlineMillis = 12000
 	// fleetGraceMillis is how long after the due time a group still counts as in time.
-	fleetGraceMillis = 700
-	fleetWantedShare = 0.9
+	fleetGraceMillis    = 700
+	fleetWantedFraction = 0.9
 	// fleetScoringMillis is how long scoring and recording a text takes, and fleetTrainingMillis
 	// how long a trainer still counts a step as open after it ended.
 	fleetScoringMillis  = 100
@@ -47,10 +47,10 @@
 	{name: "d", groups: 6, size: 16, events: 15.9},
 }
 
-// fleetSample is a sample with its true length, which the prediction only approximates.
+// fleetSample is a sample with its true length, which the prediction approximates.
 type fleetSample struct {
-	length int
-	done   float64
+	length          int
+	generatedEvents float64
 }
 
 type fleetGroup struct {
@@ -73,10 +73,10 @@
 }
 
 type fleetTrainer struct {
-	load    trainerLoad
-	steps   []*fleetStep
-	carried []string
-	nextAt  int64
+	load        trainerLoad
+	steps       []*fleetStep
+	carriedOver []string
+	nextAt      int64
 }
 
 // scoringTask is a task with a complete text and the time at which its result is recorded.
@@ -87,19 +87,19 @@
 
 // fleetSimulation holds the state of the simulation.
 type fleetSimulation struct {
-	t        testing.TB
-	random   *rand.Rand
-	s        *Scheduler
-	backends []directory.Backend
-	paces    map[string]float64
-	scoring  []scoringTask
-	trainers []*fleetTrainer
-	samples  map[string]*fleetSample
-	steps    map[string]*fleetStep
-	now      int64
+	t         testing.TB
+	random    *rand.Rand
+	scheduler *Scheduler
+	backends  []directory.Backend
+	paces     map[string]float64
+	scoring   []scoringTask
+	trainers  []*fleetTrainer
+	samples   map[string]*fleetSample
+	steps     map[string]*fleetStep
+	now       int64
 	// resubmits limits trainers to two open steps and has them resubmit incomplete groups.
 	resubmits bool
-	// servedMillis is the slot time that each trainer had, by interval, and idleMillis the slot
+	// servedMillis is the slot time that each trainer used, by interval, and idleMillis the slot
 	// time that was free while samples waited.
 	servedMillis []map[string]float64
 	idleMillis   float64
@@ -109,7 +109,7 @@
 
 func newFleetSimulation(t testing.TB, seed int64, count, slots int, loadFactor float64, uneven bool) *fleetSimulation {
 	f := &fleetSimulation{
-		t: t, random: rand.New(rand.NewSource(seed)), s: New(), backends: engines(count, slots, "a", "b", "c", "d"),
+		t: t, random: rand.New(rand.NewSource(seed)), scheduler: New(), backends: engines(count, slots, "a", "b", "c", "d"),
 		samples: map[string]*fleetSample{}, steps: map[string]*fleetStep{},
 	}
 	perStep := 0.0
@@ -124,7 +124,7 @@
 	for position, backend := range f.backends {
 		f.paces[backend.ID] = fleetPace * slowness[position%len(slowness)]
 	}
-	scale := loadFactor * f.effectiveSlots() * fleetIntervalMillis / (perStep * fleetWantedShare)
+	scale := loadFactor * f.effectiveSlots() * fleetIntervalMillis / (perStep * fleetWantedFraction)
 	for position, load := range trainerLoads {
 		load.groups = max(int(float64(load.groups)*scale+0.5), 1)
 		f.trainers = append(f.trainers, &fleetTrainer{load: load, nextAt: int64(position * 200)})
@@ -135,25 +135,25 @@
 
 // replaceScheduler replaces the scheduler by a new one that is restored from the ledger.
 func (f *fleetSimulation) replaceScheduler() {
-	f.s, f.scoring = New(), nil
-	f.s.SyncEngines(f.now, f.backends, map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1})
+	f.scheduler, f.scoring = New(), nil
+	f.scheduler.SyncEngines(f.now, f.backends, map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1})
 	f.setPaces()
 	for _, trainer := range f.trainers {
 		for _, step := range trainer.steps {
 			if step.ended {
-				f.s.RecordEndedStep(step.entry.Step)
+				f.scheduler.RecordEndedStep(step.entry.Step)
 				continue
 			}
-			f.s.AddStep(step.entry)
+			f.scheduler.AddStep(step.entry)
 		}
 	}
 }
 
 func (f *fleetSimulation) setPaces() {
-	for id, e := range f.s.engines {
+	for id, e := range f.scheduler.engines {
 		e.pace = f.paces[id]
 	}
-	f.s.updateReferencePaces()
+	f.scheduler.updateReferencePaces()
 }
 
 // effectiveSlots returns the number of slots, weighted by the pace of their engines.
@@ -192,8 +192,8 @@
 // removeEngines removes the first engines; their samples continue elsewhere.
 func (f *fleetSimulation) removeEngines(count int) {
 	f.backends = f.backends[count:]
-	for _, task := range f.s.SyncEngines(f.now, f.backends, nil) {
-		f.s.RunEnded(f.now, task, task.Run, Broken)
+	for _, task := range f.scheduler.SyncEngines(f.now, f.backends, nil) {
+		f.scheduler.RunEnded(f.now, task, task.Run, Broken)
 	}
 	f.setPaces()
 }
@@ -225,12 +225,12 @@
 		SubmittedAt: f.now, DueAt: f.now + fleetDueMillis, GiveUpAt: f.now + 60000,
 	}
 	submitted := &fleetStep{trainer: trainer, groups: map[string]*fleetGroup{}, resubmitted: map[string]bool{}, submittedAt: f.now}
-	names := trainer.carried
-	trainer.carried = nil
+	names := trainer.carriedOver
+	trainer.carriedOver = nil
 	for len(names) < trainer.load.groups {
 		names = append(names, fmt.Sprintf("%s-g%d", id, len(names)))
 	}
-	step.Wanted = int(math.Ceil(fleetWantedShare * float64(len(names))))
+	step.Wanted = int(math.Ceil(fleetWantedFraction * float64(len(names))))
 	for position, name := range names {
 		group := &fleetGroup{unfinished: trainer.load.size}
 		submitted.groups[name] = group
@@ -253,14 +253,14 @@
 	submitted.machine, submitted.entry = machine, machine.Step(id)
 	trainer.steps = append(trainer.steps, submitted)
 	f.steps[id] = submitted
-	for _, task := range f.s.AddStep(submitted.entry) {
+	for _, task := range f.scheduler.AddStep(submitted.entry) {
 		f.recordResult(task)
 	}
 }
 
 // advanceEngines advances the running samples by one tick.
 func (f *fleetSimulation) advanceEngines() {
-	for _, e := range f.s.sortedEngines {
+	for _, e := range f.scheduler.sortedEngines {
 		pace := e.pace
 		if pace == 0 {
 			pace = fleetPace
@@ -283,15 +283,15 @@
 		f.servedMillis = append(f.servedMillis, map[string]float64{})
 	}
 	f.servedMillis[interval][task.Step.Model] += fleetTickMillis * fleetPace / f.paces[task.Engine]
-	sample.done += events
-	for float64(task.Text.Last) < math.Floor(sample.done) && task.Text.Last < uint64(sample.length) {
+	sample.generatedEvents += events
+	for float64(task.Text.Last) < math.Floor(sample.generatedEvents) && task.Text.Last < uint64(sample.length) {
 		task.Text.Events = append(task.Text.Events, "x")
 		task.Text.Last++
 		task.Text.AddVersion(1)
 	}
 	if task.Text.Last >= uint64(sample.length) {
 		speculative := task.IsSpeculative()
-		require.True(f.t, f.s.RunEnded(f.now, task, task.Run, Complete))
+		require.True(f.t, f.scheduler.RunEnded(f.now, task, task.Run, Complete))
 		if !speculative {
 			f.scoring = append(f.scoring, scoringTask{task: task, at: f.now + fleetScoringMillis})
 		}
@@ -303,14 +303,14 @@
 	for len(f.scoring) > 0 && f.scoring[0].at <= f.now {
 		task := f.scoring[0].task
 		f.scoring = f.scoring[1:]
-		if task.State == Scoring && f.s.steps[task.Step.ID] != nil {
+		if task.State == Scoring && f.scheduler.steps[task.Step.ID] != nil {
 			f.recordResult(task)
 		}
 	}
 }
 
 func (f *fleetSimulation) recordResult(task *Task) {
-	f.s.Finish(task)
+	f.scheduler.Finish(task)
 	step := f.steps[task.Step.ID]
 	step.machine.Apply(ledger.Command{Record: &ledger.Record{Step: task.Step.ID, Results: []ledger.Result{
 		{Sample: task.Sample.ID, State: ledger.Succeeded, Versions: []uint64{1}},
@@ -330,7 +330,7 @@
 				continue
 			}
 			step.ended, step.endedAt = true, f.now
-			f.s.EndStep(step.entry.Step.ID)
+			f.scheduler.EndStep(step.entry.Step.ID)
 			if f.resubmits {
 				f.carryOver(step)
 			}
@@ -361,22 +361,22 @@
 		}
 	}
 	slices.Sort(names)
-	names = append(step.trainer.carried, names...)
-	step.trainer.carried = names[:min(len(names), step.wanted/2)]
+	names = append(step.trainer.carriedOver, names...)
+	step.trainer.carriedOver = names[:min(len(names), step.wanted/2)]
 }
 
 func (f *fleetSimulation) assign() {
 	if f.byLatestStart {
-		f.s.plan.madeAt, f.s.plan.stale = f.now, false
+		f.scheduler.plan.madeAt, f.scheduler.plan.stale = f.now, false
 	}
-	for _, assignment := range f.s.Assign(f.now, anywhere) {
-		f.samples[assignment.Task.Sample.ID].done = float64(assignment.Task.Text.Last)
+	for _, assignment := range f.scheduler.Assign(f.now, anywhere) {
+		f.samples[assignment.Task.Sample.ID].generatedEvents = float64(assignment.Task.Text.Last)
 	}
 	free, waiting := 0, 0
-	for _, e := range f.s.engines {
+	for _, e := range f.scheduler.engines {
 		free += max(e.freeSlots(), 0)
 	}
-	for _, task := range f.s.waiting.tasks {
+	for _, task := range f.scheduler.waiting.tasks {
 		if task.State == Waiting {
 			waiting++
 		}
--- a/scheduler/scarce_result_test.go
+++ b/scheduler/scarce_result_test.go
@@ -20,7 +20,7 @@
 func (f *fleetSimulation) result(from int64) fleetResult {
 	r := fleetResult{workInTime: map[string]float64{}, groups: map[string]int{}, steps: map[string]int{}}
 	for _, trainer := range f.trainers {
-		wanted := int(math.Ceil(fleetWantedShare * float64(trainer.load.groups)))
+		wanted := int(math.Ceil(fleetWantedFraction * float64(trainer.load.groups)))
 		for at := trainer.stepTime(0); at+fleetDeadlineMillis <= f.now; at += fleetIntervalMillis {
 			if at >= from {
 				r.requested += wanted
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -15,8 +15,8 @@
 	_ "github.com/dillchute/dillchute/internal/fixedseed"
 )
 
-// schedulerHarness submits and resubmits steps, ends runs, changes engines and holds samples back
-// in any order, and tracks the running tasks independently of the scheduler.
+// schedulerHarness submits and resubmits steps, ends runs, changes engines and blocks samples in any
+// order, and tracks the running tasks independently of the scheduler.
 type schedulerHarness struct {
 	t           *rapid.T
 	scheduler   *Scheduler
