--- a/directory/machine.go
+++ b/directory/machine.go
@@ -21,7 +21,7 @@
 // a full delta.
 const maxTombstones = 20000
 
-// keptTombstones is the number of tombstones that remain after pruning. It is well below maxTombstones,
+// keptTombstones is the number of tombstones left after pruning. It is well below maxTombstones,
 // so that pruning, which copies them, is rare.
 const keptTombstones = maxTombstones / 2
 
@@ -97,7 +97,7 @@
 	// urgentRevision is explained at UrgentRevision. versionRevision is the revision at which the
 	// configuration's version last changed, or a later one after a restore.
 	urgentRevision, versionRevision uint64
-	forwarded                       forwarded
+	forwarded                       forwardedServices
 }
 
 // NewMachine returns a machine in its initial state.
@@ -223,7 +223,7 @@
 	case command.RemoveBackend != nil:
 		m.removeBackend(*command.RemoveBackend)
 	case command.NameVersion != nil:
-		m.nameVersion(*command.NameVersion)
+		m.putModelVersion(*command.NameVersion)
 	case command.PutStore != nil:
 		m.putStore(*command.PutStore)
 	case command.FormGroup != nil:
@@ -300,7 +300,7 @@
 	}
 	syncObjects(m, m.state.Tenants, tenants, KindTenant)
 	syncObjects(m, m.state.Routes, routes, KindRoute)
-	m.forwarded = newForwarded(m.state.Routes)
+	m.forwarded = newForwardedServices(m.state.Routes)
 	syncObjects(m, m.state.Services, services, KindService)
 	m.removeObsoleteOrders()
 	if m.state.Limits.Object != configuration.Limits {
@@ -325,7 +325,7 @@
 	}
 }
 
-func (m *Machine) nameVersion(version ModelVersion) {
+func (m *Machine) putModelVersion(version ModelVersion) {
 	if current := m.state.Models[version.Model]; current != nil && current.Object >= version.Version {
 		return
 	}
--- a/quarantine/kind_test.go
+++ b/quarantine/kind_test.go
@@ -51,7 +51,8 @@
 	require.False(t, guardB.CheckSubject(Subject{Content: "content-100", Kind: "other"}).Quarantined)
 }
 
-// TestSingleContentDoesNotQuarantineKind guards other requests to the target of a crashing request.
+// TestSingleContentDoesNotQuarantineKind verifies that a single crashing request does not quarantine others
+// to the same target.
 func TestSingleContentDoesNotQuarantineKind(t *testing.T) {
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
@@ -70,7 +71,7 @@
 	crashBackend(guard, shared, crashingSubject(1), "b1")
 	require.False(t, guard.CheckSubject(crashingSubject(100)).IsSuspect(), "one crash does not make the kind suspected")
 	crashBackend(guard, shared, crashingSubject(1), "b2")
-	require.False(t, guard.CheckSubject(crashingSubject(100)).IsSuspect(), "nor do two crashes of the same content")
+	require.False(t, guard.CheckSubject(crashingSubject(100)).IsSuspect(), "two crashes of the same content do not make the kind suspected")
 	crashBackend(guard, shared, crashingSubject(2), "b2")
 	verdict := guard.CheckSubject(crashingSubject(100))
 	require.True(t, verdict.IsSuspect())
@@ -104,8 +105,8 @@
 	require.False(t, guard.CheckSubject(crashingSubject(2000)).Quarantined)
 }
 
-// TestOnlyPermittedContentOfQuarantinedKindIsSent guards against a permit for one content that lets
-// others of its kind pass.
+// TestOnlyPermittedContentOfQuarantinedKindIsSent verifies that a permit for one content of a kind does not
+// apply to others.
 func TestOnlyPermittedContentOfQuarantinedKindIsSent(t *testing.T) {
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
@@ -134,7 +135,7 @@
 	}
 }
 
-// TestCrashingKindIsQuarantinedInAnyOrder verifies that a process with any stale view sends no request of
+// TestCrashingKindIsQuarantinedInAnyOrder verifies that a process with a stale view sends no request of
 // a kind after it has learned of CrashThreshold crashes of different contents.
 func TestCrashingKindIsQuarantinedInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -102,7 +102,7 @@
 	shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
 	guard := newTestGuard(shared, clock)
 	guard.RecordFingerprintResponse(crashingRequest)
-	require.True(t, guard.TakeReport().IsEmpty(), "responses to requests that are no suspects are not reported")
+	require.True(t, guard.TakeReport().IsEmpty(), "responses to requests that are not suspects are not reported")
 	guard.RecordFingerprintCrash(crashingRequest, "a", 0)
 	guard.RecordFingerprintCrash(crashingRequest, "b", 1)
 	shared.apply(guard.TakeReport())
@@ -162,9 +162,8 @@
 	require.Equal(t, suspect, again)
 }
 
-// TestCrashingRequestIsQuarantinedInAnyOrder verifies, for processes with views of any age, that a process
-// that knows of CrashThreshold crashes does not send the request, that the shared count never
-// decreases, and that no crash counts twice.
+// TestCrashingRequestIsQuarantinedInAnyOrder verifies that no process that knows of CrashThreshold crashes
+// sends the request, however stale the views, and that the shared count neither falls nor counts twice.
 func TestCrashingRequestIsQuarantinedInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shared, clock := newFakeRecord(), &fakeClock{current: time.Now()}
--- a/scheduler/scarce_result_test.go
+++ b/scheduler/scarce_result_test.go
@@ -20,7 +20,7 @@
 func (f *fleetSimulation) result(from int64) fleetResult {
 	r := fleetResult{workInTime: map[string]float64{}, groups: map[string]int{}, steps: map[string]int{}}
 	for _, trainer := range f.trainers {
-		wanted := int(math.Ceil(fleetWantedShare * float64(trainer.load.groups)))
+		wanted := int(math.Ceil(fleetWantedFraction * float64(trainer.load.groups)))
 		for at := trainer.stepTime(0); at+fleetDeadlineMillis <= f.now; at += fleetIntervalMillis {
 			if at >= from {
 				r.requested += wanted
@@ -98,7 +98,7 @@
 	return bound, shares
 }
 
-// smallestFairShare returns the smallest share of its fair share that any trainer had over three
+// smallestFairShare returns the smallest fraction of its fair share that any trainer had over three
 // steps.
 func (f *fleetSimulation) smallestFairShare() float64 {
 	const steps = 3
