--- a/scheduler/waiting_test.go
+++ b/scheduler/scheduler_rapid_test.go
@@ -27,9 +27,9 @@
 	openSteps   map[string]bool
 	running     map[*Task]Assignment
 	// baseNames maps step IDs to the base name that the step's sample IDs share with resubmissions.
-	baseNames map[string]string
-	heldBack  map[string]bool
-	suspected map[string]bool
+	baseNames   map[string]string
+	quarantined map[string]bool
+	suspected   map[string]bool
 }
 
 // cooldownMillis is longer than any backoff of an engine.
@@ -38,7 +38,7 @@
 func newSchedulerHarness(t *rapid.T) *schedulerHarness {
 	h := &schedulerHarness{
 		t: t, scheduler: New(), slots: rapid.IntRange(1, 3).Draw(t, "slots"),
-		openSteps: map[string]bool{}, running: map[*Task]Assignment{}, baseNames: map[string]string{}, heldBack: map[string]bool{}, suspected: map[string]bool{},
+		openSteps: map[string]bool{}, running: map[*Task]Assignment{}, baseNames: map[string]string{}, quarantined: map[string]bool{}, suspected: map[string]bool{},
 	}
 	h.changeEngines()
 	return h
@@ -85,7 +85,7 @@
 
 func (h *schedulerHarness) servicesOf(task *Task) ([]string, bool) {
 	task.KindSuspected = h.suspected[task.Sample.Path]
-	return []string{"engines"}, !h.heldBack[task.Sample.ID]
+	return []string{"engines"}, !h.quarantined[task.Sample.ID]
 }
 
 // endRun ends one of the runs.
@@ -118,9 +118,9 @@
 	delete(h.openSteps, h.baseNames[id])
 }
 
-func (h *schedulerHarness) toggleHeldBack() {
+func (h *schedulerHarness) toggleQuarantined() {
 	id := fmt.Sprint("step-", rapid.IntRange(0, 3).Draw(h.t, "step"), "-", rapid.IntRange(0, 5).Draw(h.t, "sample"))
-	h.heldBack[id] = !h.heldBack[id]
+	h.quarantined[id] = !h.quarantined[id]
 }
 
 func (h *schedulerHarness) toggleSuspected() {
@@ -148,7 +148,7 @@
 	}
 	for _, state := range h.scheduler.steps {
 		for _, task := range state.tasks {
-			if task.State != Waiting || h.heldBack[task.Sample.ID] || h.suspected[task.Sample.Path] && runningSuspects[task.Sample.Path] > 0 {
+			if task.State != Waiting || h.quarantined[task.Sample.ID] || h.suspected[task.Sample.Path] && runningSuspects[task.Sample.Path] > 0 {
 				continue
 			}
 			require.Zero(h.t, free, "%s waits although a slot is free", task.Sample.ID)
@@ -171,7 +171,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := newSchedulerHarness(t)
 		actions := map[string]func(){
-			"submit": h.submit, "assign": h.assign, "end": h.endRun, "hold": h.toggleHeldBack, "suspect": h.toggleSuspected, "engines": h.changeEngines, "close": h.closeStep,
+			"submit": h.submit, "assign": h.assign, "end": h.endRun, "hold": h.toggleQuarantined, "suspect": h.toggleSuspected, "engines": h.changeEngines, "close": h.closeStep,
 		}
 		weighted := []string{"submit", "submit", "assign", "assign", "assign", "end", "end", "end", "hold", "suspect", "engines", "close"}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
