--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -57,7 +57,8 @@
 // Order is a request to the platform to set a pool's number of backends. It is recorded before it is
 // sent, so that the next leader can continue from it.
 type Order struct {
-	Target Target `cbor:"1,keyasint"`
+	// Wish is the ordered target. Golden tests of other builds compare the field by this name.
+	Wish Target `cbor:"1,keyasint"`
 	// Before is the pool's target count before this order. Held is the highest count that earlier
 	// orders may have reached: one without an answer may have been carried out, or may yet be.
 	Before int `cbor:"2,keyasint"`
@@ -73,7 +74,7 @@
 	if o.wasRejected() {
 		return o.Before
 	}
-	return o.Target.Count
+	return o.Wish.Count
 }
 
 func (o Order) wasRejected() bool { return o.Answer == Exhausted || o.Answer == Refused }
@@ -82,9 +83,9 @@
 func (o Order) MaxCount() int {
 	switch o.Answer {
 	case Accepted:
-		return o.Target.Count
+		return o.Wish.Count
 	case Open:
-		return max(o.Target.Count, o.Held)
+		return max(o.Wish.Count, o.Held)
 	}
 	return max(o.Before, o.Held)
 }
--- a/capacity/losses_test.go
+++ b/capacity/losses_test.go
@@ -24,7 +24,7 @@
 // TestZoneThatCannotReachMinimum checks that a zone below its minimum does not block orders for others.
 func TestZoneThatCannotReachMinimum(t *testing.T) {
 	sim := newSettledSimulation(t, 6)
-	sim.answerOrder = func(order Order) (Answer, bool) { return Accepted, order.Target.Zone != "a" }
+	sim.answerOrder = func(order Order) (Answer, bool) { return Accepted, order.Wish.Zone != "a" }
 	for _, m := range sim.machinesIn(Pool{Zone: "a"}) {
 		m.silent = true
 	}
@@ -51,7 +51,7 @@
 		sim.run(6000, nil)
 		sim.run(60000, constantLoad(5))
 		for _, order := range sim.sentOrders {
-			require.Less(t, order.Target.Count, order.Before)
+			require.Less(t, order.Wish.Count, order.Before)
 		}
 		require.Less(t, len(sim.serving()), 6, "only two are needed")
 		require.Zero(t, sim.lateWork)
@@ -61,7 +61,7 @@
 		sim.zones = []string{"a", "b", "c"}
 		sim.removeMachines(func(m *machine) bool { return m.pool.Zone == "d" })
 		sim.answerOrder = func(order Order) (Answer, bool) {
-			if order.Target.Zone != "a" && order.Target.Count > order.Before {
+			if order.Wish.Zone != "a" && order.Wish.Count > order.Before {
 				return Exhausted, false
 			}
 			return Accepted, true
--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -252,7 +252,7 @@
 			continue
 		}
 		orders = append(orders, Order{
-			Target: Target{Service: fleet.Service, Zone: pool.Zone, Reclaimable: pool.Reclaimable, Count: count},
+			Wish:   Target{Service: fleet.Service, Zone: pool.Zone, Reclaimable: pool.Reclaimable, Count: count},
 			Before: state.Ordered, Held: max(state.Ordered, state.maxOrdered), Number: tracker.order.Number + 1,
 		})
 	}
--- a/capacity/planner_rapid_test.go
+++ b/capacity/planner_rapid_test.go
@@ -55,7 +55,7 @@
 				require.LessOrEqual(t, count, sim.scale.Most)
 			}
 			for _, order := range sim.sentOrders[before:] {
-				require.GreaterOrEqual(t, order.Target.Count, 0)
+				require.GreaterOrEqual(t, order.Wish.Count, 0)
 			}
 		}
 		sim.requireRecovery(t, rapid.Float64Range(0, 300).Draw(t, "slots in the end"))
--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -19,8 +19,8 @@
 	require.Len(t, sim.sentOrders, before, "the load has not changed")
 	require.Zero(t, sim.lateWork)
 	for _, order := range sim.sentOrders {
-		require.GreaterOrEqual(t, order.Target.Count, order.Before-4, "few at a time")
-		require.GreaterOrEqual(t, order.Target.Count, sim.scale.Least)
+		require.GreaterOrEqual(t, order.Wish.Count, order.Before-4, "few at a time")
+		require.GreaterOrEqual(t, order.Wish.Count, sim.scale.Least)
 	}
 }
 
@@ -31,7 +31,7 @@
 	sim.run(60000, constantLoad(40))
 	removedAt := map[int64]int{}
 	for i, at := range sim.sentAt {
-		removedAt[at] += sim.sentOrders[i].Before - sim.sentOrders[i].Target.Count
+		removedAt[at] += sim.sentOrders[i].Before - sim.sentOrders[i].Wish.Count
 	}
 	require.Greater(t, len(removedAt), 3)
 	require.Zero(t, sim.directionChanges(), "the load is constant")
@@ -71,8 +71,8 @@
 		require.Equal(t, sim.scale.Least, sim.countInZone(zone))
 	}
 	for _, order := range sim.sentOrders {
-		require.GreaterOrEqual(t, order.Target.Count, sim.scale.Least)
-		require.Less(t, order.Target.Count, order.Before)
+		require.GreaterOrEqual(t, order.Wish.Count, sim.scale.Least)
+		require.Less(t, order.Wish.Count, order.Before)
 	}
 }
 
@@ -143,7 +143,7 @@
 		}
 		attempts := 0
 		sim.answerOrder = func(order Order) (Answer, bool) {
-			if order.Target.Pool() == (Pool{Zone: zone, Reclaimable: true}) && order.Target.Count > 0 && sim.now < exhaustedUntil {
+			if order.Wish.Pool() == (Pool{Zone: zone, Reclaimable: true}) && order.Wish.Count > 0 && sim.now < exhaustedUntil {
 				attempts++
 				return Exhausted, false
 			}
@@ -185,13 +185,13 @@
 	sim.run(10000, constantLoad(300))
 	require.Greater(t, len(sim.sentOrders), before, "silent engines are replaced")
 	for _, order := range sim.sentOrders[before:] {
-		require.GreaterOrEqual(t, order.Target.Count, order.Before, "no scale-down")
-		require.NotEqual(t, "b", order.Target.Zone, "new engines would be unreachable as well")
+		require.GreaterOrEqual(t, order.Wish.Count, order.Before, "no scale-down")
+		require.NotEqual(t, "b", order.Wish.Zone, "new engines would be unreachable as well")
 	}
 	sim.removeMachines(func(m *machine) bool { return m.pool.Zone == "b" })
 	sim.run(10000, constantLoad(300))
 	for _, order := range sim.sentOrders[before:] {
-		require.GreaterOrEqual(t, order.Target.Count, order.Before, "engines of the zone may return")
+		require.GreaterOrEqual(t, order.Wish.Count, order.Before, "engines of the zone may return")
 	}
 	sim.lateWork = 0
 	sim.run(20000, constantLoad(300))
@@ -229,7 +229,7 @@
 func TestExhaustedZoneFallsBackToOthers(t *testing.T) {
 	sim := newSettledSimulation(t, 6)
 	sim.answerOrder = func(order Order) (Answer, bool) {
-		if order.Target.Zone == "b" {
+		if order.Wish.Zone == "b" {
 			return Exhausted, false
 		}
 		return Accepted, true
@@ -251,9 +251,9 @@
 	sim.run(6000, constantLoad(750))
 	counts := map[Pool]int{}
 	for _, order := range sim.sentOrders {
-		pool := order.Target.Pool()
-		require.Contains(t, []int{0, order.Target.Count}, counts[pool], "repeated unchanged")
-		counts[pool] = order.Target.Count
+		pool := order.Wish.Pool()
+		require.Contains(t, []int{0, order.Wish.Count}, counts[pool], "repeated unchanged")
+		counts[pool] = order.Wish.Count
 	}
 	require.LessOrEqual(t, len(sim.sentOrders), 8*4)
 	sim.answerOrder = nil
@@ -272,7 +272,7 @@
 func TestOrderedEnginesNeverRegister(t *testing.T) {
 	sim := newSettledSimulation(t, 6)
 	sim.answerOrder = func(order Order) (Answer, bool) {
-		return Accepted, order.Target.Zone != "a" && order.Target.Zone != "b"
+		return Accepted, order.Wish.Zone != "a" && order.Wish.Zone != "b"
 	}
 	sim.run(3000, constantLoad(240))
 	require.Positive(t, sim.plan.Pools[Pool{Zone: "a"}].Booting+sim.plan.Pools[Pool{Zone: "a", Reclaimable: true}].Booting)
@@ -281,8 +281,8 @@
 	require.LessOrEqual(t, len(sim.sentOrders), 40)
 	for i, order := range sim.sentOrders {
 		since := sim.sentAt[i] - sim.sentAt[0] - registrationBootTimes*sim.scale.BootMillis
-		if order.Target.Pool() == (Pool{Zone: "a", Reclaimable: true}) && since >= 0 && since < exhaustedBackoff.Milliseconds() {
-			require.LessOrEqual(t, order.Target.Count, order.Before, "not scaled up during the backoff")
+		if order.Wish.Pool() == (Pool{Zone: "a", Reclaimable: true}) && since >= 0 && since < exhaustedBackoff.Milliseconds() {
+			require.LessOrEqual(t, order.Wish.Count, order.Before, "not scaled up during the backoff")
 		}
 	}
 }
@@ -323,7 +323,7 @@
 	require.Empty(t, sim.sentOrders)
 	sim.run(8000, constantLoad(200))
 	for _, order := range sim.sentOrders {
-		require.GreaterOrEqual(t, order.Target.Count, order.Before)
+		require.GreaterOrEqual(t, order.Wish.Count, order.Before)
 	}
 }
 
@@ -341,7 +341,7 @@
 	require.Empty(t, sim.sentOrders, "no orders before any engine has registered")
 	sim.run(52000, constantLoad(200))
 	for _, order := range sim.sentOrders {
-		require.NotEqual(t, "d", order.Target.Zone)
+		require.NotEqual(t, "d", order.Wish.Zone)
 	}
 }
 
@@ -349,7 +349,7 @@
 // on-demand ones within the zone's limit.
 func TestUnavailableReclaimablesAreCancelled(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
-	sim.answerOrder = func(order Order) (Answer, bool) { return Accepted, !order.Target.Reclaimable }
+	sim.answerOrder = func(order Order) (Answer, bool) { return Accepted, !order.Wish.Reclaimable }
 	sim.run(28000, constantLoad(700))
 	for _, zone := range sim.zones {
 		require.Equal(t, 24, len(sim.machinesIn(Pool{Zone: zone})))
@@ -366,21 +366,21 @@
 	sim.run(60000, constantLoad(700))
 	require.NotEmpty(t, sim.sentOrders)
 	for _, order := range sim.sentOrders {
-		require.GreaterOrEqual(t, order.Target.Count, order.Before)
+		require.GreaterOrEqual(t, order.Wish.Count, order.Before)
 	}
 }
 
 // TestRemovedEnginesDoNotCount checks that removed engines do not count before they report that they drain.
 func TestRemovedEnginesDoNotCount(t *testing.T) {
 	sim := newSettledSimulation(t, 12)
-	sim.answerOrder = func(order Order) (Answer, bool) { return Accepted, order.Target.Count > order.Before }
+	sim.answerOrder = func(order Order) (Answer, bool) { return Accepted, order.Wish.Count > order.Before }
 	for len(sim.sentOrders) == 0 {
 		sim.run(stepPeriod, constantLoad(40))
 	}
 	sim.run(tick, nil)
 	for pool, order := range sim.orders {
-		require.Equal(t, order.Target.Count, sim.plan.Pools[pool].Wanted)
-		require.Greater(t, sim.plan.Pools[pool].Ready, order.Target.Count)
+		require.Equal(t, order.Wish.Count, sim.plan.Pools[pool].Wanted)
+		require.Greater(t, sim.plan.Pools[pool].Ready, order.Wish.Count)
 	}
 }
 
@@ -392,8 +392,8 @@
 	sim.run(30000, constantLoad(700))
 	highest := map[Pool]int{}
 	for _, order := range sim.sentOrders {
-		pool := order.Target.Pool()
-		highest[pool] = max(highest[pool], order.Target.Count, order.Before)
+		pool := order.Wish.Pool()
+		highest[pool] = max(highest[pool], order.Wish.Count, order.Before)
 		other := Pool{Zone: pool.Zone, Reclaimable: !pool.Reclaimable}
 		require.LessOrEqual(t, highest[pool]+max(highest[other], sim.desired[other]), sim.scale.Most)
 	}
@@ -435,7 +435,7 @@
 	sim.planner = NewPlanner()
 	sim.run(3000, constantLoad(750))
 	require.Len(t, sim.sentOrders, before+1, "an unanswered order is repeated once")
-	require.Equal(t, open.Target, sim.sentOrders[before].Target)
+	require.Equal(t, open.Wish, sim.sentOrders[before].Wish)
 }
 
 // TestRefusedOrder checks that the previous order stays in force.
--- a/capacity/simulation_test.go
+++ b/capacity/simulation_test.go
@@ -127,7 +127,7 @@
 	sim.machines = slices.DeleteFunc(sim.machines, func(m *machine) bool { return m.leavesAt > 0 && m.leavesAt <= sim.now })
 	sim.plan = sim.planner.Plan(sim.now, sim.fleet())
 	for _, order := range sim.plan.Orders {
-		require.Greater(sim.t, order.Number, sim.orders[order.Target.Pool()].Number, "order numbers must increase")
+		require.Greater(sim.t, order.Number, sim.orders[order.Wish.Pool()].Number, "order numbers must increase")
 		sim.send(order)
 	}
 	for _, zone := range sim.zones {
@@ -161,9 +161,9 @@
 		answer, done = sim.answerOrder(order)
 	}
 	order.Answer = answer
-	sim.orders[order.Target.Pool()] = order
+	sim.orders[order.Wish.Pool()] = order
 	if done {
-		sim.carryOut(order.Target)
+		sim.carryOut(order.Wish)
 	}
 }
 
@@ -205,7 +205,7 @@
 func (sim *simulation) directionChanges() int {
 	changes, last := 0, 0
 	for _, order := range sim.sentOrders {
-		direction := order.Target.Count - order.Before
+		direction := order.Wish.Count - order.Before
 		if direction != 0 && last != 0 && direction > 0 != (last > 0) {
 			changes++
 		}
--- a/capacity/tracker.go
+++ b/capacity/tracker.go
@@ -81,14 +81,14 @@
 // startOrder starts to track a new order. Repeating an unanswered order does not extend its registration
 // timeout.
 func (t *orderTracker) startOrder(now int64, order Order, registered int) {
-	repeats := t.hasOrder() && t.order.Answer == Open && t.order.Target == order.Target
+	repeats := t.hasOrder() && t.order.Answer == Open && t.order.Wish == order.Wish
 	t.orderSeenAt, t.failureCounted = now, false
 	if repeats {
 		t.unanswered++
 		return
 	}
 	t.unanswered, t.previous = 0, t.expectation
-	t.expectation = t.afterOrder(now, order.Target.Count, registered)
+	t.expectation = t.afterOrder(now, order.Wish.Count, registered)
 }
 
 // applyAnswer handles a rejection of the newest order, once.
@@ -156,7 +156,7 @@
 	switch {
 	case !t.hasOrder():
 		return count != t.ordered() || state.Wanted > state.baseline
-	case t.order.wasRejected() && t.order.Target.Count < t.order.Before:
+	case t.order.wasRejected() && t.order.Wish.Count < t.order.Before:
 		// A rejected scale-down is retried only after a pause.
 		return count != t.order.Count() && since >= (openRetryInterval<<min(t.failures, maxRetryDoublings)).Milliseconds()
 	case count != t.order.Count():
--- a/capacity/tracker_test.go
+++ b/capacity/tracker_test.go
@@ -14,7 +14,7 @@
 )
 
 func newOrder(count, before int, number uint64, answer Answer) Order {
-	return Order{Target: Target{Service: "s", Zone: "z", Count: count}, Before: before, Held: before, Number: number, Answer: answer}
+	return Order{Wish: Target{Service: "s", Zone: "z", Count: count}, Before: before, Held: before, Number: number, Answer: answer}
 }
 
 // TestPendingBackends covers pending backends that register, are lost, or time out.
--- a/directory/orders.go
+++ b/directory/orders.go
@@ -11,9 +11,9 @@
 // putOrder stores an order of backends or the answer to one. It ignores answers to older orders, and a
 // different order with the current number, which comes from a delayed holder of the duty.
 func (m *Machine) putOrder(order capacity.Order) {
-	key := orderKey(order.Target)
+	key := orderKey(order.Wish)
 	current, exists := m.state.Orders[key]
-	if order.Number < current.Number || exists && order.Number == current.Number && order.Target != current.Target {
+	if order.Number < current.Number || exists && order.Number == current.Number && order.Wish != current.Wish {
 		return
 	}
 	m.state.Orders[key] = order
@@ -27,17 +27,17 @@
 func (m *Machine) Orders(service string) []capacity.Order {
 	var orders []capacity.Order
 	for _, order := range m.state.Orders {
-		if order.Target.Service == service {
+		if order.Wish.Service == service {
 			orders = append(orders, order)
 		}
 	}
-	slices.SortFunc(orders, func(a, b capacity.Order) int { return cmp.Compare(orderKey(a.Target), orderKey(b.Target)) })
+	slices.SortFunc(orders, func(a, b capacity.Order) int { return cmp.Compare(orderKey(a.Wish), orderKey(b.Wish)) })
 	return orders
 }
 
 // removeObsoleteOrders drops the orders of services that no longer exist.
 func (m *Machine) removeObsoleteOrders() {
 	maps.DeleteFunc(m.state.Orders, func(_ string, order capacity.Order) bool {
-		return m.state.Services[order.Target.Service] == nil
+		return m.state.Services[order.Wish.Service] == nil
 	})
 }
--- a/directory/orders_test.go
+++ b/directory/orders_test.go
@@ -20,7 +20,7 @@
 	revision := m.Revision()
 	order := func(service, zone string, reclaimable bool, count int, number uint64, answer capacity.Answer) capacity.Order {
 		target := capacity.Target{Service: service, Zone: zone, Reclaimable: reclaimable, Count: count}
-		recorded := capacity.Order{Target: target, Number: number, Before: 2, Answer: answer}
+		recorded := capacity.Order{Wish: target, Number: number, Before: 2, Answer: answer}
 		apply(t, m, Command{Order: &recorded})
 		return recorded
 	}
@@ -55,14 +55,14 @@
 	m := NewMachine()
 	order := func(count int, answer capacity.Answer) {
 		target := capacity.Target{Service: "s", Zone: "a", Count: count}
-		apply(t, m, Command{Order: &capacity.Order{Target: target, Number: 4, Answer: answer}})
+		apply(t, m, Command{Order: &capacity.Order{Wish: target, Number: 4, Answer: answer}})
 	}
 	order(6, capacity.Open)
 	order(2, capacity.Open)
-	require.Equal(t, 6, m.Orders("s")[0].Target.Count)
+	require.Equal(t, 6, m.Orders("s")[0].Wish.Count)
 	order(6, capacity.Accepted)
 	order(2, capacity.Open)
-	require.Equal(t, 6, m.Orders("s")[0].Target.Count)
+	require.Equal(t, 6, m.Orders("s")[0].Wish.Count)
 	require.Equal(t, capacity.Accepted, m.Orders("s")[0].Answer)
 }
 
@@ -75,6 +75,6 @@
 	require.NotContains(t, keys, 20)
 	m := NewMachine()
 	require.NoError(t, m.Restore(&snapshot))
-	apply(t, m, Command{Order: &capacity.Order{Target: capacity.Target{Service: "s"}, Number: 1}})
+	apply(t, m, Command{Order: &capacity.Order{Wish: capacity.Target{Service: "s"}, Number: 1}})
 	require.Len(t, m.Orders("s"), 1)
 }
--- a/server/scale_controller.go
+++ b/server/scale_controller.go
@@ -144,8 +144,8 @@
 	fleet.Orders = map[capacity.Pool]capacity.Order{}
 	c.duties.replica.Do(func() {
 		for _, order := range c.duties.machine.Orders(name) {
-			fleet.Orders[order.Target.Pool()] = order
-			fleet.AddZone(order.Target.Zone)
+			fleet.Orders[order.Wish.Pool()] = order
+			fleet.AddZone(order.Wish.Zone)
 		}
 	})
 	c.mutex.Lock()
@@ -193,8 +193,8 @@
 			return
 		}
 		outcome, err := c.sendOrder(order)
-		event.ScalingOrderFinished.On(c.logger).Str("service", order.Target.Service).Str("pool", order.Target.Pool().String()).
-			Uint("count", uint64(order.Target.Count)).Uint("before", uint64(order.Before)).Str("outcome", outcome.String()).Err(err).Send()
+		event.ScalingOrderFinished.On(c.logger).Str("service", order.Wish.Service).Str("pool", order.Wish.Pool().String()).
+			Uint("count", uint64(order.Wish.Count)).Uint("before", uint64(order.Before)).Str("outcome", outcome.String()).Err(err).Send()
 		switch outcome {
 		case DutyAccepted:
 			c.recordAnswer(order, capacity.Accepted)
@@ -211,12 +211,12 @@
 
 // sendOrder records an order and then sends it.
 func (c *scaleController) sendOrder(order capacity.Order) (DutyOutcome, error) {
-	subject := scaleSubjectPrefix + order.Target.Service + "/" + order.Target.Zone
+	subject := scaleSubjectPrefix + order.Wish.Service + "/" + order.Wish.Zone
 	if !c.duties.mayAct(subject) {
 		return DutyBusy, nil
 	}
 	return c.duties.act(subject, []directory.Command{{Order: &order}}, func(ctx context.Context, send DutySend) DutyOutcome {
-		outcome := c.client.SendScale(ctx, ScaleSend{DutySend: send, Target: order.Target})
+		outcome := c.client.SendScale(ctx, ScaleSend{DutySend: send, Target: order.Wish})
 		c.metrics.orders.WithLabelValues(outcome.String()).Inc()
 		return outcome
 	})
@@ -228,6 +228,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), recordAnswerTimeout)
 	defer cancel()
 	if _, err := c.duties.replica.Execute(ctx, directory.Command{Order: &order}.Encode()); err != nil {
-		event.ScalingResultNotRecorded.On(c.logger).Str("service", order.Target.Service).Str("pool", order.Target.Pool().String()).Err(err).Send()
+		event.ScalingResultNotRecorded.On(c.logger).Str("service", order.Wish.Service).Str("pool", order.Wish.Pool().String()).Err(err).Send()
 	}
 }
--- a/server/scale_controller_test.go
+++ b/server/scale_controller_test.go
@@ -81,7 +81,7 @@
 }
 
 func newOrder(count int) capacity.Order {
-	return capacity.Order{Target: capacity.Target{Service: "s", Zone: "z", Count: count}, Before: 1, Number: 1}
+	return capacity.Order{Wish: capacity.Target{Service: "s", Zone: "z", Count: count}, Before: 1, Number: 1}
 }
 
 // newRound returns a round planned now in the current term.
@@ -112,7 +112,7 @@
 		client.answer = func(send ScaleSend) DutyOutcome {
 			require.Equal(t, []capacity.Order{order}, recordedOrders(d))
 			d.replica.Do(func() { require.Equal(t, "d", d.machine.Actions()["scale/s/z"].Holder) })
-			require.Equal(t, ScaleSend{DutySend: send.DutySend, Target: order.Target}, send)
+			require.Equal(t, ScaleSend{DutySend: send.DutySend, Target: order.Wish}, send)
 			require.Equal(t, d.Status().Term, send.Fence)
 			require.Equal(t, "d", send.Holder)
 			require.LessOrEqual(t, clock.Until(send.SendBy), duty.MaxStartDelay)
@@ -130,7 +130,7 @@
 	client := &fakeDutyClient{answer: func(ScaleSend) DutyOutcome { return DutyUnanswered }}
 	d, _ := startSingleReplica(t, client, nil)
 	second := newOrder(4)
-	second.Target.Zone = "y"
+	second.Wish.Zone = "y"
 	d.scale.sendOrders(newRound(d), []capacity.Order{newOrder(3), second})
 	require.Len(t, client.sent(), 1)
 	require.Len(t, recordedOrders(d), 1)
@@ -190,7 +190,7 @@
 	require.Empty(t, client.sent())
 	require.Empty(t, recordedOrders(d))
 	otherZone := newOrder(3)
-	otherZone.Target.Zone = "y"
+	otherZone.Wish.Zone = "y"
 	d.scale.sendOrders(newRound(d), []capacity.Order{otherZone})
 	require.Len(t, client.sent(), 1)
 }
